--- a/internal/connpool/alive.go
+++ b/internal/connpool/alive.go
@@ -5,10 +5,10 @@
 	"syscall"
 )
 
-// Quiet reports whether a TCP connection is open and has nothing to read. It
+// IsIdle reports whether a TCP connection is open and has nothing to read. It
 // looks at the socket without waiting, also while another task reads from it.
 // Other connections count as quiet.
-func Quiet(c net.Conn) bool {
+func IsIdle(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
 		return true
--- a/internal/connpool/alive_test.go
+++ b/internal/connpool/alive_test.go
@@ -37,7 +37,7 @@
 	answered := make(chan bool, 1)
 	go func() {
 		time.Sleep(50 * time.Millisecond) // lets the reader begin; either order must work
-		answered <- Quiet(near)
+		answered <- IsIdle(near)
 	}()
 	select {
 	case quiet := <-answered:
@@ -53,7 +53,7 @@
 func TestAClosedConnectionIsNotQuiet(t *testing.T) {
 	near, far := pair(t)
 	_ = far.Close()
-	for Quiet(near) { // until the end of the stream arrives
+	for IsIdle(near) { // until the end of the stream arrives
 		time.Sleep(time.Millisecond)
 	}
 }
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -125,8 +125,8 @@
 	return Stats{Limit: p.limit, Open: p.open, Idle: len(p.idle), Waiting: len(p.waiters), LastError: p.lastErr}
 }
 
-// IdleWith reports whether a connection of the key is idle.
-func (p *Pool[C]) IdleWith(key string) bool {
+// HasIdle reports whether a connection of the key is idle.
+func (p *Pool[C]) HasIdle(key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return slices.ContainsFunc(p.idle, func(r resting[C]) bool { return r.conn.Key() == key })
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -143,8 +143,8 @@
 
 type fakeCaller struct{ net.Conn }
 
-func (fakeCaller) Quiet() bool { return true }
-func (fakeCaller) HangUp()     {}
+func (fakeCaller) IsIdle() bool { return true }
+func (fakeCaller) Disconnect()  {}
 
 // rig is a server before three fake endpoints, of which "p" is the primary.
 type rig struct {
@@ -399,7 +399,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for range r.server.slots("logs", "p") {
-		leave, err := r.server.gate.Enter(ctx, gate.Admission{Endpoint: "p", Service: "logs", Workspace: "crew", Class: note.ClassInteractive})
+		leave, err := r.server.gate.AcquireSlot(ctx, gate.SlotRequest{Endpoint: "p", Service: "logs", Workspace: "crew", Class: note.ClassInteractive})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/core/pick.go
+++ b/internal/core/pick.go
@@ -135,7 +135,7 @@
 	if c.primary {
 		cost += primaryCost
 	}
-	if !c.endpoint.pool.IdleWith(n.workspace) {
+	if !c.endpoint.pool.HasIdle(n.workspace) {
 		cost += strangerCost
 	}
 	if l.suspected || !c.primary && l.behind && l.position.Compare(n.after) < 0 {
--- a/internal/core/place.go
+++ b/internal/core/place.go
@@ -56,7 +56,7 @@
 // slot waits for a slot of the lease's endpoint.
 func (s *Session) slot(ctx context.Context, c choice, route note.Route) (func(), error) {
 	deadline, _ := ctx.Deadline()
-	return s.srv.gate.Enter(ctx, gate.Admission{
+	return s.srv.gate.AcquireSlot(ctx, gate.SlotRequest{
 		Endpoint: c.endpoint.record.ID, Service: c.endpoint.record.Service, Workspace: s.workspace,
 		Weight: 1, Class: admissionClass(route), Deadline: deadline,
 	})
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -107,7 +107,7 @@
 	s.mu.Lock()
 	e := s.endpoints[id]
 	s.mu.Unlock()
-	return e != nil && e.pool.IdleWith(workspace)
+	return e != nil && e.pool.HasIdle(workspace)
 }
 
 // excess notes the time of a statement and returns by how much it is above the
@@ -284,9 +284,9 @@
 // Sessions returns the number of open sessions.
 func (s *Server) Sessions() int { return len(s.list()) }
 
-// Abort ends every transaction that waits for its caller, for the second half of
+// AbortTransactions ends every transaction that waits for its caller, for the second half of
 // a shutdown.
-func (s *Server) Abort() {
+func (s *Server) AbortTransactions() {
 	for _, session := range s.list() {
 		session.expire(clock.Now(), 0)
 	}
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -43,10 +43,10 @@
 
 // Caller is the caller's end of a session.
 type Caller interface {
-	// Quiet reports, without waiting, whether no request is on its way.
-	Quiet() bool
-	// HangUp closes the connection. It may be called more than once.
-	HangUp()
+	// IsIdle reports, without waiting, whether no request is on its way.
+	IsIdle() bool
+	// Disconnect closes the connection. It may be called more than once.
+	Disconnect()
 }
 
 // openTimeout bounds the wait of a new session for the host's lease: callers
@@ -208,9 +208,9 @@
 
 func refuse(err *result.Error) Reply { return Reply{Err: err} }
 
-// Ends reports whether the session should end after the present answer, for a
+// ShouldClose reports whether the session should end after the present answer, for a
 // shutdown.
-func (s *Session) Ends() bool {
+func (s *Session) ShouldClose() bool {
 	if !s.srv.draining.Load() {
 		return false
 	}
@@ -231,14 +231,14 @@
 		return
 	}
 	defer s.mu.Unlock()
-	if s.state == Idle && clock.Since(s.since) >= restBeforeClose && s.caller.Quiet() {
+	if s.state == Idle && clock.Since(s.since) >= restBeforeClose && s.caller.IsIdle() {
 		s.closed = true
-		s.caller.HangUp()
+		s.caller.Disconnect()
 	}
 }
 
 // interrupt hangs up at once.
-func (s *Session) interrupt() { s.caller.HangUp() }
+func (s *Session) interrupt() { s.caller.Disconnect() }
 
 // expire ends a transaction whose caller has been silent for the limit. The
 // caller learns it from the answer to its next statement.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -267,7 +267,7 @@
 	if err == nil {
 		return
 	}
-	d.core.Abort()
+	d.core.AbortTransactions()
 	lastCtx, cancel := context.WithTimeout(ctx, max(share-2*drainPause, drainPause))
 	defer cancel()
 	if err := d.core.Drain(lastCtx); err != nil {
--- a/internal/entry/lease.go
+++ b/internal/entry/lease.go
@@ -84,7 +84,7 @@
 	if err != nil {
 		return nil, result.New(result.NoEndpoint, "%v", err)
 	}
-	leave, err := s.srv.gate.Enter(ctx, s.admission(ctx, endpoint))
+	leave, err := s.srv.gate.AcquireSlot(ctx, s.admission(ctx, endpoint))
 	if err != nil {
 		return nil, err
 	}
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -28,9 +28,9 @@
 
 // Gate admits requests to the slots of endpoints.
 type Gate interface {
-	// Enter waits for a slot. The caller must call leave once the request has
+	// AcquireSlot waits for a slot. The caller must call leave once the request has
 	// ended. It returns a result.Error with a code for which NotRun holds.
-	Enter(ctx context.Context, a gate.Admission) (leave func(), err error)
+	AcquireSlot(ctx context.Context, a gate.SlotRequest) (leave func(), err error)
 }
 
 // Need describes the endpoint that a request may run on.
--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -172,11 +172,11 @@
 		case pos.Fail:
 			err := result.New(effect.Code, "the position of service %s cannot be read", t.service)
 			t.resolve(effect.ID, readResult{err: err})
-		case pos.Ask:
+		case pos.RequestTables:
 			for _, host := range effect.Hosts {
 				go t.ask(ctx, effect.Round, host)
 			}
-		case pos.AskPrimary:
+		case pos.RequestPrimaryPosition:
 			go t.askPrimary(ctx, effect.Round)
 		}
 	}
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -265,7 +265,7 @@
 		}
 		status = ended
 	}
-	r.request.Apply(retry.GotAnswer)
+	r.request.Apply(retry.AnswerReceived)
 	s.setTransaction(r.l, status != txIdle)
 	r.recordSettings(status)
 	if status != txIdle {
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -87,11 +87,11 @@
 	if len(r.plan.encoded) < writeAside {
 		n, err := r.l.conn.Write(r.plan.encoded)
 		if n > 0 {
-			r.request.Apply(retry.Wrote)
+			r.request.Apply(retry.BytesSent)
 		}
 		return err
 	}
-	r.request.Apply(retry.Wrote)
+	r.request.Apply(retry.BytesSent)
 	r.writer = make(chan error, 1)
 	conn, encoded := r.l.conn, r.plan.encoded
 	go func() {
@@ -109,9 +109,9 @@
 		return doneHere, err
 	}
 	r.l.lost = true
-	r.request.Apply(retry.Lost)
+	r.request.Apply(retry.ConnectionLost)
 	switch r.request.Next() {
-	case retry.RetryElsewhere, retry.ConsultMarker:
+	case retry.RetryElsewhere, retry.LookUpMarker:
 		if s.srv.mayRetry(s.who.workspace, r.l.endpoint) {
 			s.conn.Truncate(0)
 			s.abandon()
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -72,8 +72,8 @@
 	return top
 }
 
-func (s *session) admission(ctx context.Context, endpoint string) gate.Admission {
-	a := gate.Admission{
+func (s *session) admission(ctx context.Context, endpoint string) gate.SlotRequest {
+	a := gate.SlotRequest{
 		Endpoint: endpoint, Service: s.who.service, Workspace: s.who.workspace,
 		Class: s.class(), Weight: 1,
 	}
@@ -241,7 +241,7 @@
 func (s *Server) firstAttempt(workspace, endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.budgets.First(time.Now(), workspace, endpoint)
+	s.budgets.RecordFirstAttempt(time.Now(), workspace, endpoint)
 }
 
 // mayRetry takes a retry of a request that failed on the endpoint.
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -17,7 +17,7 @@
 			WantedConnections: use.peak + 1,
 		}
 		if g, ok := s.gate.(*gate.Gate); ok {
-			u.Slots, u.WantedSlots = g.Use(use.endpoint)
+			u.Slots, u.WantedSlots = g.TakeUsage(use.endpoint)
 		}
 		all = append(all, u)
 	}
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -13,8 +13,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Admission is a request for a slot of one endpoint.
-type Admission struct {
+// SlotRequest is a request for a slot of one endpoint.
+type SlotRequest struct {
 	Endpoint  string
 	Service   string
 	Workspace string
@@ -40,9 +40,9 @@
 	return &Gate{policy: policy, slots: slots, ready: ready, gates: make(map[string]*endpointGate)}
 }
 
-// Enter waits for a slot until ctx ends. The caller must call leave once the
+// AcquireSlot waits for a slot until ctx ends. The caller must call leave once the
 // request has ended. It returns a result.Error with a code for which NotRun holds.
-func (g *Gate) Enter(ctx context.Context, a Admission) (func(), error) {
+func (g *Gate) AcquireSlot(ctx context.Context, a SlotRequest) (func(), error) {
 	return g.gate(a).enter(ctx, a)
 }
 
@@ -59,7 +59,7 @@
 	return e.queue.Waiting()
 }
 
-func (g *Gate) gate(a Admission) *endpointGate {
+func (g *Gate) gate(a SlotRequest) *endpointGate {
 	g.mu.Lock()
 	defer g.mu.Unlock()
 	e, ok := g.gates[a.Endpoint]
@@ -93,7 +93,7 @@
 	armed bool
 }
 
-func (e *endpointGate) enter(ctx context.Context, a Admission) (func(), error) {
+func (e *endpointGate) enter(ctx context.Context, a SlotRequest) (func(), error) {
 	turn := make(chan error, 1)
 	e.mu.Lock()
 	now := time.Now()
@@ -118,7 +118,7 @@
 }
 
 // exit returns the function that frees the slot.
-func (e *endpointGate) exit(id uint64, a Admission, err error) (func(), error) {
+func (e *endpointGate) exit(id uint64, a SlotRequest, err error) (func(), error) {
 	if code := result.CodeOf(err); code != 0 {
 		return nil, result.New(code, "waiting for a slot of endpoint %s", a.Endpoint)
 	}
@@ -197,9 +197,9 @@
 	e.apply(e.queue.Tick(time.Now()))
 }
 
-// Use returns the requests that run on an endpoint, and the greatest number
+// TakeUsage returns the requests that run on an endpoint, and the greatest number
 // that ran or waited at once since the last call.
-func (g *Gate) Use(endpoint string) (running, peak int) {
+func (g *Gate) TakeUsage(endpoint string) (running, peak int) {
 	g.mu.Lock()
 	e, ok := g.gates[endpoint]
 	g.mu.Unlock()
--- a/internal/pgback/pool.go
+++ b/internal/pgback/pool.go
@@ -28,7 +28,7 @@
 func (c *Conn) Key() string { return "" }
 
 // Alive implements connpool.Conn.
-func (c *Conn) Alive() bool { return connpool.Quiet(c.net) }
+func (c *Conn) Alive() bool { return connpool.IsIdle(c.net) }
 
 // Reusable implements connpool.Conn.
 func (c *Conn) Reusable() bool { return !c.cancelled.Load() }
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -44,12 +44,12 @@
 	k.tokens = min(k.tokens+b.cfg.Ratio, b.cfg.Cap)
 }
 
-// Has reports whether the name may retry.
-func (b *Budget) Has(now time.Time, name string) bool {
+// HasToken reports whether the name may retry.
+func (b *Budget) HasToken(now time.Time, name string) bool {
 	return b.bucket(now, name).tokens >= 1
 }
 
-// Spend takes a retry that Has has allowed.
+// Spend takes a retry that HasToken has allowed.
 func (b *Budget) Spend(now time.Time, name string) {
 	b.bucket(now, name).tokens--
 }
@@ -92,8 +92,8 @@
 	return &Budgets{workspaces: NewBudget(cfg), endpoints: NewBudget(cfg)}
 }
 
-// First counts the first attempt of a request.
-func (b *Budgets) First(now time.Time, workspace, endpoint string) {
+// RecordFirstAttempt counts the first attempt of a request.
+func (b *Budgets) RecordFirstAttempt(now time.Time, workspace, endpoint string) {
 	b.workspaces.Earn(now, workspace)
 	b.endpoints.Earn(now, endpoint)
 }
@@ -101,7 +101,7 @@
 // Allow takes a retry of a request that failed on the endpoint, or reports
 // false when the workspace or the endpoint has none left.
 func (b *Budgets) Allow(now time.Time, workspace, endpoint string) bool {
-	if !b.workspaces.Has(now, workspace) || !b.endpoints.Has(now, endpoint) {
+	if !b.workspaces.HasToken(now, workspace) || !b.endpoints.HasToken(now, endpoint) {
 		return false
 	}
 	b.workspaces.Spend(now, workspace)
--- a/internal/retry/outcome.go
+++ b/internal/retry/outcome.go
@@ -28,14 +28,14 @@
 
 // Events.
 const (
-	// Wrote: at least one byte may have reached the endpoint.
-	Wrote Event = iota
-	// GotAnswer: the answer is complete.
-	GotAnswer
+	// BytesSent: at least one byte may have reached the endpoint.
+	BytesSent Event = iota
+	// AnswerReceived: the answer is complete.
+	AnswerReceived
 	// RefusedReadOnly: the endpoint refused a write with SQLSTATE 25006.
 	RefusedReadOnly
-	// Lost: the connection failed, or the term ended before the answer came.
-	Lost
+	// ConnectionLost: the connection failed, or the term ended before the answer came.
+	ConnectionLost
 )
 
 // Request is a request on its way. The zero value is a write that is not sent.
@@ -59,15 +59,15 @@
 // that arrives after the request was given up does not count.
 func (r *Request) Apply(ev Event) {
 	switch {
-	case r.outcome == NotSent && ev == Wrote:
+	case r.outcome == NotSent && ev == BytesSent:
 		r.outcome = Sent
-	case r.outcome == NotSent && ev == Lost:
+	case r.outcome == NotSent && ev == ConnectionLost:
 		r.failed = true
-	case r.outcome == Sent && ev == GotAnswer:
+	case r.outcome == Sent && ev == AnswerReceived:
 		r.outcome = Answered
 	case r.outcome == Sent && ev == RefusedReadOnly:
 		r.outcome = NotRun
-	case r.outcome == Sent && ev == Lost:
+	case r.outcome == Sent && ev == ConnectionLost:
 		r.outcome = Unknown
 	}
 }
@@ -79,14 +79,14 @@
 const (
 	// Proceed: send the request, or go on waiting for its answer.
 	Proceed Action = iota
-	// Pass: pass the answer on.
-	Pass
+	// ForwardAnswer: pass the answer on.
+	ForwardAnswer
 	// RetryElsewhere: send it again, if possible to another endpoint.
 	RetryElsewhere
 	// RetryOnPrimary: send it again to the primary.
 	RetryOnPrimary
-	// ConsultMarker: look the request id up before anything else.
-	ConsultMarker
+	// LookUpMarker: look the request id up before anything else.
+	LookUpMarker
 	// Report: tell the caller the code that Code returns.
 	Report
 )
@@ -97,7 +97,7 @@
 	case NotSent:
 		return r.nextNotSent()
 	case Answered:
-		return Pass
+		return ForwardAnswer
 	case NotRun:
 		if r.InTransaction || r.Streamed {
 			return Report
@@ -128,14 +128,14 @@
 	case r.ReadOnly:
 		return RetryElsewhere
 	case r.HasID:
-		return ConsultMarker
+		return LookUpMarker
 	default:
 		return Report
 	}
 }
 
-// Resend makes the request ready for another attempt.
-func (r *Request) Resend() {
+// Reset makes the request ready for another attempt.
+func (r *Request) Reset() {
 	r.outcome, r.failed = NotSent, false
 }
 
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -20,18 +20,18 @@
 		code    result.Code
 	}{
 		"new":                               {Request{}, nil, Proceed, result.NoEndpoint},
-		"connection failed before sending":  {Request{}, []Event{Lost}, RetryElsewhere, result.NoEndpoint},
-		"the same inside a transaction":     {Request{InTransaction: true}, []Event{Lost}, Report, result.EndpointLost},
-		"sent":                              {Request{}, []Event{Wrote}, Proceed, result.OutcomeUnknown},
-		"answered":                          {Request{}, []Event{Wrote, GotAnswer}, Pass, 0},
-		"write lost":                        {Request{}, []Event{Wrote, Lost}, Report, result.OutcomeUnknown},
-		"write lost, late answer":           {Request{}, []Event{Wrote, Lost, GotAnswer}, Report, result.OutcomeUnknown},
-		"write with id lost":                {Request{HasID: true}, []Event{Wrote, Lost}, ConsultMarker, result.OutcomeUnknown},
-		"write with id lost in transaction": {Request{HasID: true, InTransaction: true}, []Event{Wrote, Lost}, Report, result.OutcomeUnknown},
-		"read lost":                         {Request{ReadOnly: true}, []Event{Wrote, Lost}, RetryElsewhere, result.EndpointLost},
-		"read lost within its answer":       {Request{ReadOnly: true, Streamed: true}, []Event{Wrote, Lost}, Report, result.EndpointLost},
-		"refused as not read-only":          {Request{}, []Event{Wrote, RefusedReadOnly}, RetryOnPrimary, result.NoEndpoint},
-		"refused in a transaction":          {Request{InTransaction: true}, []Event{Wrote, RefusedReadOnly}, Report, result.EndpointLost},
+		"connection failed before sending":  {Request{}, []Event{ConnectionLost}, RetryElsewhere, result.NoEndpoint},
+		"the same inside a transaction":     {Request{InTransaction: true}, []Event{ConnectionLost}, Report, result.EndpointLost},
+		"sent":                              {Request{}, []Event{BytesSent}, Proceed, result.OutcomeUnknown},
+		"answered":                          {Request{}, []Event{BytesSent, AnswerReceived}, ForwardAnswer, 0},
+		"write lost":                        {Request{}, []Event{BytesSent, ConnectionLost}, Report, result.OutcomeUnknown},
+		"write lost, late answer":           {Request{}, []Event{BytesSent, ConnectionLost, AnswerReceived}, Report, result.OutcomeUnknown},
+		"write with id lost":                {Request{HasID: true}, []Event{BytesSent, ConnectionLost}, LookUpMarker, result.OutcomeUnknown},
+		"write with id lost in transaction": {Request{HasID: true, InTransaction: true}, []Event{BytesSent, ConnectionLost}, Report, result.OutcomeUnknown},
+		"read lost":                         {Request{ReadOnly: true}, []Event{BytesSent, ConnectionLost}, RetryElsewhere, result.EndpointLost},
+		"read lost within its answer":       {Request{ReadOnly: true, Streamed: true}, []Event{BytesSent, ConnectionLost}, Report, result.EndpointLost},
+		"refused as not read-only":          {Request{}, []Event{BytesSent, RefusedReadOnly}, RetryOnPrimary, result.NoEndpoint},
+		"refused in a transaction":          {Request{InTransaction: true}, []Event{BytesSent, RefusedReadOnly}, Report, result.EndpointLost},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -53,7 +53,7 @@
 		r := Request{InTransaction: rapid.Bool().Draw(t, "tx"), HasID: rapid.Bool().Draw(t, "id"), Streamed: rapid.Bool().Draw(t, "streamed")}
 		mayHaveRun := false
 		for range rapid.IntRange(1, 12).Draw(t, "events") {
-			ev := rapid.SampledFrom([]Event{Wrote, GotAnswer, RefusedReadOnly, Lost}).Draw(t, "event")
+			ev := rapid.SampledFrom([]Event{BytesSent, AnswerReceived, RefusedReadOnly, ConnectionLost}).Draw(t, "event")
 			sent := r.Outcome() == Sent
 			r.Apply(ev)
 			switch {
@@ -70,7 +70,7 @@
 				t.Fatalf("code %d claims that a write was not run: %+v", r.Code(), r)
 			}
 			if action == RetryElsewhere || action == RetryOnPrimary {
-				r.Resend()
+				r.Reset()
 			}
 		}
 	})
@@ -85,7 +85,7 @@
 		now, requests, retries := start, 0.0, 0.0
 		for range 2000 {
 			now = now.Add(time.Duration(rnd.Int64N(int64(20 * time.Millisecond))))
-			b.First(now, "w", "e")
+			b.RecordFirstAttempt(now, "w", "e")
 			requests++
 			for rnd.Float64() < failing && b.Allow(now, "w", "e") {
 				retries++
@@ -160,7 +160,7 @@
 	budgets := NewBudgets(DefaultBudgetConfig())
 	b.ReportAllocs()
 	for b.Loop() {
-		budgets.First(start, "w", "e")
+		budgets.RecordFirstAttempt(start, "w", "e")
 		budgets.Allow(start, "w", "e")
 	}
 }
--- a/internal/route/home.go
+++ b/internal/route/home.go
@@ -2,15 +2,15 @@
 
 import "github.com/galenabridge/galenabridge/internal/rendezvous"
 
-// HomeSize is the number of hosts that hold connections to one database group
+// HomeHostCount is the number of hosts that hold connections to one database group
 // in a fleet with more hosts than that.
-const HomeSize = 4
+const HomeHostCount = 4
 
-// Home returns the hosts that hold connections to the endpoints of a service
+// HomeHosts returns the hosts that hold connections to the endpoints of a service
 // and acknowledge its writes, in order of preference. The hosts are spread over
 // the failure domains as far as those go: the domains are ranked first, then
 // the hosts within each. In a small fleet all hosts are at home everywhere.
-func Home(service string, hosts map[string][]string) []string {
+func HomeHosts(service string, hosts map[string][]string) []string {
 	total := 0
 	domains := make([]string, 0, len(hosts))
 	for domain, names := range hosts {
@@ -18,7 +18,7 @@
 		domains = append(domains, domain)
 	}
 	ranked := rendezvous.Top(domains, service, len(domains))
-	size := min(total, max(HomeSize, smallFleet(total)))
+	size := min(total, max(HomeHostCount, smallFleet(total)))
 	byDomain := make([][]string, len(ranked))
 	for i, domain := range ranked {
 		byDomain[i] = rendezvous.Top(hosts[domain], service, size)
--- a/internal/route/home_test.go
+++ b/internal/route/home_test.go
@@ -18,7 +18,7 @@
 
 func TestSmallFleetIsAtHomeEverywhere(t *testing.T) {
 	for _, n := range []int{1, 9, maxSmallFleet} {
-		if home := Home("s", fleet(n, 4)); len(home) != n {
+		if home := HomeHosts("s", fleet(n, 4)); len(home) != n {
 			t.Errorf("%d of %d hosts are at home", len(home), n)
 		}
 	}
@@ -28,7 +28,7 @@
 	hosts := fleet(2000, 11)
 	load := map[string]int{}
 	for i := range 2200 {
-		home := Home(fmt.Sprint("db", i), hosts)
+		home := HomeHosts(fmt.Sprint("db", i), hosts)
 		domains := map[string]bool{}
 		for _, h := range home {
 			load[h]++
@@ -38,7 +38,7 @@
 				}
 			}
 		}
-		if len(home) != HomeSize || len(domains) != HomeSize {
+		if len(home) != HomeHostCount || len(domains) != HomeHostCount {
 			t.Fatalf("home %v in %d domains", home, len(domains))
 		}
 	}
@@ -54,11 +54,11 @@
 
 func TestLostHostMovesOnlyItsPlace(t *testing.T) {
 	hosts := fleet(200, 4)
-	before := Home("s", hosts)
+	before := HomeHosts("s", hosts)
 	for domain, names := range hosts {
 		hosts[domain] = slices.DeleteFunc(names, func(h string) bool { return h == before[0] })
 	}
-	after := Home("s", hosts)
+	after := HomeHosts("s", hosts)
 	for _, h := range before[1:] {
 		if !slices.Contains(after, h) {
 			t.Fatalf("%v became %v after the loss of %s", before, after, before[0])
--- a/internal/session/model_test.go
+++ b/internal/session/model_test.go
@@ -249,11 +249,11 @@
 
 func (m *model) apply(p *process, effect Effect) {
 	switch ef := effect.(type) {
-	case Ask:
+	case RequestTables:
 		for _, host := range ef.Hosts {
 			m.later(3, func() { m.answer(p, ef.Round, host) })
 		}
-	case AskPrimary:
+	case RequestPrimaryPosition:
 		m.later(3, func() {
 			position := Position{Term: 1, LSN: m.written}
 			m.later(3, func() {
--- a/internal/session/service.go
+++ b/internal/session/service.go
@@ -172,7 +172,7 @@
 		return
 	}
 	hosts := slices.Sorted(maps.Keys(r.missing))
-	s.effects = append(s.effects, Ask{Round: r.id, Hosts: hosts})
+	s.effects = append(s.effects, RequestTables{Round: r.id, Hosts: hosts})
 	if anySilent {
 		s.askPrimary(now)
 	}
@@ -189,7 +189,7 @@
 	if s.view.Settled >= s.change {
 		r.floorFor = s.changes
 	}
-	s.effects = append(s.effects, AskPrimary{Round: r.id})
+	s.effects = append(s.effects, RequestPrimaryPosition{Round: r.id})
 }
 
 func (s *Service) receive(reply Reply) {
--- a/internal/session/service_test.go
+++ b/internal/session/service_test.go
@@ -33,13 +33,13 @@
 func TestReadsThatWaitShareARound(t *testing.T) {
 	s := settledService(50)
 	now := start.Add(s.cfg.Interval)
-	expect(t, s.Step(now, Read{1, "a"}), Ask{Round: 2, Hosts: []string{"h2", "h3"}})
+	expect(t, s.Step(now, Read{1, "a"}), RequestTables{Round: 2, Hosts: []string{"h2", "h3"}})
 	expect(t, s.Step(now, Read{2, "a"}))
 	expect(t, s.Step(now, Read{3, "b"}))
 	expect(t, s.Step(now, Reply{2, "h2", 2, table("a", 70)}))
 	expect(t, s.Step(now, Reply{2, "h3", 3, table("b", 80)}), Resolve{1, Position{1, 70}})
 	now = now.Add(s.cfg.Interval)
-	expect(t, s.Step(now, Tick{}), Ask{Round: 3, Hosts: []string{"h2", "h3"}})
+	expect(t, s.Step(now, Tick{}), RequestTables{Round: 3, Hosts: []string{"h2", "h3"}})
 	s.Step(now, Reply{3, "h2", 2, Table{}})
 	expect(t, s.Step(now, Reply{3, "h3", 3, table("b", 80)}), Resolve{2, Position{1, 50}}, Resolve{3, Position{1, 80}})
 }
@@ -51,11 +51,11 @@
 	s.Step(now, Reply{2, "h2", 2, table("a", 70)})
 	s.Step(now, Reply{2, "h3", 9, Table{}}) // another process than the known one
 	now = now.Add(s.cfg.GatherTimeout)
-	expect(t, s.Step(now, Tick{}), AskPrimary{Round: 2})
+	expect(t, s.Step(now, Tick{}), RequestPrimaryPosition{Round: 2})
 	expect(t, s.Step(now, PrimaryPosition{2, true, Position{1, 90}}), Resolve{1, Position{1, 90}})
 	// The silent host is not waited for again until it answers.
 	now = now.Add(s.cfg.Interval)
-	expect(t, s.Step(now, Read{2, "a"}), Ask{Round: 3, Hosts: []string{"h2", "h3"}}, AskPrimary{Round: 3})
+	expect(t, s.Step(now, Read{2, "a"}), RequestTables{Round: 3, Hosts: []string{"h2", "h3"}}, RequestPrimaryPosition{Round: 3})
 }
 
 func TestNoAnswerAtAllFails(t *testing.T) {
@@ -73,16 +73,16 @@
 	now := start.Add(s.cfg.Interval)
 	s.Step(now, view)
 	for round := uint64(2); round < 4; round++ {
-		expect(t, s.Step(now, Read{round, "a"}), AskPrimary{Round: round})
+		expect(t, s.Step(now, Read{round, "a"}), RequestPrimaryPosition{Round: round})
 		s.Step(now, PrimaryPosition{round, true, Position{1, 60 + round}})
 		now = now.Add(s.cfg.Interval)
 	}
 	view.Settled = 7
 	s.Step(now, view)
-	expect(t, s.Step(now, Read{4, "a"}), AskPrimary{Round: 4})
+	expect(t, s.Step(now, Read{4, "a"}), RequestPrimaryPosition{Round: 4})
 	s.Step(now, PrimaryPosition{4, true, Position{1, 99}})
 	now = now.Add(s.cfg.Interval)
-	expect(t, s.Step(now, Read{5, "a"}), Ask{Round: 5, Hosts: []string{"h2"}})
+	expect(t, s.Step(now, Read{5, "a"}), RequestTables{Round: 5, Hosts: []string{"h2"}})
 	expect(t, s.Step(now, Reply{5, "h2", 2, Table{}}), Resolve{5, Position{1, 99}})
 }
 
--- a/internal/session/types.go
+++ b/internal/session/types.go
@@ -98,7 +98,7 @@
 // Replayed reports a position that all replicas of the group have replayed.
 type Replayed struct{ Position Position }
 
-// Reply is a peer's answer to Ask.
+// Reply is a peer's answer to RequestTables.
 type Reply struct {
 	Round       uint64
 	Host        string
@@ -106,7 +106,7 @@
 	Table       Table
 }
 
-// PrimaryPosition is the answer to AskPrimary. OK requires that the host's view
+// PrimaryPosition is the answer to RequestPrimaryPosition. OK requires that the host's view
 // was valid and the primary unchanged when the answer arrived.
 type PrimaryPosition struct {
 	Round    uint64
@@ -129,14 +129,14 @@
 // Effect is an output of a Service.
 type Effect interface{ isEffect() }
 
-// Ask requests the tables of other hosts, read after the request.
-type Ask struct {
+// RequestTables requests the tables of other hosts, read after the request.
+type RequestTables struct {
 	Round uint64
 	Hosts []string
 }
 
-// AskPrimary requests the primary's current position, read after the request.
-type AskPrimary struct{ Round uint64 }
+// RequestPrimaryPosition requests the primary's current position, read after the request.
+type RequestPrimaryPosition struct{ Round uint64 }
 
 // Resolve answers a Read.
 type Resolve struct {
@@ -150,7 +150,7 @@
 	Code result.Code
 }
 
-func (Ask) isEffect()        {}
-func (AskPrimary) isEffect() {}
-func (Resolve) isEffect()    {}
-func (Fail) isEffect()       {}
+func (RequestTables) isEffect()          {}
+func (RequestPrimaryPosition) isEffect() {}
+func (Resolve) isEffect()                {}
+func (Fail) isEffect()                   {}
