--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -8,14 +8,15 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// rateShare is the part of a route's timeout that an operation may wait for the
-// rate of its workspace; the rest is left to the endpoint. A workspace that is
-// over its rate is told so earlier by the limiter.
-const rateShare = 0.8
+// rateWaitShare is the share of a route's timeout that an operation may wait for rate
+// tokens; the rest is left for the endpoint. The limiter refuses a workspace that
+// exceeds its rate earlier than that.
+const rateWaitShare = 0.8
 
-// admitted checks what the caller may do now and takes a token of its rate.
-func (s *Session) admitted(st Statement, writes bool) (*operation, *result.Error) {
-	if err := s.await(openTimeout); err != nil {
+// admit authorizes the caller, waits for a valid lease and takes a rate token of the
+// workspace.
+func (s *Session) admit(st Statement, writes bool) (*operation, *result.Error) {
+	if err := s.awaitAuthorization(openTimeout); err != nil {
 		return nil, err
 	}
 	route, err := s.authorize(s.srv.opts.View.Current())
@@ -27,14 +28,14 @@
 		deadline: time.Now().Add(time.Duration(route.Timeout) * time.Millisecond),
 	}
 	if err := s.awaitLease(op.deadline); err != nil {
-		return nil, op.refusal(err)
+		return nil, op.withRetryAfter(err)
 	}
 	ctx, cancel := context.WithTimeout(s.srv.ctx, rateWait(route))
 	defer cancel()
 	if s.workspace != "" {
 		begun := time.Now()
 		err := s.srv.opts.Limiter.Acquire(ctx, s.workspace)
-		s.spent.rate = s.srv.metrics.waited(route.Class, waitRate, begun)
+		s.timings.rate = s.srv.metrics.observeWait(route.Class, waitRate, begun)
 		if err != nil {
 			return nil, asResult(err, result.RateExceeded)
 		}
@@ -43,8 +44,8 @@
 	return op, nil
 }
 
-// awaitLease waits until the host may act on the agreed state: tokens that are
-// taken before would be spent in vain.
+// awaitLease waits for a valid configuration lease. It runs before a rate token is
+// taken, because without a lease the token would be wasted.
 func (s *Session) awaitLease(deadline time.Time) *result.Error {
 	ctx, cancel := context.WithDeadline(s.srv.ctx, deadline)
 	defer cancel()
@@ -59,14 +60,14 @@
 	}
 }
 
-// refund gives the token of an operation back that was offered to no endpoint.
+// refund returns the rate token of an operation that was not sent to any endpoint.
 func (op *operation) refund() {
-	if workspace := op.session.workspace; workspace != "" && !op.offered {
+	if workspace := op.session.workspace; workspace != "" && !op.dispatched {
 		op.session.srv.opts.Limiter.Refund(workspace)
 	}
 }
 
-// rateWait bounds the wait for the workspace's rate.
+// rateWait returns the longest wait for a rate token of the workspace.
 func rateWait(route note.Route) time.Duration {
-	return time.Duration(rateShare * float64(route.Timeout) * float64(time.Millisecond))
+	return time.Duration(rateWaitShare * float64(route.Timeout) * float64(time.Millisecond))
 }
--- a/internal/core/conn.go
+++ b/internal/core/conn.go
@@ -5,44 +5,45 @@
 	"strconv"
 )
 
-// shape is what a prepared statement runs; names do not matter.
-type shape struct {
+// preparedStatement is the content of a prepared statement, regardless of its name.
+type preparedStatement struct {
 	text   string
 	writes bool
 }
 
-// conn is a connection to an endpoint with what it holds for its users. One
-// task uses it at a time.
+// conn is a connection to an endpoint with a record of the session state that is set
+// on it. It is not safe for concurrent use.
 type conn struct {
 	Link
-	// values are the session values in force, prepared the names by shape.
-	values   map[string]string
-	prepared map[shape]string
-	named    int
-	// unknown: the values may differ from the record, as after a rollback, so
-	// that everything is discarded before the next use.
-	unknown bool
-	// user is the session that used the connection last.
-	user uint64
+	// values are the session values that are set; prepared maps each statement to its
+	// name on this connection.
+	values        map[string]string
+	prepared      map[preparedStatement]string
+	preparedCount int
+	// stateUnknown: the connection may differ from the record, as after a rollback, so
+	// that its state is discarded before the next use.
+	stateUnknown bool
+	// lastSession is the ID of the session that last checked the connection out.
+	lastSession uint64
 }
 
 func newConn(l Link) *conn {
-	return &conn{Link: l, values: map[string]string{}, prepared: map[shape]string{}}
+	return &conn{Link: l, values: map[string]string{}, prepared: map[preparedStatement]string{}}
 }
 
-// fits reports whether the connection needs no restoring for a session.
-func (c *conn) fits(values map[string]string) bool {
-	return !c.unknown && maps.Equal(c.values, values)
+// matches reports whether the connection already holds exactly the given values.
+func (c *conn) matches(values map[string]string) bool {
+	return !c.stateUnknown && maps.Equal(c.values, values)
 }
 
-// restore returns the commands after which the connection holds exactly the
-// given values, and the shape if one is given. The record is updated at once:
-// the caller closes the connection unless every command succeeds.
-func (c *conn) restore(values map[string]string, needed *shape) []Command {
+// restoreCommands returns the commands after which the connection holds exactly the
+// given values, and the prepared statement if one is given. It updates the record
+// immediately, so the caller must close the connection unless every command succeeds.
+func (c *conn) restoreCommands(values map[string]string, needed *preparedStatement) []Command {
 	var commands []Command
-	if c.unknown || !c.isSubset(values) {
+	if c.stateUnknown || !c.isSubset(values) {
 		commands = append(commands, Command{Statement: Statement{Kind: Discard}})
-		c.values, c.prepared, c.unknown = map[string]string{}, map[shape]string{}, false
+		c.values, c.prepared, c.stateUnknown = map[string]string{}, map[preparedStatement]string{}, false
 	}
 	for name, value := range values {
 		if held, ok := c.values[name]; !ok || held != value {
@@ -51,16 +52,16 @@
 		}
 	}
 	if needed != nil && c.prepared[*needed] == "" {
-		c.named++
-		name := "g" + strconv.Itoa(c.named)
+		c.preparedCount++
+		name := "g" + strconv.Itoa(c.preparedCount)
 		c.prepared[*needed] = name
 		commands = append(commands, Command{Statement: Statement{Kind: Prepare, Name: name, Text: needed.text, Writes: needed.writes}})
 	}
 	return commands
 }
 
-// isSubset reports whether every value that the connection holds is set by the
-// session: a value cannot be taken back by itself.
+// isSubset reports whether the session sets every value that the connection holds. A
+// single value cannot be unset, so any other value requires a full discard.
 func (c *conn) isSubset(values map[string]string) bool {
 	for name := range c.values {
 		if _, ok := values[name]; !ok {
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -20,18 +20,18 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// fakeEndpoints are endpoints in memory. script answers the next commands that
-// callers sent; when it is empty they succeed.
+// fakeEndpoints is a Dialer for in-memory endpoints. Each entry of script answers one
+// command with a request ID; when script is empty, commands succeed.
 type fakeEndpoints struct {
-	mu     sync.Mutex
-	script []func(id string, c Command) (Answer, bool, error)
-	dial   func(id string) error
-	ran    []ranCommand
-	closed int
+	mu       sync.Mutex
+	script   []func(id string, c Command) (Answer, bool, error)
+	dial     func(id string) error
+	received []receivedCommand
+	closed   int
 }
 
-// ranCommand is a command that reached an endpoint.
-type ranCommand struct {
+// receivedCommand is a command that an endpoint received.
+type receivedCommand struct {
 	endpoint string
 	link     int
 	command  Command
@@ -53,7 +53,7 @@
 			return nil, err
 		}
 	}
-	return &fakeLink{e: e, id: ep.ID, number: len(e.ran), workspace: workspace}, nil
+	return &fakeLink{e: e, id: ep.ID, number: len(e.received), workspace: workspace}, nil
 }
 
 func (l *fakeLink) Key() string    { return l.workspace }
@@ -77,19 +77,19 @@
 			a, sent, err := next(l.id, c)
 			if err != nil || a.Err != nil {
 				if sent {
-					l.e.ran = append(l.e.ran, ranCommand{l.id, l.number, c})
+					l.e.received = append(l.e.received, receivedCommand{l.id, l.number, c})
 				}
 				return append(answers, a), sent, err
 			}
 		}
-		l.e.ran = append(l.e.ran, ranCommand{l.id, l.number, c})
+		l.e.received = append(l.e.received, receivedCommand{l.id, l.number, c})
 		switch c.Kind {
 		case Begin, BeginReadOnly:
 			l.state = InTransaction
 		case Commit, Rollback:
 			l.state = Idle
 		}
-		answers = append(answers, Answer{Signature: "s", State: l.state, Position: Position{Term: 1, Number: uint64(len(l.e.ran))}})
+		answers = append(answers, Answer{Signature: "s", State: l.state, Position: Position{Term: 1, Number: uint64(len(l.e.received))}})
 	}
 	return answers, true, nil
 }
@@ -98,7 +98,7 @@
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	n := 0
-	for _, r := range e.ran {
+	for _, r := range e.received {
 		if r.command.Kind == kind && r.command.ID != "" {
 			n++
 		}
@@ -106,38 +106,38 @@
 	return n
 }
 
-func (e *fakeEndpoints) last() ranCommand {
+func (e *fakeEndpoints) last() receivedCommand {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.ran[len(e.ran)-1]
+	return e.received[len(e.received)-1]
 }
 
-// plan makes the next statements of callers end as given.
+// plan sets the outcomes of the next statements from callers.
 func (e *fakeEndpoints) plan(outcomes ...func(string, Command) (Answer, bool, error)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.script = outcomes
 }
 
-func refused(code result.Code) func(string, Command) (Answer, bool, error) {
+func refusal(code result.Code) func(string, Command) (Answer, bool, error) {
 	return func(string, Command) (Answer, bool, error) {
 		return Answer{Err: result.New(code, "planned")}, false, nil
 	}
 }
 
-func broken(sent bool) func(string, Command) (Answer, bool, error) {
+func lostConnection(sent bool) func(string, Command) (Answer, bool, error) {
 	return func(string, Command) (Answer, bool, error) { return Answer{}, sent, errors.New("connection lost") }
 }
 
-// noLimit has tokens for all and counts them.
-type noLimit struct{ taken, refunded *atomic.Int64 }
+// countingLimiter grants every request and counts tokens.
+type countingLimiter struct{ taken, refunded *atomic.Int64 }
 
-func (l noLimit) Acquire(context.Context, string) error {
+func (l countingLimiter) Acquire(context.Context, string) error {
 	l.taken.Add(1)
 	return nil
 }
 
-func (l noLimit) Refund(string) {
+func (l countingLimiter) Refund(string) {
 	l.refunded.Add(1)
 }
 
@@ -146,29 +146,29 @@
 func (fakeCaller) IsIdle() bool { return true }
 func (fakeCaller) Disconnect()  {}
 
-// rig is a server before three fake endpoints, of which "p" is the primary.
-type rig struct {
+// fixture is a server with three fake endpoints, of which "p" is the primary.
+type fixture struct {
 	t         *testing.T
 	endpoints *fakeEndpoints
 	server    *Server
 	view      *view.Box
 	state     *agreed.State
-	// taken and refunded count tokens of rates.
+	// taken and refunded count rate tokens.
 	taken, refunded atomic.Int64
 
 	mu       sync.Mutex
 	evidence []Evidence
 }
 
-func (r *rig) observe(e Evidence) {
+func (r *fixture) observe(e Evidence) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.evidence = append(r.evidence, e)
 }
 
-func newRig(t *testing.T) *rig {
+func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	r := &rig{t: t, endpoints: &fakeEndpoints{}, view: view.NewBox(), state: agreed.New()}
+	r := &fixture{t: t, endpoints: &fakeEndpoints{}, view: view.NewBox(), state: agreed.New()}
 	r.state.Revision = 1
 	r.state.Catalog.Stamp.Number = 1
 	r.state.Catalog.Services["logs"] = note.Service{Name: "logs", Ack: note.AckReplicas}
@@ -186,7 +186,7 @@
 	r.state.Groups["logs"] = agreed.Group{Service: "logs", Members: members, Term: 1, Primary: "p", Phase: agreed.PhaseActive, Timeline: 1}
 	r.publish(time.Hour)
 	r.server = NewServer(Options{
-		View: r.view, Host: "h", Domain: "d", Dialer: r.endpoints, Limiter: noLimit{&r.taken, &r.refunded},
+		View: r.view, Host: "h", Domain: "d", Dialer: r.endpoints, Limiter: countingLimiter{&r.taken, &r.refunded},
 		Connections: func(string, string) int { return 4 }, Observe: r.observe, Log: log.New(io.Discard),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
@@ -199,12 +199,12 @@
 	return r
 }
 
-func (r *rig) publish(lease time.Duration) {
+func (r *fixture) publish(lease time.Duration) {
 	next := *r.state
 	r.view.Publish(view.View{State: &next, Settled: 1, ValidUntil: clock.Now().Add(lease)})
 }
 
-func (r *rig) open(database string) *Session {
+func (r *fixture) open(database string) *Session {
 	r.t.Helper()
 	s, err := r.server.Open(database, "k", fakeCaller{})
 	if err != nil {
@@ -214,7 +214,7 @@
 	return s
 }
 
-func (r *rig) want(s *Session, st Statement, code result.Code, state State) Reply {
+func (r *fixture) expect(s *Session, st Statement, code result.Code, state State) Reply {
 	r.t.Helper()
 	st.ID = "id"
 	reply := s.Do(st)
@@ -228,32 +228,33 @@
 	return reply
 }
 
-// TestWhatMayFollowALostStatement checks the outcome that a caller is told, and
-// how often the statement reached an endpoint.
-func TestWhatMayFollowALostStatement(t *testing.T) {
+// TestStatementRetryAfterFailure guards against a write that runs twice and against a
+// wrong result code: it checks the code that the caller receives and how often the
+// statement reached an endpoint after its first attempt failed.
+func TestStatementRetryAfterFailure(t *testing.T) {
 	cases := map[string]struct {
 		kind Kind
 		plan []func(string, Command) (Answer, bool, error)
 		code result.Code
 		ran  int
 	}{
-		"write not sent":          {Write, []func(string, Command) (Answer, bool, error){broken(false)}, 0, 1},
-		"write sent and lost":     {Write, []func(string, Command) (Answer, bool, error){broken(true)}, result.OutcomeUnknown, 1},
-		"read sent and lost":      {Read, []func(string, Command) (Answer, bool, error){broken(true)}, 0, 2},
-		"write refused as busy":   {Write, []func(string, Command) (Answer, bool, error){refused(result.EndpointBusy)}, 0, 1},
-		"write at a replica":      {Write, []func(string, Command) (Answer, bool, error){refused(result.EndpointReadOnly)}, 0, 1},
-		"write ran and failed":    {Write, []func(string, Command) (Answer, bool, error){refused(result.StatementFailed)}, result.StatementFailed, 0},
-		"write timed out":         {Write, []func(string, Command) (Answer, bool, error){refused(result.StatementTimeout)}, result.StatementTimeout, 0},
-		"read fails once":         {Read, []func(string, Command) (Answer, bool, error){refused(result.StatementFailed)}, 0, 1},
-		"read behind":             {Read, []func(string, Command) (Answer, bool, error){refused(result.ReplicaBehind)}, 0, 1},
-		"name lost at connection": {Write, []func(string, Command) (Answer, bool, error){refused(result.UnknownStatement)}, 0, 1},
+		"write not sent":          {Write, []func(string, Command) (Answer, bool, error){lostConnection(false)}, 0, 1},
+		"write sent and lost":     {Write, []func(string, Command) (Answer, bool, error){lostConnection(true)}, result.OutcomeUnknown, 1},
+		"read sent and lost":      {Read, []func(string, Command) (Answer, bool, error){lostConnection(true)}, 0, 2},
+		"write refused as busy":   {Write, []func(string, Command) (Answer, bool, error){refusal(result.EndpointBusy)}, 0, 1},
+		"write at a replica":      {Write, []func(string, Command) (Answer, bool, error){refusal(result.EndpointReadOnly)}, 0, 1},
+		"write ran and failed":    {Write, []func(string, Command) (Answer, bool, error){refusal(result.StatementFailed)}, result.StatementFailed, 0},
+		"write timed out":         {Write, []func(string, Command) (Answer, bool, error){refusal(result.StatementTimeout)}, result.StatementTimeout, 0},
+		"read fails once":         {Read, []func(string, Command) (Answer, bool, error){refusal(result.StatementFailed)}, 0, 1},
+		"read behind":             {Read, []func(string, Command) (Answer, bool, error){refusal(result.ReplicaBehind)}, 0, 1},
+		"name lost at connection": {Write, []func(string, Command) (Answer, bool, error){refusal(result.UnknownStatement)}, 0, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
+			r := newFixture(t)
 			s := r.open("launch")
 			r.endpoints.plan(c.plan...)
-			r.want(s, Statement{Kind: c.kind, Text: "x"}, c.code, Idle)
+			r.expect(s, Statement{Kind: c.kind, Text: "x"}, c.code, Idle)
 			if got := r.endpoints.count(c.kind); got != c.ran {
 				t.Errorf("reached an endpoint %d times, want %d", got, c.ran)
 			}
@@ -261,7 +262,9 @@
 	}
 }
 
-func TestACommitThatMayHaveRunIsInDoubt(t *testing.T) {
+// TestCommitConnectionLostOutcome guards against reporting a commit as rolled back that may
+// have been applied: the connection is lost when the commit is sent.
+func TestCommitConnectionLostOutcome(t *testing.T) {
 	for name, c := range map[string]struct {
 		writes bool
 		sent   bool
@@ -272,91 +275,97 @@
 		"sent after reads":       {false, true, result.TransactionAborted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t)
+			r := newFixture(t)
 			s := r.open("launch")
-			r.want(s, Statement{Kind: Begin}, 0, InTransaction)
+			r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
 			kind := Read
 			if c.writes {
 				kind = Write
 			}
-			r.want(s, Statement{Kind: kind, Text: "x"}, 0, InTransaction)
-			r.endpoints.plan(broken(c.sent))
-			r.want(s, Statement{Kind: Commit}, c.code, Idle)
+			r.expect(s, Statement{Kind: kind, Text: "x"}, 0, InTransaction)
+			r.endpoints.plan(lostConnection(c.sent))
+			r.expect(s, Statement{Kind: Commit}, c.code, Idle)
 		})
 	}
 }
 
-func TestNothingIsSentWithoutALease(t *testing.T) {
-	r := newRig(t)
+func TestStatementRefusedWithoutLease(t *testing.T) {
+	r := newFixture(t)
 	s := r.open("launch")
 	r.publish(-time.Second)
-	r.want(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
 	if n := r.endpoints.count(Write); n != 0 {
 		t.Errorf("%d writes were sent", n)
 	}
 }
 
-func TestATransactionEndsWithItsTerm(t *testing.T) {
-	r := newRig(t)
+// TestTransactionAbortedOnTermChange guards against a commit that is sent to a primary whose
+// term ended during the transaction.
+func TestTransactionAbortedOnTermChange(t *testing.T) {
+	r := newFixture(t)
 	s := r.open("launch")
-	r.want(s, Statement{Kind: Begin}, 0, InTransaction)
-	r.want(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
+	r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
 	g := r.state.Groups["logs"]
 	r.state.Groups = map[string]agreed.Group{"logs": {
 		Service: "logs", Members: g.Members, Term: 2, Primary: "p", Phase: agreed.PhaseSealed,
 	}}
 	r.publish(time.Hour)
-	r.want(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
+	r.expect(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
 	if n := r.endpoints.count(Commit); n != 0 {
 		t.Errorf("%d commits were sent under the former term", n)
 	}
 }
 
-func TestReadsGoToReplicasOnlyWithAPosition(t *testing.T) {
-	r := newRig(t)
+// TestReplicaReadRequiresPosition guards against a stale read from a replica before a position
+// of the primary was observed, and against one that omits the session's own last write.
+func TestReplicaReadRequiresPosition(t *testing.T) {
+	r := newFixture(t)
 	s := r.open("own")
-	r.want(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
+	r.expect(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
 	if got := r.endpoints.last(); got.endpoint != "p" {
-		t.Errorf("the first read went to %s: nothing tells what it must see", got.endpoint)
+		t.Errorf("the first read went to %s, although no position of the primary was known", got.endpoint)
 	}
-	r.want(s, Statement{Kind: Write, Text: "x 1"}, 0, Idle)
-	own := s.own
-	for range 10 { // a busy primary
-		r.server.endpoint(r.state.Endpoints["p"]).begin()
+	r.expect(s, Statement{Kind: Write, Text: "x 1"}, 0, Idle)
+	lastCommit := s.lastCommit
+	for range 10 { // makes the primary busy, so that a replica is cheaper
+		r.server.endpoint(r.state.Endpoints["p"]).beginStatement()
 	}
-	r.want(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
-	if got := r.endpoints.last(); got.endpoint == "p" || got.command.After.Compare(own) < 0 {
-		t.Errorf("read at %s after %v, the session wrote up to %v", got.endpoint, got.command.After, own)
+	r.expect(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
+	if got := r.endpoints.last(); got.endpoint == "p" || got.command.After.Compare(lastCommit) < 0 {
+		t.Errorf("read at %s requires position %v, the session's last commit is %v", got.endpoint, got.command.After, lastCommit)
 	}
 }
 
-func TestASessionThatWasClosedRunsNothing(t *testing.T) {
-	r := newRig(t)
+// TestClosedSessionRefusesStatements guards against running a request that was read just as a
+// shutdown closed the idle session.
+func TestClosedSessionRefusesStatements(t *testing.T) {
+	r := newFixture(t)
 	s := r.open("launch")
-	s.since = clock.Now().Add(-2 * restBeforeClose)
+	s.lastReplyAt = clock.Now().Add(-2 * minIdleBeforeClose)
 	s.closeIfIdle()
-	r.want(s, Statement{Kind: Write, Text: "x"}, result.ShuttingDown, Idle)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, result.ShuttingDown, Idle)
 	if n := r.endpoints.count(Write); n != 0 {
-		t.Errorf("%d writes were sent for a caller that is gone", n)
+		t.Errorf("%d writes were sent for a disconnected caller", n)
 	}
 }
 
-func TestAnIdleTransactionIsEnded(t *testing.T) {
-	r := newRig(t)
+func TestIdleTransactionExpires(t *testing.T) {
+	r := newFixture(t)
 	s := r.open("launch")
-	r.want(s, Statement{Kind: Begin}, 0, InTransaction)
-	s.expire(clock.Now().Add(time.Hour), time.Minute)
-	r.want(s, Statement{Kind: Write, Text: "x"}, result.TransactionAborted, Failed)
-	r.want(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
+	r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
+	s.expireTransaction(clock.Now().Add(time.Hour), time.Minute)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, result.TransactionAborted, Failed)
+	r.expect(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
 }
 
-// TestATokenIsSpentOnlyOnWhatIsOffered refuses statements before and after the
-// rate was asked.
-func TestATokenIsSpentOnlyOnWhatIsOffered(t *testing.T) {
-	r := newRig(t)
+// TestRateTokenRefundedWhenNotDispatched guards against charging a workspace for statements
+// that were not sent to an endpoint: one is refused before a token is taken, two after.
+func TestRateTokenRefundedWhenNotDispatched(t *testing.T) {
+	r := newFixture(t)
 	s := r.open("brief")
 	r.publish(-time.Hour)
-	r.want(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
 	if n := r.taken.Load(); n != 0 {
 		t.Errorf("%d tokens taken without a lease", n)
 	}
@@ -364,17 +373,18 @@
 	sealed.Phase = agreed.PhaseSealed
 	r.state.Groups["logs"] = sealed
 	r.publish(time.Hour)
-	r.want(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
-	r.want(s, Statement{Kind: Begin}, result.NoPrimary, Idle)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
+	r.expect(s, Statement{Kind: Begin}, result.NoPrimary, Idle)
 	if taken, refunded := r.taken.Load(), r.refunded.Load(); taken != 2 || refunded != 2 {
-		t.Errorf("%d tokens taken, %d given back", taken, refunded)
+		t.Errorf("%d tokens taken, %d refunded", taken, refunded)
 	}
 }
 
-// TestARefusedConnectionIsToldAtOnce loses the primary: what a statement found out
-// is told before any further attempt to reach it.
-func TestARefusedConnectionIsToldAtOnce(t *testing.T) {
-	r := newRig(t)
+// TestUnreachableEndpointReportedImmediately guards against a slow failover: when a
+// statement finds the primary unreachable, the evidence must be reported before the
+// endpoint is probed again.
+func TestUnreachableEndpointReportedImmediately(t *testing.T) {
+	r := newFixture(t)
 	r.endpoints.dial = func(id string) error {
 		if id == "p" {
 			return errors.New("connection refused")
@@ -382,7 +392,7 @@
 		return nil
 	}
 	s := r.open("brief")
-	r.want(s, Statement{Kind: Write, Text: "x"}, result.EndpointLost, Idle)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, result.EndpointLost, Idle)
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if len(r.evidence) == 0 || r.evidence[0] != (Evidence{Service: "logs", Endpoint: "p", Lost: true}) {
@@ -390,12 +400,13 @@
 	}
 }
 
-// TestATransactionGoesOnWhileOthersWait takes all slots of the primary and runs a
-// statement of a transaction that has its connection.
-func TestATransactionGoesOnWhileOthersWait(t *testing.T) {
-	r := newRig(t)
+// TestTransactionStatementBypassesFullSlots guards against a deadlock of transactions that
+// hold a connection and wait for a slot: all slots of the primary are taken, and the
+// statements of an open transaction must still run.
+func TestTransactionStatementBypassesFullSlots(t *testing.T) {
+	r := newFixture(t)
 	s := r.open("launch")
-	r.want(s, Statement{Kind: Begin}, 0, InTransaction)
+	r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for range r.server.slots("logs", "p") {
@@ -405,6 +416,6 @@
 		}
 		defer leave()
 	}
-	r.want(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
-	r.want(s, Statement{Kind: Commit}, 0, Idle)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
+	r.expect(s, Statement{Kind: Commit}, 0, Idle)
 }
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -13,28 +13,29 @@
 )
 
 const (
-	// suspicionInterval is the time between two attempts to reach an endpoint
-	// that failed: three of them make a vote (failover.Config.SuspectAfter).
-	suspicionInterval = 250 * time.Millisecond
-	// suspicionTimeout bounds one attempt, well above a round trip between
-	// failure domains and the opening of a connection (some 15 ms).
-	suspicionTimeout = 400 * time.Millisecond
-	// lagPause is how long reads keep off a replica that lacked a position: a few
-	// times the usual lag.
-	lagPause = 250 * time.Millisecond
+	// probeInterval is the time between two attempts to reach an endpoint that failed:
+	// three failures make a vote (failover.Config.SuspectAfter).
+	probeInterval = 250 * time.Millisecond
+	// probeTimeout bounds one attempt. It is well above the time to open a connection
+	// to another failure domain (some 15 ms).
+	probeTimeout = 400 * time.Millisecond
+	// replicaBehindPause is how long reads avoid a replica that lacked a position: a few
+	// times the usual replication lag.
+	replicaBehindPause = 250 * time.Millisecond
 )
 
-// Evidence is what this host found out about an endpoint by using it.
+// Evidence is what this host observed about an endpoint by using it.
 type Evidence struct {
 	Service  string
 	Endpoint string
-	// Lost: the endpoint cannot be reached. ReadOnly: it answers, but not as a
-	// primary. Neither: it is well.
+	// Lost: the endpoint cannot be reached. ReadOnly: it answers, but not as a primary.
+	// Neither: it is healthy.
 	Lost     bool
 	ReadOnly bool
 }
 
-// endpoint is one endpoint in use.
+// endpoint holds the connection pool and the observed state of one endpoint process. It
+// is safe for concurrent use.
 type endpoint struct {
 	record agreed.Endpoint
 	pool   *connpool.Pool[*conn]
@@ -42,13 +43,14 @@
 
 	mu       sync.Mutex
 	inflight int
-	// suspected is set while the endpoint is tried again and again.
+	// suspected is set while the endpoint is probed after a failure.
 	suspected bool
-	// behindUntil is until when reads keep off for want of a position.
+	// behindUntil is the time until which reads avoid the endpoint because it lacked a
+	// position.
 	behindUntil time.Time
 	position    Position
-	gone        bool
-	// pace bounds the statements in progress by the time that they take.
+	closed      bool
+	// pace limits the statements in progress according to their latency.
 	pace *pacing.Limit
 }
 
@@ -68,9 +70,9 @@
 	return newConn(link), nil
 }
 
-// reachable reports whether an error of a dial speaks for the endpoint: it has
-// answered.
-func reachable(err error) bool {
+// isReachable reports whether a dial error shows that the endpoint can be reached, because
+// the endpoint itself sent the refusal.
+func isReachable(err error) bool {
 	switch result.CodeOf(err) {
 	case result.EndpointMismatch, result.TooManyConnections, result.EndpointBusy:
 		return true
@@ -78,48 +80,48 @@
 	return false
 }
 
-func (e *endpoint) begin() {
+func (e *endpoint) beginStatement() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inflight++
 }
 
-func (e *endpoint) end() {
+func (e *endpoint) endStatement() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.inflight--
 }
 
-// seen notes the position in an answer.
-func (e *endpoint) seen(p Position) {
+// observePosition records the position in an answer.
+func (e *endpoint) observePosition(p Position) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.position = later(e.position, p)
 }
 
-// took notes by how much a statement took longer than usual.
-func (e *endpoint) took(now time.Time, excess time.Duration) {
-	most := e.srv.mostSlots(e.record.Service, e.record.ID)
+// observeLatency records by how much a statement took longer than usual.
+func (e *endpoint) observeLatency(now time.Time, excess time.Duration) {
+	most := e.srv.maxSlots(e.record.Service, e.record.ID)
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.pace.Observe(now, excess, most)
 }
 
-// allowed returns how many of most statements may be in progress.
-func (e *endpoint) allowed(most int) int {
+// allowedStatements returns how many statements may be in progress, at most most.
+func (e *endpoint) allowedStatements(most int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	return e.pace.Allowed(most)
 }
 
-// behind notes that the endpoint lacked a position.
-func (e *endpoint) behind(now time.Time) {
+// markBehind records that the endpoint lacked a required position.
+func (e *endpoint) markBehind(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.behindUntil = now.Add(lagPause)
+	e.behindUntil = now.Add(replicaBehindPause)
 }
 
-// load is what the choice of an endpoint depends on.
+// load is the observed state of an endpoint that enters its cost in pickEndpoint.
 type load struct {
 	inflight  int
 	suspected bool
@@ -133,33 +135,36 @@
 	return load{inflight: e.inflight, suspected: e.suspected, behind: now.Before(e.behindUntil), position: e.position}
 }
 
-// unreachable tells at once that the endpoint took no connection, and suspects it.
-func (e *endpoint) unreachable(workspace string, cause error) {
+// reportUnreachable reports immediately that the endpoint accepted no connection, and
+// starts to probe it.
+func (e *endpoint) reportUnreachable(workspace string, cause error) {
 	e.srv.opts.Observe(Evidence{Service: e.record.Service, Endpoint: e.record.ID, Lost: true})
 	e.suspect(workspace, cause)
 }
 
-// suspect tries the endpoint again and again until it answers, and tells what it
-// finds. It returns at once.
+// suspect marks the endpoint as suspected and probes it in the background until it
+// answers. It does nothing if the endpoint is suspected already or closed.
 func (e *endpoint) suspect(workspace string, cause error) {
 	e.mu.Lock()
-	if e.suspected || e.gone {
+	if e.suspected || e.closed {
 		e.mu.Unlock()
 		return
 	}
 	e.suspected = true
 	e.mu.Unlock()
 	e.srv.opts.Log.Warn("endpoint_suspected", "service", e.record.Service, "endpoint", e.record.ID, "cause", cause.Error())
-	e.srv.spawn(func(ctx context.Context) { e.pursue(ctx, workspace) })
+	e.srv.spawn(func(ctx context.Context) { e.probeUntilReachable(ctx, workspace) })
 }
 
-func (e *endpoint) pursue(ctx context.Context, workspace string) {
+// probeUntilReachable probes the endpoint every probeInterval until it can be reached, is
+// closed or ctx ends.
+func (e *endpoint) probeUntilReachable(ctx context.Context, workspace string) {
 	begun := clock.Now()
-	for e.tryAgain(ctx, workspace) {
+	for e.probe(ctx, workspace) {
 		select {
 		case <-ctx.Done():
 			return
-		case <-time.After(suspicionInterval):
+		case <-time.After(probeInterval):
 		}
 	}
 	e.mu.Lock()
@@ -168,28 +173,29 @@
 	e.srv.opts.Log.Info("endpoint_regained", "service", e.record.Service, "endpoint", e.record.ID, "after_ms", clock.Since(begun).Milliseconds())
 }
 
-// tryAgain reports whether the endpoint remains suspected.
-func (e *endpoint) tryAgain(ctx context.Context, workspace string) bool {
+// probe dials the endpoint once and reports the evidence. It returns whether the endpoint
+// remains suspected.
+func (e *endpoint) probe(ctx context.Context, workspace string) bool {
 	e.mu.Lock()
-	gone := e.gone
+	closed := e.closed
 	e.mu.Unlock()
-	if gone || ctx.Err() != nil {
+	if closed || ctx.Err() != nil {
 		return false
 	}
-	tryCtx, cancel := context.WithTimeout(ctx, suspicionTimeout)
+	tryCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	link, err := e.srv.opts.Dialer.Dial(tryCtx, e.record, workspace)
 	if err == nil {
 		link.Close()
 	}
-	lost := err != nil && !reachable(err)
+	lost := err != nil && !isReachable(err)
 	e.srv.opts.Observe(Evidence{Service: e.record.Service, Endpoint: e.record.ID, Lost: lost})
 	return lost
 }
 
 func (e *endpoint) close() {
 	e.mu.Lock()
-	e.gone = true
+	e.closed = true
 	e.mu.Unlock()
 	e.pool.Close()
 }
--- a/internal/core/explain_test.go
+++ b/internal/core/explain_test.go
@@ -14,10 +14,10 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// TestARefusalIsExplainedFromItsLog refuses a write while the group is sealed and
-// reads the cause from what the host and the control leader logged.
-func TestARefusalIsExplainedFromItsLog(t *testing.T) {
-	r := newRig(t)
+// TestRefusalExplainedFromLogs checks that the cause of a refused write can be derived from
+// the logs of the host and the control leader. The group is sealed, so the write fails.
+func TestRefusalExplainedFromLogs(t *testing.T) {
+	r := newFixture(t)
 	var entry, control bytes.Buffer
 	options := log.Options{Formatter: log.LogfmtFormatter, ReportTimestamp: true, TimeFormat: eventlog.TimeFormat}
 	r.server.opts.Log = log.NewWithOptions(&entry, options).With("host", "h")
@@ -29,7 +29,7 @@
 	r.state.Groups["logs"] = sealed
 	leader.Info("group_status", "service", "logs", "reason", sealed.Reason)
 	r.publish(time.Hour)
-	r.want(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
+	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
 
 	lines, _, err := explain.Read(strings.NewReader(entry.String() + control.String()))
 	if err != nil {
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -6,33 +6,34 @@
 )
 
 const (
-	// sampleSpacing bounds the samples that are kept: one for each interval.
+	// sampleSpacing is the least time between two samples that are kept.
 	sampleSpacing = 50 * time.Millisecond
-	// sampleMemory is how long samples are kept, twice the longest age that a
-	// route of the sites allows (2.5 s). A read that allows more asks for the
-	// oldest sample kept, which is stricter than it needs.
-	sampleMemory = 5 * time.Second
-	// stalenessMargin is taken off the age that a route allows, for the time from
-	// the caller's first byte until the read is looked at.
+	// sampleRetention is how long samples are kept: twice the longest staleness that a
+	// route of the deployed sites allows (2.5 s). A read that allows more uses the oldest
+	// sample, which is stricter than required.
+	sampleRetention = 5 * time.Second
+	// stalenessMargin is subtracted from the staleness that a route allows. It covers the
+	// time from the first byte of the caller's request until the read is routed.
 	stalenessMargin = 50 * time.Millisecond
 )
 
-// sample is a position of a primary: whatever was acknowledged before at lies
-// at or below it.
+// sample is an observed position of a primary: every write acknowledged before at is
+// included in it.
 type sample struct {
 	at       time.Time
 	position Position
 }
 
-// freshness keeps the positions that primaries have shown, by service. Every
-// answer of a primary carries one, so that they cost nothing. It is safe for
+// freshness keeps the recent positions of primaries by service. Every answer of a
+// primary carries its position, so sampling needs no extra requests. It is safe for
 // concurrent use.
 type freshness struct {
 	mu       sync.Mutex
 	services map[string]*samples
 }
 
-// samples are those of one service under one term of the group.
+// samples holds the samples of one service in one term of the group. A later term
+// replaces them.
 type samples struct {
 	term uint64
 	list []sample // oldest first
@@ -42,8 +43,9 @@
 	return &freshness{services: make(map[string]*samples)}
 }
 
-// observe notes the position in an answer of the primary of a term to a
-// statement that was sent at the given time.
+// observe records the position in an answer from the primary of a term. at is the time at
+// which the statement was sent, so that the position covers all writes acknowledged
+// before. A zero position is ignored.
 func (f *freshness) observe(service string, term uint64, at time.Time, p Position) {
 	if p == (Position{}) {
 		return
@@ -56,21 +58,21 @@
 		f.services[service] = s
 	}
 	if s.term > term {
-		return // an answer that outlived its term
+		return // a late answer from a former term
 	}
 	if n := len(s.list); n > 0 && at.Sub(s.list[n-1].at) < sampleSpacing {
 		return
 	}
 	s.list = append(s.list, sample{at: at, position: p})
 	old := 0
-	for old < len(s.list)-1 && at.Sub(s.list[old].at) > sampleMemory {
+	for old < len(s.list)-1 && at.Sub(s.list[old].at) > sampleRetention {
 		old++
 	}
 	s.list = append(s.list[:0:0], s.list[old:]...)
 }
 
-// bound returns the least position known to include everything acknowledged
-// longer ago than the age. It reports false when no sample is recent enough.
+// bound returns the lowest recorded position that includes every write acknowledged more
+// than age ago. It reports false when no sample of the term is recent enough.
 func (f *freshness) bound(service string, term uint64, now time.Time, age time.Duration) (Position, bool) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
--- a/internal/core/freshness_test.go
+++ b/internal/core/freshness_test.go
@@ -7,9 +7,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestABoundIncludesWhatWasAcknowledgedBeforeTheAge draws a log that grows, with
-// answers of the primary at random times.
-func TestABoundIncludesWhatWasAcknowledgedBeforeTheAge(t *testing.T) {
+// TestFreshnessBoundIncludesOlderAcknowledgements guards against a staleness bound that
+// omits a write acknowledged longer ago than the allowed age. Writes and answers of the
+// primary come at random times.
+func TestFreshnessBoundIncludesOlderAcknowledgements(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFreshness()
 		now := time.Unix(100, 0)
@@ -28,7 +29,7 @@
 				p, ok := f.bound("s", 1, now, age)
 				for _, a := range acked {
 					if ok && a.at.Before(now.Add(-age)) && p.Compare(a.position) < 0 {
-						t.Fatalf("bound %v lacks %v, acknowledged %v before", p, a.position, now.Sub(a.at))
+						t.Fatalf("bound %v does not include %v, acknowledged %v before", p, a.position, now.Sub(a.at))
 					}
 				}
 			}
@@ -36,12 +37,12 @@
 	})
 }
 
-func TestSamplesOfAFormerTermAreForgotten(t *testing.T) {
+func TestFreshnessDropsSamplesOfFormerTerm(t *testing.T) {
 	f := newFreshness()
 	now := time.Unix(100, 0)
 	f.observe("s", 1, now, Position{Term: 3, Number: 9})
 	if _, ok := f.bound("s", 2, now, time.Second); ok {
-		t.Error("a sample of the former term is in use")
+		t.Error("a sample of the former term was used")
 	}
 	f.observe("s", 2, now, Position{Term: 4, Number: 7})
 	f.observe("s", 1, now.Add(time.Second), Position{Term: 3, Number: 12})
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -13,7 +13,7 @@
 // latencyBuckets are in seconds, from a local round trip to the longest timeout.
 var latencyBuckets = prometheus.ExponentialBuckets(0.001, 2, 14)
 
-// metrics describe the statements served.
+// metrics holds the Prometheus metrics of served statements.
 type metrics struct {
 	results  *prometheus.CounterVec
 	duration *prometheus.HistogramVec
@@ -21,7 +21,7 @@
 	waits    *prometheus.HistogramVec
 	dials    *prometheus.CounterVec
 	retries  prometheus.Counter
-	replica  *prometheus.CounterVec
+	reads    *prometheus.CounterVec
 	sessions prometheus.Gauge
 }
 
@@ -45,7 +45,7 @@
 		retries: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "galenabridge_statement_retries_total", Help: "Statements sent again after an attempt that did not run.",
 		}),
-		replica: prometheus.NewCounterVec(prometheus.CounterOpts{
+		reads: prometheus.NewCounterVec(prometheus.CounterOpts{
 			Name: "galenabridge_reads_total", Help: "Reads outside of plain transactions, by the role of the endpoint.",
 		}, []string{"role"}),
 		sessions: prometheus.NewGauge(prometheus.GaugeOpts{
@@ -53,26 +53,27 @@
 		}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.results, m.duration, m.backend, m.waits, m.dials, m.retries, m.replica, m.sessions)
+		reg.MustRegister(m.results, m.duration, m.backend, m.waits, m.dials, m.retries, m.reads, m.sessions)
 	}
 	return m
 }
 
-// What an operation waits for.
+// Values of the label "for": what an operation waits for.
 const (
 	waitRate       = "rate"
 	waitSlot       = "slot"
 	waitConnection = "connection"
 )
 
-// waited notes a wait that has begun at the given time, and returns its length.
-func (m *metrics) waited(class note.Class, what string, since time.Time) time.Duration {
+// observeWait records a wait that began at the given time and returns its duration.
+func (m *metrics) observeWait(class note.Class, what string, since time.Time) time.Duration {
 	took := time.Since(since)
 	m.waits.WithLabelValues(string(class), what).Observe(took.Seconds())
 	return took
 }
 
-func (m *metrics) answered(kind Kind, code result.Code, workspace string, class note.Class, took time.Duration) {
+// observeReply counts a reply and records its latency. Code 0 is success.
+func (m *metrics) observeReply(kind Kind, code result.Code, workspace string, class note.Class, took time.Duration) {
 	m.results.WithLabelValues(kind.String(), strconv.Itoa(int(code))).Inc()
 	m.duration.WithLabelValues(workspace, string(class)).Observe(took.Seconds())
 }
--- a/internal/core/metrics_test.go
+++ b/internal/core/metrics_test.go
@@ -11,19 +11,19 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// TestThePageListsTheMetrics holds the operations page and the metrics together.
-func TestThePageListsTheMetrics(t *testing.T) {
+// TestMetricsDocumentedInOperations checks that the operations page lists every metric.
+func TestMetricsDocumentedInOperations(t *testing.T) {
 	page, err := os.ReadFile("../../docs/OPERATIONS.md")
 	if err != nil {
 		t.Fatal(err)
 	}
 	registry := prometheus.NewRegistry()
 	m := newMetrics(registry)
-	m.answered(Read, 0, "crew", note.ClassBulk, time.Millisecond)
-	m.waited(note.ClassBulk, waitRate, time.Now())
+	m.observeReply(Read, 0, "crew", note.ClassBulk, time.Millisecond)
+	m.observeWait(note.ClassBulk, waitRate, time.Now())
 	m.backend.WithLabelValues("bulk").Observe(0)
 	m.dials.WithLabelValues("ok").Inc()
-	m.replica.WithLabelValues("replica").Inc()
+	m.reads.WithLabelValues("replica").Inc()
 	families, err := registry.Gather()
 	if err != nil {
 		t.Fatal(err)
@@ -33,7 +33,7 @@
 	}
 	for _, f := range families {
 		if !strings.Contains(string(page), "`"+f.GetName()) {
-			t.Errorf("%s is not on the page", f.GetName())
+			t.Errorf("%s is not documented in OPERATIONS.md", f.GetName())
 		}
 	}
 }
--- a/internal/core/pick.go
+++ b/internal/core/pick.go
@@ -11,45 +11,46 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Costs of choosing an endpoint for a read, in statements in progress there.
+// Costs of choosing an endpoint for a read. The unit is one statement in progress there.
 const (
-	// remoteCost: bytes between failure domains are dear and the answer takes a
-	// round trip more.
+	// remoteCost: traffic between failure domains is expensive, and the answer takes a
+	// longer round trip.
 	remoteCost = 1.5
-	// primaryCost leaves the primary to the statements that only it can run.
+	// primaryCost reserves the primary for the statements that only it can run.
 	primaryCost = 0.6
-	// strangerCost: no connection of the workspace is open. Opening one takes a
-	// slot for 12 ms, four round trips between failure domains.
-	strangerCost = 2.0
-	// awayCost gathers a host's reads at one replica, where its few connections
-	// then serve most workspaces.
-	awayCost = 0.8
-	// troubleCost keeps reads off an endpoint that is suspected or behind while
-	// there is another.
-	troubleCost = 100
+	// dialCost: no connection of the workspace is idle. Opening one occupies a slot for
+	// 12 ms, which is four round trips between failure domains.
+	dialCost = 2.0
+	// nonPreferredCost concentrates a host's reads on one replica, where its few
+	// connections then serve most workspaces.
+	nonPreferredCost = 0.8
+	// unhealthyCost makes reads avoid an endpoint that is suspected or behind while
+	// there is another one.
+	unhealthyCost = 100
 )
 
-// need is what a statement asks of an endpoint.
+// need is what a statement requires of an endpoint.
 type need struct {
 	service   string
 	workspace string
-	// primary: only the primary will do.
+	// primary: only the primary qualifies.
 	primary bool
-	// after is the position that a replica must have.
+	// after is the position that a replica must have applied.
 	after Position
-	// exclude are the endpoints that this statement has tried in vain.
+	// exclude lists the endpoints at which this statement has failed.
 	exclude []string
 }
 
-// choice is an endpoint with the group's term under which it was chosen.
+// choice is an endpoint with the term of the group under which it was chosen.
 type choice struct {
 	endpoint *endpoint
 	primary  bool
 	term     uint64
 }
 
-// pick chooses an endpoint under the present view.
-func (s *Server) pick(now time.Time, n need) (choice, error) {
+// pickEndpoint chooses an endpoint under the current view: the primary, or the member
+// with the lowest cost for a read. It needs a valid configuration lease.
+func (s *Server) pickEndpoint(now time.Time, n need) (choice, error) {
 	v := s.opts.View.Current()
 	if !v.Valid() {
 		return choice{}, result.New(result.NoConfigLease, "the configuration lease ended")
@@ -63,7 +64,7 @@
 	}
 	var best choice
 	lowest := 0.0
-	home := s.home(v, g)
+	preferredReplica := s.preferredReplica(v, g)
 	for _, id := range g.Members {
 		e, ok := s.usable(v, id)
 		if !ok || slices.Contains(n.exclude, id) {
@@ -71,8 +72,8 @@
 		}
 		c := choice{endpoint: e, primary: g.Phase == agreed.PhaseActive && id == g.Primary, term: g.Term}
 		cost := s.cost(now, c, n)
-		if id != home {
-			cost += awayCost
+		if id != preferredReplica {
+			cost += nonPreferredCost
 		}
 		if best.endpoint == nil || cost < lowest {
 			best, lowest = c, cost
@@ -84,6 +85,8 @@
 	return best, nil
 }
 
+// pickPrimary returns the active primary of the group. It fails with NoPrimary when there
+// is none or it must not get new work.
 func (s *Server) pickPrimary(v view.View, g agreed.Group, n need) (choice, error) {
 	if g.Phase != agreed.PhaseActive {
 		return choice{}, result.New(result.NoPrimary, "service %q is %s: %s", n.service, g.Phase, g.Reason)
@@ -95,9 +98,9 @@
 	return choice{endpoint: e, primary: true, term: g.Term}, nil
 }
 
-// home returns the replica at which this host's reads gather: one of its own
-// failure domain if there is any.
-func (s *Server) home(v view.View, g agreed.Group) string {
+// preferredReplica returns the replica on which this host concentrates its reads: one in
+// its own failure domain if there is any. Rendezvous hashing spreads hosts over replicas.
+func (s *Server) preferredReplica(v view.View, g agreed.Group) string {
 	var near, all []string
 	for _, id := range g.Members {
 		e := v.State.Endpoints[id]
@@ -115,7 +118,8 @@
 	return rendezvous.Owner(all, s.opts.Host)
 }
 
-// usable returns an endpoint that takes new work.
+// usable returns the endpoint with the ID, or false when it must not get new work: it is
+// leaving or its failure domain is out.
 func (s *Server) usable(v view.View, id string) (*endpoint, bool) {
 	record, ok := v.State.Endpoints[id]
 	if !ok || record.Leaving || v.State.Catalog.Domains[record.Domain].Out {
@@ -125,7 +129,8 @@
 	return e, e != nil
 }
 
-// cost weighs an endpoint for a read; a little noise spreads equal choices.
+// cost returns the cost of an endpoint for a read. A random part below 0.1 spreads reads
+// over endpoints of equal cost.
 func (s *Server) cost(now time.Time, c choice, n need) float64 {
 	l := c.endpoint.load(now)
 	cost := float64(l.inflight) + rand.Float64()/10
@@ -136,17 +141,17 @@
 		cost += primaryCost
 	}
 	if !c.endpoint.pool.HasIdle(n.workspace) {
-		cost += strangerCost
+		cost += dialCost
 	}
 	if l.suspected || !c.primary && l.behind && l.position.Compare(n.after) < 0 {
-		cost += troubleCost
+		cost += unhealthyCost
 	}
 	return cost
 }
 
-// holds reports whether a choice is still good: the lease is valid, and a
-// primary leads the same term.
-func (s *Server) holds(c choice) bool {
+// stillValid reports whether a choice may still be used: the lease is valid, and a chosen
+// primary is still the active primary in the same term.
+func (s *Server) stillValid(c choice) bool {
 	v := s.opts.View.Current()
 	if !v.Valid() {
 		return false
--- a/internal/core/run.go
+++ b/internal/core/run.go
@@ -8,36 +8,38 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// busyRetry is the time after which a refused caller may come back: about the
-// time of a change of the primary's leases (lease round plus round trips).
-const busyRetry = 200 * time.Millisecond
+// defaultRetryAfter is the retry hint for refused callers: about the time that a change
+// of the primary's leases takes (a lease round plus round trips).
+const defaultRetryAfter = 200 * time.Millisecond
 
-// maxAttempts bounds the attempts of one statement that reach an endpoint: the
-// members of a group, and one more for a change of the primary meanwhile.
+// maxAttempts bounds the attempts of one statement that are sent to an endpoint: one for
+// each member of a group, and one for a change of the primary in the meantime.
 const maxAttempts = 4
 
-// operation is one statement, or the begin of a transaction, on its way.
+// operation is a statement outside of a transaction, or the begin of a transaction, in
+// progress.
 type operation struct {
 	session *Session
 	st      Statement
 	route   note.Route
 	need    need
-	// writes: it may change data, so that it is repeated only when it surely has
-	// not run.
+	// writes: the statement may change data, so that it is retried only when it
+	// provably has not run.
 	writes   bool
 	deadline time.Time
 	attempts int
-	// offered: an attempt was sent to an endpoint.
-	offered bool
-	lastErr *result.Error
+	// dispatched: at least one attempt was made to send it to an endpoint.
+	dispatched bool
+	lastErr    *result.Error
 }
 
-// writes reports whether a statement may change data. Unknown names do not.
+// writes reports whether a statement may change data. It is false for an Execute of an
+// unknown name.
 func (s *Session) writes(st Statement) bool {
 	return st.Kind == Write || st.Kind == Execute && s.prepared[st.Name].writes
 }
 
-// run serves a read, a write or an execution.
+// run serves a Read, a Write or an Execute.
 func (s *Session) run(st Statement) Reply {
 	if st.Kind == Execute {
 		if _, ok := s.prepared[st.Name]; !ok {
@@ -47,11 +49,11 @@
 	if s.state == InTransaction {
 		return s.runInTransaction(st)
 	}
-	op, err := s.admitted(st, s.writes(st))
+	op, err := s.admit(st, s.writes(st))
 	if err != nil {
 		return refuse(err)
 	}
-	return op.single()
+	return op.runSingle()
 }
 
 // asResult returns the result.Error in err, or one with the given code.
@@ -62,72 +64,77 @@
 	return result.New(code, "%v", err)
 }
 
-// restore gives the connection the session's values and the shape of a prepared
-// statement, and confirms them before anything else is sent.
-func (s *Session) restore(l *lease, st Statement, deadline time.Time) *result.Error {
-	var needed *shape
+// restore sets the session values, and the prepared statement that st executes, on the
+// connection. It waits for confirmation before anything else is sent.
+func (s *Session) restore(co *checkout, st Statement, deadline time.Time) *result.Error {
+	var needed *preparedStatement
 	if st.Kind == Execute {
 		p := s.prepared[st.Name]
 		needed = &p
 	}
-	commands := l.conn.restore(s.values, needed)
+	commands := co.conn.restoreCommands(s.values, needed)
 	if len(commands) == 0 {
 		return nil
 	}
-	answers, _, err := l.conn.Exchange(deadline, commands...)
+	answers, _, err := co.conn.Exchange(deadline, commands...)
 	if err != nil {
-		return s.linkLost(l, err)
+		return s.connectionLost(co, err)
 	}
 	for _, a := range answers {
 		if a.Err != nil {
-			return result.New(result.EndpointLost, "restoring the session at %s: %s", l.endpoint.record.ID, a.Err.Detail)
+			return result.New(result.EndpointLost, "restoring the session state at %s: %s", co.endpoint.record.ID, a.Err.Detail)
 		}
 	}
 	return nil
 }
 
-// linkLost notes that a connection was lost before a statement was sent.
-func (s *Session) linkLost(l *lease, err error) *result.Error {
-	l.endpoint.suspect(s.workspace, err)
-	return result.New(result.EndpointLost, "endpoint %s: %v", l.endpoint.record.ID, err)
+// connectionLost reports the loss of a connection before a statement was sent and marks
+// the endpoint as suspected.
+func (s *Session) connectionLost(co *checkout, err error) *result.Error {
+	co.endpoint.suspect(s.workspace, err)
+	return result.New(result.EndpointLost, "endpoint %s: %v", co.endpoint.record.ID, err)
 }
 
-// command returns the statement as it goes to the lease's endpoint.
-func (s *Session) command(l *lease, st Statement, after Position) Command {
+// command returns the statement as it is sent to the endpoint of the checkout. A primary
+// holds every position, so none is required of it.
+func (s *Session) command(co *checkout, st Statement, after Position) Command {
 	if st.Kind == Execute {
-		st.Name = l.conn.prepared[s.prepared[st.Name]]
+		st.Name = co.conn.prepared[s.prepared[st.Name]]
 	}
-	if l.primary {
+	if co.primary {
 		after = Position{}
 	}
 	return Command{Statement: st, After: after}
 }
 
-// takesSlot reports whether an endpoint runs a statement in one of its slots.
+// takesSlot reports whether a kind of statement occupies a slot of an endpoint while it
+// runs. Only such statements are measured for pacing.
 func takesSlot(kind Kind) bool {
 	return kind == Read || kind == Write || kind == Execute || kind == Commit
 }
 
-// exchange sends a statement and notes what its answer tells.
-func (s *Session) exchange(l *lease, route note.Route, c Command) (Answer, bool, error) {
+// exchange sends a statement, waits for its answer and records the latency and the
+// position that the answer carries. The returned bool reports whether any byte may have
+// reached the endpoint.
+func (s *Session) exchange(co *checkout, route note.Route, c Command) (Answer, bool, error) {
 	timeout := time.Duration(route.Timeout) * time.Millisecond
 	at, sentAt := clock.Now(), time.Now()
-	answers, sent, err := l.conn.Exchange(sentAt.Add(timeout), c)
+	answers, sent, err := co.conn.Exchange(sentAt.Add(timeout), c)
 	took := time.Since(sentAt)
-	s.spent.endpoint += took
-	s.spent.attempts++
-	s.spent.at = l.endpoint.record.ID
+	s.timings.endpoint += took
+	s.timings.attempts++
+	s.timings.endpointID = co.endpoint.record.ID
 	s.srv.metrics.backend.WithLabelValues(string(route.Class)).Observe(took.Seconds())
 	if err != nil {
 		return Answer{}, sent, err
 	}
 	a := answers[0]
 	if a.Err == nil && takesSlot(c.Kind) {
-		l.endpoint.took(at, s.srv.excess(route, c.Kind, took))
+		co.endpoint.observeLatency(at, s.srv.latencyExcess(route, c.Kind, took))
 	}
-	l.endpoint.seen(a.Position)
-	if l.primary && s.srv.holds(l.choice) && (a.Err == nil || a.Err.Code != result.EndpointReadOnly) {
-		s.srv.fresh.observe(route.Service, l.term, at, a.Position)
+	co.endpoint.observePosition(a.Position)
+	if co.primary && s.srv.stillValid(co.choice) && (a.Err == nil || a.Err.Code != result.EndpointReadOnly) {
+		s.srv.primaryPositions.observe(route.Service, co.term, at, a.Position)
 	}
 	return a, true, nil
 }
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -21,11 +21,11 @@
 )
 
 const (
-	// sweepInterval is the time between two looks at idle transactions and
+	// sweepInterval is the time between two checks for idle transactions and
 	// connections.
 	sweepInterval = 500 * time.Millisecond
-	// retryPause is the wait before a statement that has not run is tried again,
-	// unless the agreed state changes earlier.
+	// retryPause is the wait before another attempt to route or send a statement that
+	// has not run. A change of the agreed state ends it early where one is awaited.
 	retryPause = 20 * time.Millisecond
 )
 
@@ -33,36 +33,38 @@
 type Limiter interface {
 	// Acquire takes tokens for one operation, waiting until ctx ends.
 	Acquire(ctx context.Context, workspace string) error
-	// Refund gives back the tokens of an operation that was offered to no endpoint.
+	// Refund returns the tokens of an operation that was not sent to any endpoint.
 	Refund(workspace string)
 }
 
-// Options configure a Server. All but Registerer are required.
+// Options configures a Server. All fields but Registerer are required.
 type Options struct {
 	View view.Source
-	// Host is the identity of the host.
+	// Host is the ID of this host.
 	Host string
-	// Domain is the failure domain of the host.
+	// Domain is the failure domain of this host.
 	Domain  string
 	Dialer  Dialer
 	Limiter Limiter
-	// Connections returns the cap on connections of this host to an endpoint.
+	// Connections returns the maximum number of connections from this host to an
+	// endpoint.
 	Connections func(service, endpoint string) int
-	// Observe takes what was found out about an endpoint. It must not block.
+	// Observe receives evidence about the health of endpoints. It must not block.
 	Observe    func(Evidence)
 	Log        *log.Logger
 	Registerer prometheus.Registerer
 }
 
-// Server serves sessions. It implements limits.Pool.
+// Server serves client sessions. It is safe for concurrent use and implements
+// limits.Pool.
 type Server struct {
-	opts    Options
-	metrics *metrics
-	gate    *gate.Gate
-	fresh   *freshness
+	opts             Options
+	metrics          *metrics
+	gate             *gate.Gate
+	primaryPositions *freshness
 
 	mu        sync.Mutex
-	usual     *pacing.Usual
+	baselines *pacing.Usual
 	endpoints map[string]*endpoint
 	sessions  map[*Session]struct{}
 
@@ -74,58 +76,62 @@
 	tasks sync.WaitGroup
 }
 
-// NewServer returns a Server that Run must drive.
+// NewServer returns a Server. Run must be called to apply changes of the agreed state and
+// to stop it.
 func NewServer(opts Options) *Server {
 	s := &Server{
-		opts: opts, metrics: newMetrics(opts.Registerer), fresh: newFreshness(), usual: pacing.NewUsual(),
+		opts: opts, metrics: newMetrics(opts.Registerer), primaryPositions: newFreshness(), baselines: pacing.NewUsual(),
 		endpoints: make(map[string]*endpoint), sessions: make(map[*Session]struct{}),
 	}
-	s.gate = gate.New(admit.PolicyFair, s.slots, s.ready)
+	s.gate = gate.New(admit.PolicyFair, s.slots, s.hasIdleConnection)
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
 }
 
-// slots is how many statements of this host run on an endpoint at once, each on a
-// connection. The others wait in the order of the gate.
+// slots returns how many statements of this host may run on an endpoint at once,
+// each on a connection of its own. Further statements wait in the admission queue.
 func (s *Server) slots(service, id string) int {
-	most := s.mostSlots(service, id)
+	most := s.maxSlots(service, id)
 	s.mu.Lock()
 	e := s.endpoints[id]
 	s.mu.Unlock()
 	if e == nil {
 		return most
 	}
-	return e.allowed(most)
+	return e.allowedStatements(most)
 }
 
-func (s *Server) mostSlots(service, id string) int {
+// maxSlots returns the configured limit on connections to an endpoint, and at least 1.
+func (s *Server) maxSlots(service, id string) int {
 	return max(s.opts.Connections(service, id), 1)
 }
 
-// ready reports whether a connection of the workspace to the endpoint is free.
-func (s *Server) ready(id, workspace string) bool {
+// hasIdleConnection reports whether a connection of the workspace to the endpoint is idle.
+func (s *Server) hasIdleConnection(id, workspace string) bool {
 	s.mu.Lock()
 	e := s.endpoints[id]
 	s.mu.Unlock()
 	return e != nil && e.pool.HasIdle(workspace)
 }
 
-// excess notes the time of a statement and returns by how much it is above the
-// usual of its route and kind.
-func (s *Server) excess(route note.Route, kind Kind, took time.Duration) time.Duration {
+// latencyExcess records the latency of a statement and returns by how much it exceeds
+// the usual latency of the route's database and the statement's kind.
+func (s *Server) latencyExcess(route note.Route, kind Kind, took time.Duration) time.Duration {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.usual.Excess(route.Database+" "+kind.String(), took)
+	return s.baselines.Excess(route.Database+" "+kind.String(), took)
 }
 
-// Run follows the agreed state until ctx ends, then closes all connections.
+// Run applies changes of the agreed state and expires idle transactions and
+// connections until ctx ends. It then disconnects all callers, closes all
+// connections and waits for background tasks.
 func (s *Server) Run(ctx context.Context) error {
 	ticker := time.NewTicker(sweepInterval)
 	defer ticker.Stop()
 	defer s.shutDown()
 	for {
 		changed := s.opts.View.Changed()
-		s.follow()
+		s.closeRemovedEndpoints()
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -136,9 +142,10 @@
 	}
 }
 
+// shutDown disconnects all callers, closes the endpoints and waits for background tasks.
 func (s *Server) shutDown() {
-	for _, session := range s.list() {
-		session.interrupt()
+	for _, session := range s.openSessions() {
+		session.disconnect()
 	}
 	s.stop()
 	s.mu.Lock()
@@ -150,7 +157,8 @@
 	s.tasks.Wait()
 }
 
-// spawn runs a task that ends with the server.
+// spawn runs a task in the background unless the server has stopped. The context of
+// the task ends with the server.
 func (s *Server) spawn(task func(ctx context.Context)) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -164,8 +172,9 @@
 	}()
 }
 
-// follow closes what was used of endpoints that are no longer agreed.
-func (s *Server) follow() {
+// closeRemovedEndpoints closes the connections to endpoints that the agreed state no
+// longer contains or that have been replaced by another process.
+func (s *Server) closeRemovedEndpoints() {
 	v := s.opts.View.Current()
 	if v.State == nil {
 		return
@@ -180,12 +189,13 @@
 	}
 }
 
-// sameProcess reports whether two records tell of one process.
+// sameProcess reports whether two records describe the same endpoint process.
 func sameProcess(a, b agreed.Endpoint) bool {
 	return a.ID == b.ID && a.Addr == b.Addr && a.Service == b.Service && a.Born == b.Born
 }
 
-// endpoint returns the endpoint of a record, which it begins to use.
+// endpoint returns the endpoint for a record and creates it on first use. It returns
+// nil after the server has stopped.
 func (s *Server) endpoint(record agreed.Endpoint) *endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -204,9 +214,11 @@
 	return e
 }
 
+// sweep closes idle connections and expires transactions that have been idle for the
+// limit in the catalog; a limit of 0 disables the expiry.
 func (s *Server) sweep() {
 	now := time.Now()
-	for _, e := range s.used() {
+	for _, e := range s.endpointsInUse() {
 		e.pool.Sweep(now)
 	}
 	v := s.opts.View.Current()
@@ -214,12 +226,12 @@
 		return
 	}
 	limit := time.Duration(v.State.Catalog.IdleTransaction) * time.Millisecond
-	for _, session := range s.list() {
-		session.expire(clock.Now(), limit)
+	for _, session := range s.openSessions() {
+		session.expireTransaction(clock.Now(), limit)
 	}
 }
 
-func (s *Server) used() []*endpoint {
+func (s *Server) endpointsInUse() []*endpoint {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*endpoint, 0, len(s.endpoints))
@@ -229,7 +241,7 @@
 	return all
 }
 
-func (s *Server) list() []*Session {
+func (s *Server) openSessions() []*Session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*Session, 0, len(s.sessions))
@@ -242,7 +254,7 @@
 // Usage implements limits.Pool.
 func (s *Server) Usage() []limits.Usage {
 	var all []limits.Usage
-	for _, e := range s.used() {
+	for _, e := range s.endpointsInUse() {
 		u := limits.Usage{
 			Service: e.record.Service, Endpoint: e.record.ID,
 			Connections: e.pool.Stats().Open, WantedConnections: e.pool.TakePeak(),
@@ -255,18 +267,18 @@
 
 // Resize implements limits.Pool.
 func (s *Server) Resize() {
-	for _, e := range s.used() {
+	for _, e := range s.endpointsInUse() {
 		e.pool.SetLimit(s.opts.Connections(e.record.Service, e.record.ID))
 	}
 	s.gate.Resize()
 }
 
-// Drain lets sessions end: each is closed once it has no transaction and no
-// statement in progress. It returns when all have ended or ctx has.
+// Drain closes each session as soon as it has no transaction and no statement in
+// progress. It returns when all sessions are closed, or with an error when ctx ends.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	for {
-		all := s.list()
+		all := s.openSessions()
 		if len(all) == 0 {
 			return nil
 		}
@@ -282,12 +294,12 @@
 }
 
 // Sessions returns the number of open sessions.
-func (s *Server) Sessions() int { return len(s.list()) }
+func (s *Server) Sessions() int { return len(s.openSessions()) }
 
-// AbortTransactions ends every transaction that waits for its caller, for the second half of
-// a shutdown.
+// AbortTransactions rolls back every transaction that is idle between statements. It
+// is used late in a shutdown, after Drain was given time.
 func (s *Server) AbortTransactions() {
-	for _, session := range s.list() {
-		session.expire(clock.Now(), 0)
+	for _, session := range s.openSessions() {
+		session.expireTransaction(clock.Now(), 0)
 	}
 }
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -10,57 +10,61 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Session is one caller's session. One task calls Do; the other methods may be
-// called by any.
+// Session is the session of one caller. Do must not be called concurrently with
+// itself; the other methods are safe for concurrent use.
+//
+// tx is set only while state is InTransaction. After the server has expired a transaction,
+// tx is nil in that state until the next statement reports the abort.
 type Session struct {
 	srv      *Server
 	id       uint64
 	database string
-	// key is the digest of the caller's key, empty on an open route.
+	// key is the digest of the caller's key; empty when the caller presented none.
 	key       string
 	workspace string
 	caller    Caller
 
 	// mu is held while a statement is served and while an idle transaction is
-	// ended, so that the two exclude each other.
+	// expired, so that an expiry never interrupts a statement.
 	mu       sync.Mutex
 	state    State
 	values   map[string]string
-	prepared map[string]shape
-	// own is the position of the session's last commit.
-	own Position
-	// ownTerm is the group's term in which it was acknowledged.
-	ownTerm uint64
-	tx      *transaction
-	// since is when the session last answered.
-	since time.Time
-	// spent is where the statement in progress has spent its time.
-	spent spent
-	// closed: the caller's connection was closed, and nothing may be sent on its
-	// behalf any more.
+	prepared map[string]preparedStatement
+	// lastCommit is the position of the session's last acknowledged write.
+	lastCommit Position
+	// lastCommitTerm is the term of the group in which it was acknowledged.
+	lastCommitTerm uint64
+	tx             *transaction
+	// lastReplyAt is the time of the last reply, or of the opening of the session.
+	lastReplyAt time.Time
+	// timings is the time breakdown of the statement in progress.
+	timings timings
+	// closed: the caller's connection was closed by the server. No further statement
+	// may be sent to an endpoint on its behalf.
 	closed bool
 }
 
-// Caller is the caller's end of a session.
+// Caller is the connection to the caller of a session.
 type Caller interface {
-	// IsIdle reports, without waiting, whether no request is on its way.
+	// IsIdle reports, without blocking, whether the connection is open and has no
+	// unread request.
 	IsIdle() bool
 	// Disconnect closes the connection. It may be called more than once.
 	Disconnect()
 }
 
-// openTimeout bounds the wait of a new session for the host's lease: callers
-// give up after 2 s.
+// openTimeout bounds the wait of a session for the host's configuration lease. It is
+// below the 2 s after which callers give up.
 const openTimeout = 1500 * time.Millisecond
 
-// Open opens a session on a database for the caller who holds the key with the
-// digest, empty for none.
+// Open opens a session on a database. key is the digest of the caller's key, or empty.
+// It waits up to openTimeout for a valid configuration lease before it refuses.
 func (s *Server) Open(database, key string, caller Caller) (*Session, *result.Error) {
 	session := &Session{
 		srv: s, id: s.serial.Add(1), database: database, key: key, caller: caller,
-		values: map[string]string{}, prepared: map[string]shape{}, since: clock.Now(),
+		values: map[string]string{}, prepared: map[string]preparedStatement{}, lastReplyAt: clock.Now(),
 	}
-	if err := session.await(openTimeout); err != nil {
+	if err := session.awaitAuthorization(openTimeout); err != nil {
 		s.opts.Log.Info("session_refused", "database", database, "code", int(err.Code), "detail", err.Detail)
 		return nil, err
 	}
@@ -71,8 +75,9 @@
 	return session, nil
 }
 
-// await waits until the caller may be let in or must be refused.
-func (s *Session) await(timeout time.Duration) *result.Error {
+// awaitAuthorization waits until the caller is authorized, or until a view with a valid
+// lease refuses it.
+func (s *Session) awaitAuthorization(timeout time.Duration) *result.Error {
 	deadline := time.NewTimer(timeout)
 	defer deadline.Stop()
 	for {
@@ -94,11 +99,11 @@
 	}
 }
 
-// authorize returns the session's route and notes its workspace. The view may
-// be without a lease: what it refuses is then not final.
+// authorize returns the route of the session and sets its workspace. Without a valid
+// lease the view may be stale, and a refusal is not final.
 func (s *Session) authorize(v view.View) (note.Route, *result.Error) {
 	if v.State == nil {
-		return note.Route{}, result.New(result.NoConfigLease, "the host has no state yet")
+		return note.Route{}, result.New(result.NoConfigLease, "the host has not received the agreed state yet")
 	}
 	route, ok := v.State.Catalog.Routes[s.database]
 	if !ok {
@@ -111,12 +116,12 @@
 	case route.Open:
 		s.workspace = ""
 	default:
-		return route, result.New(result.BadKey, "the key is not in force")
+		return route, result.New(result.BadKey, "the key is not valid")
 	}
 	return route, nil
 }
 
-// Close ends the session: a transaction in progress is rolled back.
+// Close ends the session and rolls back a transaction in progress.
 func (s *Session) Close() {
 	s.srv.mu.Lock()
 	_, open := s.srv.sessions[s]
@@ -133,7 +138,8 @@
 	}
 }
 
-// Do serves one statement and returns its answer.
+// Do serves one statement and returns the reply. It blocks until the statement has
+// been answered or refused.
 func (s *Session) Do(st Statement) Reply {
 	started := time.Now()
 	s.mu.Lock()
@@ -141,17 +147,17 @@
 	if s.closed {
 		return refuse(result.New(result.ShuttingDown, "the session has ended"))
 	}
-	s.spent = spent{}
+	s.timings = timings{}
 	reply := s.serve(st)
-	s.since = clock.Now()
+	s.lastReplyAt = clock.Now()
 	reply.State = s.state
-	s.report(st, reply, time.Since(started))
+	s.reportReply(st, reply, time.Since(started))
 	return reply
 }
 
-// report logs and counts an answer. Successes are logged when they came later than
-// the route's target.
-func (s *Session) report(st Statement, reply Reply, took time.Duration) {
+// reportReply logs and counts a reply. A success is logged only when it took at least the
+// route's target latency.
+func (s *Session) reportReply(st Statement, reply Reply, took time.Duration) {
 	var code result.Code
 	if reply.Err != nil {
 		code = reply.Err.Code
@@ -160,25 +166,27 @@
 	if v := s.srv.opts.View.Current(); v.State != nil {
 		route = v.State.Catalog.Routes[s.database]
 	}
-	s.srv.metrics.answered(st.Kind, code, s.workspace, route.Class, took)
+	s.srv.metrics.observeReply(st.Kind, code, s.workspace, route.Class, took)
 	target := time.Duration(route.Target) * time.Millisecond
 	switch {
 	case code != 0:
-		s.srv.opts.Log.Warn("statement_refused", s.fields(st, took, "code", int(code), "result", result.Lookup(code).Name,
+		s.srv.opts.Log.Warn("statement_refused", s.logFields(st, took, "code", int(code), "result", result.Lookup(code).Name,
 			"detail", reply.Err.Detail)...)
 	case target > 0 && took >= target:
-		s.srv.opts.Log.Info("statement_late", s.fields(st, took, "target_ms", route.Target)...)
+		s.srv.opts.Log.Info("statement_late", s.logFields(st, took, "target_ms", route.Target)...)
 	}
 }
 
-// fields are the pairs of a line about a statement.
-func (s *Session) fields(st Statement, took time.Duration, more ...any) []any {
+// logFields returns the key-value pairs of a log line about a statement.
+func (s *Session) logFields(st Statement, took time.Duration, more ...any) []any {
 	all := []any{"request", st.ID, "kind", st.Kind.String(), "database", s.database, "workspace", s.workspace}
 	all = append(all, more...)
 	all = append(all, "took_ms", took.Milliseconds())
-	return append(all, s.spent.fields()...)
+	return append(all, s.timings.logFields()...)
 }
 
+// serve dispatches a statement by its kind. A failed transaction accepts only Commit and
+// Rollback.
 func (s *Session) serve(st Statement) Reply {
 	if s.state == Failed && st.Kind != Commit && st.Kind != Rollback {
 		return refuse(result.New(result.MalformedMessage, "the transaction has failed; end it first"))
@@ -194,7 +202,7 @@
 		s.values[st.Name] = st.Text
 		return Reply{}
 	case Prepare:
-		s.prepared[st.Name] = shape{text: st.Text, writes: st.Writes}
+		s.prepared[st.Name] = preparedStatement{text: st.Text, writes: st.Writes}
 		return Reply{}
 	case Forget:
 		delete(s.prepared, st.Name)
@@ -208,8 +216,8 @@
 
 func refuse(err *result.Error) Reply { return Reply{Err: err} }
 
-// ShouldClose reports whether the session should end after the present answer, for a
-// shutdown.
+// ShouldClose reports whether the session should be closed after the current reply
+// because the server is draining and no transaction is in progress.
 func (s *Session) ShouldClose() bool {
 	if !s.srv.draining.Load() {
 		return false
@@ -219,43 +227,44 @@
 	return s.state == Idle
 }
 
-// restBeforeClose is how long a session must have rested before a shutdown
-// closes it: the request of a caller that has just connected, or been answered,
-// may be on its way.
-const restBeforeClose = 150 * time.Millisecond
+// minIdleBeforeClose is how long a session must have been idle before a shutdown
+// closes it: a caller that has just connected or received a reply may already have
+// sent its next request.
+const minIdleBeforeClose = 150 * time.Millisecond
 
-// closeIfIdle hangs up unless a request or a transaction is in progress. A
-// request that was read meanwhile is not run.
+// closeIfIdle disconnects the caller unless a request or a transaction is in progress.
+// A request that is read concurrently is refused and not sent to an endpoint.
 func (s *Session) closeIfIdle() {
 	if !s.mu.TryLock() {
 		return
 	}
 	defer s.mu.Unlock()
-	if s.state == Idle && clock.Since(s.since) >= restBeforeClose && s.caller.IsIdle() {
+	if s.state == Idle && clock.Since(s.lastReplyAt) >= minIdleBeforeClose && s.caller.IsIdle() {
 		s.closed = true
 		s.caller.Disconnect()
 	}
 }
 
-// interrupt hangs up at once.
-func (s *Session) interrupt() { s.caller.Disconnect() }
+// disconnect closes the caller's connection immediately.
+func (s *Session) disconnect() { s.caller.Disconnect() }
 
-// expire ends a transaction whose caller has been silent for the limit. The
-// caller learns it from the answer to its next statement.
-func (s *Session) expire(now time.Time, limit time.Duration) {
+// expireTransaction rolls back a transaction that has been idle for at least the limit.
+// The reply to the caller's next statement reports it.
+func (s *Session) expireTransaction(now time.Time, limit time.Duration) {
 	if !s.mu.TryLock() {
 		return
 	}
 	defer s.mu.Unlock()
-	if s.tx == nil || s.state != InTransaction || now.Sub(s.since) < limit {
+	if s.tx == nil || s.state != InTransaction || now.Sub(s.lastReplyAt) < limit {
 		return
 	}
-	s.srv.opts.Log.Info("transaction_expired", "database", s.database, "workspace", s.workspace, "idle_ms", now.Sub(s.since).Milliseconds())
+	s.srv.opts.Log.Info("transaction_expired", "database", s.database, "workspace", s.workspace, "idle_ms", now.Sub(s.lastReplyAt).Milliseconds())
 	s.endTransaction()
 }
 
-// statementNeed tells what a statement outside of a transaction, or the begin of
-// one, asks of an endpoint.
+// statementNeed returns the endpoint requirements of a statement outside of a
+// transaction, or of the begin of one. A read requires the primary when the route says
+// so or when no recent position of the primary is known for its staleness bound.
 func (s *Session) statementNeed(route note.Route, writes bool) (n need) {
 	n = need{service: route.Service, workspace: s.workspace, primary: true}
 	if writes || route.Policy == note.ReadPrimary || route.MaxStaleness <= 0 {
@@ -267,12 +276,12 @@
 	}
 	term := v.State.Groups[route.Service].Term
 	age := time.Duration(route.MaxStaleness) * time.Millisecond
-	after, ok := s.srv.fresh.bound(route.Service, term, clock.Now(), age)
+	after, ok := s.srv.primaryPositions.bound(route.Service, term, clock.Now(), age)
 	if !ok {
 		return n
 	}
 	if route.Policy == note.ReadOwnWrites {
-		own, ok := s.ownPosition(route.Service, term)
+		own, ok := s.lastCommitPosition(route.Service, term)
 		if !ok {
 			return n
 		}
@@ -282,31 +291,33 @@
 	return n
 }
 
-// ownPosition returns the position of the session's last commit. After a change
-// of the primary it may have been rolled back, or stand under another number: a
-// position that the new primary has shown since stands for it.
-func (s *Session) ownPosition(service string, term uint64) (Position, bool) {
-	if s.own == (Position{}) {
+// lastCommitPosition returns a position that covers the session's last commit. After a
+// change of the primary the commit may have been rolled back or have another number;
+// a position observed from the new primary then replaces it. It reports false while
+// there is no such position.
+func (s *Session) lastCommitPosition(service string, term uint64) (Position, bool) {
+	if s.lastCommit == (Position{}) {
 		return Position{}, true
 	}
-	if s.ownTerm == term {
-		return s.own, true
+	if s.lastCommitTerm == term {
+		return s.lastCommit, true
 	}
-	p, ok := s.srv.fresh.bound(service, term, clock.Now(), sampleMemory)
+	p, ok := s.srv.primaryPositions.bound(service, term, clock.Now(), sampleRetention)
 	if ok {
-		s.own, s.ownTerm = p, term
+		s.lastCommit, s.lastCommitTerm = p, term
 	}
 	return p, ok
 }
 
-// committed notes the position of a commit of the session.
-func (s *Session) committed(term uint64, p Position) {
+// recordCommit records the position of an acknowledged commit of the session.
+func (s *Session) recordCommit(term uint64, p Position) {
 	if p != (Position{}) {
-		s.own, s.ownTerm = p, term
+		s.lastCommit, s.lastCommitTerm = p, term
 	}
 }
 
-// State returns the state of the session.
+// State returns the transaction state of the session. It waits for a statement in
+// progress.
 func (s *Session) State() State {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -8,18 +8,18 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// single runs a statement that is an operation of its own, again as long as it
-// provably has not run, or only reads.
-func (op *operation) single() Reply {
+// runSingle runs a statement outside of a transaction. It retries while the statement
+// provably has not run or only reads, up to maxAttempts and the deadline.
+func (op *operation) runSingle() Reply {
 	ctx, cancel := context.WithDeadline(op.session.srv.ctx, op.deadline)
 	defer cancel()
 	for {
-		l, err := op.place(ctx)
+		co, err := op.acquire(ctx)
 		if err != nil {
 			op.refund()
 			return refuse(err)
 		}
-		reply, again := op.attempt(l)
+		reply, again := op.attempt(co)
 		if !again {
 			return reply
 		}
@@ -31,24 +31,24 @@
 	}
 }
 
-// attempt sends the statement once and reports whether another attempt may
-// follow.
-func (op *operation) attempt(l *lease) (Reply, bool) {
+// attempt sends the statement once, releases the connection and reports whether another
+// attempt may follow.
+func (op *operation) attempt(co *checkout) (Reply, bool) {
 	s := op.session
-	op.offered = true
-	a, sent, err := s.exchange(l, op.route, s.command(l, op.st, op.need.after))
+	op.dispatched = true
+	a, sent, err := s.exchange(co, op.route, s.command(co, op.st, op.need.after))
 	if err != nil {
-		l.release(false)
-		return op.lost(l, sent, err)
+		co.release(false)
+		return op.afterConnectionLost(co, sent, err)
 	}
-	l.release(a.State == Idle)
+	co.release(a.State == Idle)
 	if a.Err != nil {
-		return op.refused(l, a)
+		return op.afterRefusal(co, a)
 	}
 	if op.writes {
-		s.committed(l.term, a.Position)
+		s.recordCommit(co.term, a.Position)
 	} else {
-		s.srv.metrics.replica.WithLabelValues(role(l.primary)).Inc()
+		s.srv.metrics.reads.WithLabelValues(role(co.primary)).Inc()
 	}
 	return Reply{Rows: a.Rows, Signature: a.Signature}, false
 }
@@ -60,47 +60,50 @@
 	return "replica"
 }
 
-// lost tells what may follow a statement whose connection failed.
-func (op *operation) lost(l *lease, sent bool, err error) (Reply, bool) {
-	op.need.exclude = append(op.need.exclude, l.endpoint.record.ID)
+// afterConnectionLost returns the reply for a statement whose connection failed, and
+// whether it may be retried: a write only if no byte of it was sent, a read also after
+// it was sent unless the deadline has passed.
+func (op *operation) afterConnectionLost(co *checkout, sent bool, err error) (Reply, bool) {
+	op.need.exclude = append(op.need.exclude, co.endpoint.record.ID)
 	timedOut := !time.Now().Before(op.deadline) && isTimeout(err)
 	if !timedOut {
-		l.endpoint.suspect(op.session.workspace, err)
+		co.endpoint.suspect(op.session.workspace, err)
 	}
 	switch {
 	case !sent || !op.writes && !timedOut:
-		return refuse(op.refusal(result.New(result.EndpointLost, "endpoint %s: %v", l.endpoint.record.ID, err))), true
+		return refuse(op.withRetryAfter(result.New(result.EndpointLost, "endpoint %s: %v", co.endpoint.record.ID, err))), true
 	case !op.writes:
-		l.endpoint.suspect(op.session.workspace, err)
-		return refuse(result.New(result.StatementTimeout, "endpoint %s did not answer in time", l.endpoint.record.ID)), false
+		co.endpoint.suspect(op.session.workspace, err)
+		return refuse(result.New(result.StatementTimeout, "endpoint %s did not answer in time", co.endpoint.record.ID)), false
 	default:
-		l.endpoint.suspect(op.session.workspace, err)
-		return refuse(result.New(result.OutcomeUnknown, "endpoint %s: %v", l.endpoint.record.ID, err)), false
+		co.endpoint.suspect(op.session.workspace, err)
+		return refuse(result.New(result.OutcomeUnknown, "endpoint %s: %v", co.endpoint.record.ID, err)), false
 	}
 }
 
-// isTimeout reports whether an error is the end of a deadline.
+// isTimeout reports whether an error is an expired deadline.
 func isTimeout(err error) bool {
 	var t interface{ Timeout() bool }
 	return asError(err, &t) && t.Timeout()
 }
 
-// refused tells what may follow an endpoint's refusal.
-func (op *operation) refused(l *lease, a Answer) (Reply, bool) {
-	id := l.endpoint.record.ID
+// afterRefusal returns the reply for a statement that the endpoint refused, and whether it
+// may be retried. It adapts the requirements for the next attempt.
+func (op *operation) afterRefusal(co *checkout, a Answer) (Reply, bool) {
+	id := co.endpoint.record.ID
 	switch a.Err.Code {
 	case result.ReplicaBehind:
-		l.endpoint.behind(clock.Now())
+		co.endpoint.markBehind(clock.Now())
 		op.need.primary = true
 		return refuse(a.Err), true
 	case result.EndpointReadOnly:
-		op.session.srv.opts.Observe(Evidence{Service: op.route.Service, Endpoint: id, ReadOnly: l.primary})
+		op.session.srv.opts.Observe(Evidence{Service: op.route.Service, Endpoint: id, ReadOnly: co.primary})
 		return refuse(a.Err), true
 	case result.EndpointBusy:
 		op.need.exclude = append(op.need.exclude, id)
-		return refuse(op.refusal(a.Err)), true
+		return refuse(op.withRetryAfter(a.Err)), true
 	case result.UnknownStatement, result.EndpointMismatch:
-		return refuse(a.Err), true // the connection did not hold what it should; another will
+		return refuse(a.Err), true // the state of this connection was wrong: retry on another
 	case result.StatementFailed:
 		op.need.exclude = append(op.need.exclude, id)
 		return refuse(a.Err), !op.writes
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -10,97 +10,100 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// rollbackTimeout bounds the rollback of a transaction that the core ends.
+// rollbackTimeout bounds the rollback of a transaction that this package ends.
 const rollbackTimeout = 500 * time.Millisecond
 
-// transaction is one in progress. Its connection is pinned to the session.
+// transaction is a transaction in progress. Its connection is checked out by the
+// session until it ends.
 type transaction struct {
-	lease    *lease
+	checkout *checkout
 	route    note.Route
 	readOnly bool
-	// wrote: a statement that writes was sent.
+	// wrote: a statement that may change data was sent.
 	wrote bool
 }
 
-// begin starts a transaction at an endpoint.
+// begin starts a transaction at an endpoint and keeps the connection for it. The slot
+// is freed, so that an idle transaction occupies none.
 func (s *Session) begin(st Statement) Reply {
 	if s.state != Idle {
 		return refuse(result.New(result.MalformedMessage, "a transaction is in progress"))
 	}
 	readOnly := st.Kind == BeginReadOnly
-	op, err := s.admitted(st, !readOnly)
+	op, err := s.admit(st, !readOnly)
 	if err != nil {
 		return refuse(err)
 	}
-	l, err := op.beginAt()
+	co, err := op.beginTransaction()
 	if err != nil {
 		return refuse(err)
 	}
-	l.free()
-	s.tx = &transaction{lease: l, route: op.route, readOnly: readOnly}
+	co.freeSlot()
+	s.tx = &transaction{checkout: co, route: op.route, readOnly: readOnly}
 	s.state = InTransaction
 	return Reply{}
 }
 
-// beginAt opens the transaction at an endpoint and confirms it. A begin that
-// got no answer is given up with its connection, so that it may be repeated.
-func (op *operation) beginAt() (*lease, *result.Error) {
+// beginTransaction starts the transaction at an endpoint and waits for confirmation. It
+// retries a begin that was refused or not answered: the connection of a lost begin is
+// closed, which discards whatever the endpoint had started.
+func (op *operation) beginTransaction() (*checkout, *result.Error) {
 	ctx, cancel := context.WithDeadline(op.session.srv.ctx, op.deadline)
 	defer cancel()
 	for {
-		l, err := op.place(ctx)
+		co, err := op.acquire(ctx)
 		if err != nil {
 			op.refund()
 			return nil, err
 		}
-		op.offered = true
+		op.dispatched = true
 		st := Statement{Kind: op.st.Kind}
-		a, _, sendErr := op.session.exchange(l, op.route, op.session.command(l, st, op.need.after))
+		a, _, sendErr := op.session.exchange(co, op.route, op.session.command(co, st, op.need.after))
 		var reply Reply
 		switch {
 		case sendErr != nil:
-			l.release(false)
-			reply, _ = op.lost(l, false, sendErr)
+			co.release(false)
+			reply, _ = op.afterConnectionLost(co, false, sendErr)
 		case a.Err != nil:
-			l.release(a.State == Idle)
-			reply, _ = op.refused(l, a)
+			co.release(a.State == Idle)
+			reply, _ = op.afterRefusal(co, a)
 		case a.State != InTransaction:
-			l.release(false)
-			reply = refuse(result.New(result.EndpointLost, "endpoint %s began no transaction", l.endpoint.record.ID))
+			co.release(false)
+			reply = refuse(result.New(result.EndpointLost, "endpoint %s did not begin a transaction", co.endpoint.record.ID))
 		default:
-			return l, nil
+			return co, nil
 		}
 		op.attempts++
 		if op.attempts >= maxAttempts || pause(ctx, nil) != nil {
-			return nil, op.refusal(reply.Err)
+			return nil, op.withRetryAfter(reply.Err)
 		}
 	}
 }
 
-// runInTransaction runs a statement on the pinned connection.
+// runInTransaction runs a statement on the connection of the transaction.
 func (s *Session) runInTransaction(st Statement) Reply {
 	tx := s.tx
 	if tx == nil {
 		s.state = Failed
-		return refuse(result.New(result.TransactionAborted, "the transaction was ended for its caller's silence"))
+		return refuse(result.New(result.TransactionAborted, "the transaction was rolled back because it was idle"))
 	}
 	deadline := time.Now().Add(time.Duration(tx.route.Timeout) * time.Millisecond)
-	if err := s.mayContinue(); err != nil {
-		return s.abort(err)
+	if err := s.checkTransaction(); err != nil {
+		return s.abortTransaction(err)
 	}
-	tx.lease.enter()
-	if err := s.restore(tx.lease, st, deadline); err != nil {
-		return s.lostInTransaction(err)
+	tx.checkout.startStatement()
+	if err := s.restore(tx.checkout, st, deadline); err != nil {
+		return s.failTransaction(err)
 	}
 	if s.writes(st) {
 		tx.wrote = true
 	}
-	a, _, err := s.exchange(tx.lease, tx.route, s.command(tx.lease, st, Position{}))
-	tx.lease.free()
+	a, _, err := s.exchange(tx.checkout, tx.route, s.command(tx.checkout, st, Position{}))
+	tx.checkout.freeSlot()
 	switch {
 	case err != nil:
-		tx.lease.endpoint.suspect(s.workspace, err)
-		return s.lostInTransaction(result.New(result.EndpointLost, "endpoint %s: %v", tx.lease.endpoint.record.ID, err))
+		tx.checkout.endpoint.suspect(s.workspace, err)
+		return s.failTransaction(result.New(result.EndpointLost, "endpoint %s: %v", tx.checkout.endpoint.record.ID, err))
 	case a.Err != nil && a.State == InTransaction:
 		return refuse(a.Err)
 	case a.Err != nil:
@@ -108,27 +111,28 @@
 		s.state = Failed
 		return refuse(a.Err)
 	case a.State != InTransaction:
-		return s.lostInTransaction(result.New(result.EndpointLost, "endpoint %s left the transaction", tx.lease.endpoint.record.ID))
+		return s.failTransaction(result.New(result.EndpointLost, "endpoint %s left the transaction", tx.checkout.endpoint.record.ID))
 	}
 	return Reply{Rows: a.Rows, Signature: a.Signature}
 }
 
-// enter begins a statement of the transaction. It waits for no slot: it has a
-// connection, which comes free for others sooner.
-func (l *lease) enter() {
-	l.leave = func() {}
-	l.endpoint.begin()
+// startStatement begins a statement of the transaction. It does not wait for a slot: the
+// transaction holds a connection already, and finishing sooner frees it for others.
+func (co *checkout) startStatement() {
+	co.releaseSlot = func() {}
+	co.endpoint.beginStatement()
 }
 
-// mayContinue checks that the host may still act for the caller and under the
-// term in which the transaction began.
-func (s *Session) mayContinue() *result.Error {
+// checkTransaction checks that the lease is valid, that the caller's key still gives
+// access to the workspace, and that a transaction that may write is still under the
+// term and the primary with which it began.
+func (s *Session) checkTransaction() *result.Error {
 	v := s.srv.opts.View.Current()
 	switch {
 	case !v.Valid():
 		return result.New(result.NoConfigLease, "the configuration lease ended")
-	case !s.tx.readOnly && !s.srv.holds(s.tx.lease.choice):
-		return result.New(result.EndpointLost, "endpoint %s is not the primary any more", s.tx.lease.endpoint.record.ID)
+	case !s.tx.readOnly && !s.srv.stillValid(s.tx.checkout.choice):
+		return result.New(result.EndpointLost, "endpoint %s is not the primary any more", s.tx.checkout.endpoint.record.ID)
 	}
 	if key, ok := v.State.Catalog.Keys[s.key]; s.key != "" && (!ok || key.Workspace != s.workspace) && !s.tx.route.Open {
 		return result.New(result.KeyWithdrawn, "the key was withdrawn")
@@ -136,23 +140,24 @@
 	return nil
 }
 
-// abort rolls the transaction back and tells the caller that nothing is kept.
-func (s *Session) abort(cause *result.Error) Reply {
+// abortTransaction rolls the transaction back and reports to the caller that it was
+// aborted.
+func (s *Session) abortTransaction(cause *result.Error) Reply {
 	s.endTransaction()
 	s.state = Failed
 	return refuse(result.New(result.TransactionAborted, "%v", cause))
 }
 
-// lostInTransaction closes the connection, which rolls the transaction back: no
-// commit was sent.
-func (s *Session) lostInTransaction(cause *result.Error) Reply {
-	s.dropTransaction()
+// failTransaction closes the connection, which makes the endpoint roll the transaction
+// back, since no commit was sent.
+func (s *Session) failTransaction(cause *result.Error) Reply {
+	s.closeTransaction()
 	s.state = Failed
 	return refuse(result.New(result.TransactionAborted, "%v", cause))
 }
 
-// commit ends the transaction. Its outcome is in doubt when the endpoint does
-// not answer.
+// commit commits the transaction. The outcome is unknown when the connection fails
+// after the commit of a transaction that wrote was sent.
 func (s *Session) commit(st Statement) Reply {
 	if s.state == Idle {
 		return refuse(result.New(result.MalformedMessage, "no transaction is in progress"))
@@ -163,39 +168,40 @@
 		s.state = Idle
 		return refuse(result.New(result.TransactionAborted, "the transaction has failed and was rolled back"))
 	}
-	if err := s.mayContinue(); err != nil {
-		reply := s.abort(err)
+	if err := s.checkTransaction(); err != nil {
+		reply := s.abortTransaction(err)
 		s.state = Idle
 		return reply
 	}
-	tx.lease.enter()
-	a, sent, err := s.exchange(tx.lease, tx.route, s.command(tx.lease, st, Position{}))
+	tx.checkout.startStatement()
+	a, sent, err := s.exchange(tx.checkout, tx.route, s.command(tx.checkout, st, Position{}))
 	s.state = Idle
 	if err != nil {
-		tx.lease.endpoint.suspect(s.workspace, err)
-		s.dropTransaction()
-		return s.commitLost(tx, sent, err)
+		tx.checkout.endpoint.suspect(s.workspace, err)
+		s.closeTransaction()
+		return s.lostCommitReply(tx, sent, err)
 	}
 	s.tx = nil
-	tx.lease.release(a.State == Idle)
+	tx.checkout.release(a.State == Idle)
 	if a.Err != nil {
 		return refuse(a.Err)
 	}
 	if tx.wrote {
-		s.committed(tx.lease.term, a.Position)
+		s.recordCommit(tx.checkout.term, a.Position)
 	}
 	return Reply{Rows: a.Rows, Signature: a.Signature}
 }
 
-func (s *Session) commitLost(tx *transaction, sent bool, err error) Reply {
-	id := tx.lease.endpoint.record.ID
+// lostCommitReply returns the reply to a commit whose connection failed.
+func (s *Session) lostCommitReply(tx *transaction, sent bool, err error) Reply {
+	id := tx.checkout.endpoint.record.ID
 	if !sent || !tx.wrote {
-		return refuse(result.New(result.TransactionAborted, "endpoint %s was lost before it could keep anything: %v", id, err))
+		return refuse(result.New(result.TransactionAborted, "endpoint %s was lost before it could commit any change: %v", id, err))
 	}
 	return refuse(result.New(result.OutcomeUnknown, "endpoint %s did not answer the commit: %v", id, err))
 }
 
-// rollback ends the transaction for the caller.
+// rollback rolls the transaction back at the request of the caller.
 func (s *Session) rollback() Reply {
 	if s.state == Idle {
 		return refuse(result.New(result.MalformedMessage, "no transaction is in progress"))
@@ -205,29 +211,29 @@
 	return Reply{}
 }
 
-// endTransaction rolls back at the endpoint in the background and gives the
-// connection back. The state is left to the caller.
+// endTransaction rolls back at the endpoint in the background and then releases the
+// connection. It does not change the state of the session.
 func (s *Session) endTransaction() {
 	tx := s.tx
 	if tx == nil {
 		return
 	}
 	s.tx = nil
-	tx.lease.free()
-	l := tx.lease
+	tx.checkout.freeSlot()
+	co := tx.checkout
 	go func() {
-		// The endpoint may undo values that were set inside of the transaction.
-		l.conn.unknown = true
-		answers, _, err := l.conn.Exchange(time.Now().Add(rollbackTimeout), Command{Statement: Statement{Kind: Rollback}})
-		l.release(err == nil && answers[0].Err == nil && answers[0].State == Idle)
+		// The rollback may revert session values that were set in the transaction.
+		co.conn.stateUnknown = true
+		answers, _, err := co.conn.Exchange(time.Now().Add(rollbackTimeout), Command{Statement: Statement{Kind: Rollback}})
+		co.release(err == nil && answers[0].Err == nil && answers[0].State == Idle)
 	}()
 }
 
-// dropTransaction closes the connection of the transaction.
-func (s *Session) dropTransaction() {
+// closeTransaction closes the connection of the transaction without a rollback command.
+func (s *Session) closeTransaction() {
 	if tx := s.tx; tx != nil {
 		s.tx = nil
-		tx.lease.release(false)
+		tx.checkout.release(false)
 	}
 }
 
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -1,9 +1,9 @@
-// Package core serves the sessions of callers without knowing how they speak.
-// It knows sessions with their values and prepared statements, transactions,
-// statements, log positions and outcomes; it routes each statement to an
-// endpoint, admits it, restores the session's state there, and tells truthfully
-// what became of it. A dialect decodes what callers send into Statements and
-// carries Commands to endpoints.
+// Package core serves client sessions independently of the wire protocol. It
+// manages session values, prepared statements, transactions and log positions;
+// it routes and admits each statement, restores the session state on the
+// connection to the endpoint, and reports the outcome of the statement. A
+// protocol front end decodes requests into Statements, and a Dialer provides the
+// Links that carry Commands to endpoints.
 package core
 
 import (
@@ -16,15 +16,15 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Position is a place in the log of a service's endpoints.
+// Position is a commit position in the replicated log of a service.
 type Position struct {
-	// Term counts the primaries that the endpoints have had.
+	// Term is the number of the primary under which the position was assigned.
 	Term uint64
-	// Number counts the commits.
+	// Number is the sequence number of the commit.
 	Number uint64
 }
 
-// Compare orders positions by term, then number.
+// Compare orders positions by term, then number. It returns -1, 0 or 1.
 func (p Position) Compare(o Position) int {
 	return cmp.Or(cmp.Compare(p.Term, o.Term), cmp.Compare(p.Number, o.Number))
 }
@@ -50,12 +50,12 @@
 	Rollback
 	// SetValue sets a value of the session.
 	SetValue
-	// Prepare names a shape of a statement, Execute runs it, Forget drops the name.
+	// Prepare creates a prepared statement, Execute runs it, Forget deallocates it.
 	Prepare
 	Execute
 	Forget
-	// Discard drops the values and names that a connection holds. Only the core
-	// issues it.
+	// Discard resets the session values and the prepared statements of a
+	// connection. Only this package issues it.
 	Discard
 )
 
@@ -71,16 +71,17 @@
 	return names[k]
 }
 
-// Statement is a request of a caller.
+// Statement is a request from a caller.
 type Statement struct {
-	// ID is the caller's name of the request.
+	// ID is the request ID chosen by the caller. It is empty in statements that this
+	// package issues itself.
 	ID   string
 	Kind Kind
-	// Name is that of a value or of a prepared statement.
+	// Name is the name of a session value or of a prepared statement.
 	Name string
-	// Text is the value, the shape, or the arguments, unchanged.
+	// Text is the session value, the statement text or the arguments, unmodified.
 	Text string
-	// Writes tells of Prepare that the statement writes.
+	// Writes reports, for Prepare, that the prepared statement may change data.
 	Writes bool
 }
 
@@ -91,51 +92,52 @@
 const (
 	Idle State = iota
 	InTransaction
-	// Failed: the transaction can only be ended, which rolls it back.
+	// Failed: only Commit and Rollback are accepted, and both roll back.
 	Failed
 )
 
-// Reply answers a Statement.
+// Reply is the answer to a Statement.
 type Reply struct {
-	// Rows and Signature are those of the endpoint, unchanged. Signature is empty
-	// when the core has answered.
+	// Rows and Signature are passed on from the endpoint unmodified. Signature is
+	// empty when the statement was answered without an endpoint.
 	Rows      []string
 	Signature string
-	// Err is set in place of a success.
+	// Err is nil on success.
 	Err   *result.Error
 	State State
 }
 
-// Command is a statement on its way to an endpoint.
+// Command is a statement as it is sent to an endpoint.
 type Command struct {
-	// Statement is issued by the core itself when its ID is empty.
+	// Statement has an empty ID when this package issued it.
 	Statement
-	// After is the position that the endpoint must have; zero asks for none.
+	// After is the position that the endpoint must have applied; zero requires none.
 	After Position
 }
 
-// Answer is an endpoint's complete answer to a Command.
+// Answer is the complete response of an endpoint to a Command.
 type Answer struct {
 	Rows      []string
 	Signature string
 	Err       *result.Error
 	State     State
-	// Position is the end of the endpoint's log; zero when not told.
+	// Position is the end of the endpoint's log; zero when it was not reported.
 	Position Position
 }
 
-// Link is a connection to an endpoint. One task uses it at a time.
+// Link is a connection to an endpoint. It is not safe for concurrent use.
 type Link interface {
 	connpool.Conn
-	// Exchange sends the commands at once and returns their answers in order. An
-	// error leaves the connection in doubt; sent tells whether any byte may have
-	// reached the endpoint.
+	// Exchange sends the commands in one batch and returns their answers in order.
+	// After an error the state of the connection is unknown; sent reports whether
+	// any byte may have reached the endpoint.
 	Exchange(deadline time.Time, commands ...Command) (answers []Answer, sent bool, err error)
 }
 
 // Dialer opens connections to endpoints on behalf of a workspace. It fails with
-// result code EndpointMismatch when another endpoint answers, and with
-// TooManyConnections or EndpointBusy when the endpoint is well but takes none.
+// result code EndpointMismatch when another endpoint answers at the address, and
+// with TooManyConnections or EndpointBusy when the endpoint is healthy but
+// accepts no more connections.
 type Dialer interface {
 	Dial(ctx context.Context, endpoint agreed.Endpoint, workspace string) (Link, error)
 }
