--- a/internal/session/model_test.go
+++ b/internal/session/model_test.go
@@ -10,9 +10,10 @@
 	"pgregory.net/rapid"
 )
 
-// The model runs a Service on each of some hosts that are lost, restarted and
-// frozen, under configuration leases, with messages that are lost and late. It
-// checks each answer against all writes acknowledged before the read began.
+// The model runs a Service on each of several hosts that crash, restart and
+// freeze, under configuration leases, with lost and delayed messages. It checks
+// that each resolved position covers all writes of the workspace that were
+// acknowledged before the read started.
 
 const (
 	modelTick  = time.Millisecond
@@ -20,7 +21,7 @@
 	grantLease = 61 * time.Millisecond
 )
 
-// process is one run of a host.
+// process is one process of a host.
 type process struct {
 	host        string
 	incarnation uint64
@@ -53,28 +54,28 @@
 }
 
 type model struct {
-	rnd      *rand.Rand
-	plant    func(*Service)
-	now      time.Time
-	revision uint64
-	departed uint64
-	members  map[string]uint64 // registered hosts with their incarnation
-	all      []*process
-	messages []message
-	written  uint64
-	acked    map[string]uint64
-	reads    map[uint64]modelRead
-	nextRead uint64
-	resolved int
-	calm     bool
-	failure  string
+	rnd         *rand.Rand
+	injectFault func(*Service)
+	now         time.Time
+	revision    uint64
+	departed    uint64
+	members     map[string]uint64 // registered hosts with their incarnation
+	all         []*process
+	messages    []message
+	written     uint64
+	acked       map[string]uint64
+	reads       map[uint64]modelRead
+	nextRead    uint64
+	resolved    int
+	calm        bool
+	failure     string
 }
 
 var modelHosts = []string{"h1", "h2", "h3"}
 
-func newModel(seed uint64, plant func(*Service)) *model {
+func newModel(seed uint64, injectFault func(*Service)) *model {
 	m := &model{
-		rnd: rand.New(rand.NewPCG(seed, 3)), plant: plant, now: time.Unix(50, 0),
+		rnd: rand.New(rand.NewPCG(seed, 3)), injectFault: injectFault, now: time.Unix(50, 0),
 		members: map[string]uint64{}, acked: map[string]uint64{}, reads: map[uint64]modelRead{},
 	}
 	for _, host := range modelHosts {
@@ -83,7 +84,7 @@
 	return m
 }
 
-// start registers a new process of the host, which replaces its former one.
+// start registers a new process of the host, which replaces the former one.
 func (m *model) start(host string) {
 	m.revision++
 	p := &process{host: host, incarnation: uint64(len(m.all) + 1), registered: m.revision, alive: true, service: NewService(DefaultConfig())}
@@ -107,11 +108,11 @@
 	for range ticks {
 		m.now = m.now.Add(modelTick)
 		if !m.calm && m.rnd.IntN(15) == 0 {
-			m.disturb()
+			m.injectHostEvent()
 		}
 		m.renew()
 		m.deliver()
-		m.load()
+		m.issueOperation()
 		for _, p := range m.all {
 			if p.runs() {
 				m.step(p, Tick{})
@@ -124,7 +125,7 @@
 	return ""
 }
 
-func (m *model) disturb() {
+func (m *model) injectHostEvent() {
 	p := m.all[m.rnd.IntN(len(m.all))]
 	switch m.rnd.IntN(6) {
 	case 0:
@@ -136,12 +137,12 @@
 	case 4:
 		m.start(modelHosts[m.rnd.IntN(len(modelHosts))])
 	case 5:
-		m.expel(p)
+		m.removeHost(p)
 	}
 }
 
-// expel removes a host whose lease has run out.
-func (m *model) expel(p *process) {
+// removeHost removes a host from the members once its lease has expired.
+func (m *model) removeHost(p *process) {
 	if m.members[p.host] != p.incarnation || m.now.Before(p.grantEnd) {
 		return
 	}
@@ -163,7 +164,7 @@
 	}
 }
 
-// settled is the least revision that a holder of a lease has applied.
+// settled returns the least revision that any holder of a lease has applied.
 func (m *model) settled() uint64 {
 	least := m.revision
 	for _, p := range m.all {
@@ -184,8 +185,8 @@
 	return v
 }
 
-// load writes and reads at hosts that may serve.
-func (m *model) load() {
+// issueOperation starts a write, a read or a replay report on a host that may serve.
+func (m *model) issueOperation() {
 	p := m.all[m.rnd.IntN(len(m.all))]
 	if !p.serves(m.now) {
 		return
@@ -195,7 +196,7 @@
 	case 0:
 		m.written++
 		lsn := m.written
-		m.later(5, func() { m.acknowledge(p, workspace, lsn) })
+		m.sendDelayed(5, func() { m.acknowledge(p, workspace, lsn) })
 	case 1:
 		m.nextRead++
 		m.reads[m.nextRead] = modelRead{process: p, required: m.acked[workspace]}
@@ -213,8 +214,9 @@
 	m.acked[workspace] = max(m.acked[workspace], lsn)
 }
 
-// later delivers a message within the given number of ticks, or much later.
-func (m *model) later(ticks int, deliver func()) {
+// sendDelayed delivers a message within the given number of ticks, or in 1 of 30 cases
+// 20 times later.
+func (m *model) sendDelayed(ticks int, deliver func()) {
 	wait := 1 + m.rnd.IntN(ticks)
 	if m.rnd.IntN(30) == 0 {
 		wait *= 20
@@ -238,8 +240,8 @@
 
 func (m *model) step(p *process, ev Event) {
 	effects := p.service.Step(m.now, ev)
-	if m.plant != nil {
-		m.plant(p.service)
+	if m.injectFault != nil {
+		m.injectFault(p.service)
 		effects = p.service.effects
 	}
 	for _, effect := range effects {
@@ -251,12 +253,12 @@
 	switch ef := effect.(type) {
 	case RequestTables:
 		for _, host := range ef.Hosts {
-			m.later(3, func() { m.answer(p, ef.Round, host) })
+			m.sendDelayed(3, func() { m.answer(p, ef.Round, host) })
 		}
 	case RequestPrimaryPosition:
-		m.later(3, func() {
+		m.sendDelayed(3, func() {
 			position := Position{Term: 1, LSN: m.written}
-			m.later(3, func() {
+			m.sendDelayed(3, func() {
 				if p.runs() {
 					m.step(p, PrimaryPosition{Round: ef.Round, OK: m.now.Before(p.leaseEnd), Position: position})
 				}
@@ -269,14 +271,14 @@
 	}
 }
 
-// answer is handled by the running process of the host, whichever it is.
+// answer sends the table of every running process of the host, also of replaced ones.
 func (m *model) answer(to *process, round uint64, host string) {
 	for _, q := range m.all {
 		if q.host != host || !q.runs() || m.rnd.IntN(40) == 0 {
 			continue
 		}
 		reply := Reply{Round: round, Host: host, Incarnation: q.incarnation, Table: q.service.Snapshot()}
-		m.later(3, func() {
+		m.sendDelayed(3, func() {
 			if to.runs() {
 				m.step(to, reply)
 			}
@@ -288,14 +290,16 @@
 	read := m.reads[r.ID]
 	delete(m.reads, r.ID)
 	if !m.now.Before(read.process.leaseEnd) {
-		return // the entry refuses the read
+		return // the entry host refuses the read without a valid lease
 	}
 	m.resolved++
 	if r.Position.LSN < read.required && m.failure == "" {
-		m.failure = fmt.Sprintf("read at %s must see %d, was told %d", read.process.host, read.required, r.Position.LSN)
+		m.failure = fmt.Sprintf("read at %s must include %d, resolved to %d", read.process.host, read.required, r.Position.LSN)
 	}
 }
 
+// TestReadsSeeAcknowledgedWrites guards against a resolved position that omits a write
+// acknowledged before the read, under lost hosts and lost, delayed messages.
 func TestReadsSeeAcknowledgedWrites(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := newModel(rapid.Uint64().Draw(t, "seed"), nil)
@@ -308,9 +312,11 @@
 	})
 }
 
-func TestModelNoticesFaults(t *testing.T) {
-	plants := map[string]func(*Service){
-		"no floor after a lost process": func(s *Service) { s.change = 0 },
+// TestModelDetectsInjectedFaults checks that the model is strict enough: each fault breaks a
+// rule of the Service and must lead to a stale read in at least one schedule.
+func TestModelDetectsInjectedFaults(t *testing.T) {
+	faults := map[string]func(*Service){
+		"no floor after a lost process": func(s *Service) { s.floorRevision = 0 },
 		"reads join a round that runs": func(s *Service) {
 			if s.round != nil {
 				s.round.reads = append(s.round.reads, s.pending...)
@@ -319,8 +325,8 @@
 		},
 		"a silent host counts as empty": func(s *Service) {
 			for _, p := range s.peers {
-				if p.silent && s.round != nil && len(s.round.missing) > 0 {
-					s.round.missing = map[string]bool{}
+				if p.unresponsive && s.round != nil && len(s.round.awaited) > 0 {
+					s.round.awaited = map[string]bool{}
 					s.round.gathering = true
 					s.finishGather()
 				}
@@ -328,17 +334,17 @@
 		},
 	}
 	const schedules = 50
-	for name, plant := range plants {
+	for name, injectFault := range faults {
 		t.Run(name, func(t *testing.T) {
-			noticed := 0
+			detected := 0
 			for seed := range uint64(schedules) {
-				if newModel(seed, plant).run(3000) != "" {
-					noticed++
+				if newModel(seed, injectFault).run(3000) != "" {
+					detected++
 				}
 			}
-			t.Logf("noticed in %d of %d schedules", noticed, schedules)
-			if noticed == 0 {
-				t.Fatalf("the model did not notice the fault in %d schedules", schedules)
+			t.Logf("detected in %d of %d schedules", detected, schedules)
+			if detected == 0 {
+				t.Fatalf("the model did not detect the fault in %d schedules", schedules)
 			}
 		})
 	}
--- a/internal/session/service.go
+++ b/internal/session/service.go
@@ -8,59 +8,66 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// peer is another entry host as this one knows it.
+// peer is the state of another entry host.
 type peer struct {
 	incarnation uint64
-	// silent reports that the host missed a round and has not answered since.
-	silent bool
+	// unresponsive reports that the host did not answer a round in time and has not
+	// answered since.
+	unresponsive bool
 }
 
-// round is one attempt to find positions. It serves the reads that arrived
-// before it began, and only those: an answer may be older than a later read.
+// round is one attempt to determine positions. It serves only the reads that arrived
+// before it started, because an answer may predate the writes that a later read must
+// include.
 type round struct {
 	id      uint64
 	started time.Time
 	reads   []Read
-	// missing lists the hosts whose tables are still awaited.
-	missing map[string]bool
-	// gathering reports that the answers of the hosts may resolve the round.
+	// awaited holds the hosts whose tables have not arrived yet.
+	awaited map[string]bool
+	// gathering reports that the tables of the hosts may still resolve the round.
 	gathering bool
 	tables    Table
-	// askedPrimary is when the primary was asked; zero when it was not.
-	askedPrimary time.Time
-	// floorFor is the number of the change that the primary's answer covers.
-	floorFor uint64
+	// primaryRequestedAt is when the primary's position was requested; zero when
+	// it was not.
+	primaryRequestedAt time.Time
+	// floorChange is the value of floorChanges that the primary's answer covers;
+	// zero when it covers none.
+	floorChange uint64
 }
 
-// Service finds positions for the reads of one service on one host. It is not
-// safe for concurrent use.
+// Service determines the positions for the reads of one database service on one
+// host. It is not safe for concurrent use. At most one round is in progress. A round
+// that starts while floorRevision is nonzero is resolved only by the primary's position.
 type Service struct {
-	cfg   Config
-	table Table
-	known bool
-	view  View
-	peers map[string]*peer
-	// floor stands for the writes acknowledged by processes that are gone.
+	cfg     Config
+	table   Table
+	hasView bool
+	view    View
+	peers   map[string]*peer
+	// floor covers the writes acknowledged by departed processes, whose tables
+	// are lost.
 	floor Position
-	// change is the revision that has to be settled before a new floor can be
-	// taken; zero when the floor is in force. The number of changes tells two
-	// of them apart.
-	change  uint64
-	changes uint64
-	pending []Read
-	round   *round
-	rounds  uint64
-	begun   time.Time // start of the last round
-	effects []Effect
+	// floorRevision is the revision that must be settled before a new floor can
+	// be set; zero when the floor is valid. floorChanges counts the times that a
+	// new floor became necessary, so that an answer for an earlier one is ignored.
+	floorRevision uint64
+	floorChanges  uint64
+	pending       []Read
+	round         *round
+	rounds        uint64
+	lastRoundAt   time.Time // start of the last round
+	effects       []Effect
 }
 
-// NewService returns a Service that waits for its first View. The writes of
-// this host's former process are unknown to it, so it begins without a floor.
+// NewService returns a Service that resolves no read before its first View. It
+// starts without a floor, because it does not know the writes acknowledged by a
+// former process of this host.
 func NewService(cfg Config) *Service {
 	return &Service{cfg: cfg, peers: make(map[string]*peer)}
 }
 
-// Step applies one event and returns the effects in order.
+// Step applies one event and returns the effects in order. The slice is not reused.
 func (s *Service) Step(now time.Time, event Event) []Effect {
 	s.effects = nil
 	switch ev := event.(type) {
@@ -69,23 +76,23 @@
 	case Read:
 		s.pending = append(s.pending, ev)
 	case Cancel:
-		s.cancel(ev.ID)
+		s.cancelRead(ev.ID)
 	case Acked:
-		s.table.acked(ev.Workspace, ev.Position)
+		s.table.recordAcked(ev.Workspace, ev.Position)
 	case Replayed:
 		s.table.prune(ev.Position)
 	case Reply:
-		s.receive(ev)
+		s.handleReply(ev)
 	case PrimaryPosition:
-		s.receivePrimary(ev)
+		s.handlePrimaryPosition(ev)
 	case Tick:
 	}
 	s.checkTimeouts(now)
-	s.begin(now)
+	s.startRound(now)
 	return s.effects
 }
 
-// Snapshot returns a copy of this host's table for a peer that asks.
+// Snapshot returns a copy of this host's table to answer a peer's RequestTables.
 func (s *Service) Snapshot() Table {
 	return Table{Base: s.table.Base, Acked: maps.Clone(s.table.Acked)}
 }
@@ -97,21 +104,21 @@
 	case r != nil && r.gathering:
 		return r.started.Add(s.cfg.GatherTimeout), true
 	case r != nil:
-		return r.askedPrimary.Add(s.cfg.PrimaryTimeout), true
-	case len(s.pending) > 0 && s.known:
-		return s.begun.Add(s.cfg.Interval), true
+		return r.primaryRequestedAt.Add(s.cfg.PrimaryTimeout), true
+	case len(s.pending) > 0 && s.hasView:
+		return s.lastRoundAt.Add(s.cfg.Interval), true
 	}
 	return time.Time{}, false
 }
 
-// setView takes in the hosts. A process that departed and a new term each call
-// for a new floor.
+// setView applies a new view. A departed process or a new term makes a new floor
+// necessary. A round that awaits a lost peer falls back to the primary.
 func (s *Service) setView(now time.Time, v View) {
-	if !s.known || v.Term != s.view.Term || v.Departed != s.view.Departed {
-		s.change = max(v.Departed, 1)
-		s.changes++
+	if !s.hasView || v.Term != s.view.Term || v.Departed != s.view.Departed {
+		s.floorRevision = max(v.Departed, 1)
+		s.floorChanges++
 	}
-	s.known, s.view = true, v
+	s.hasView, s.view = true, v
 	current := make(map[string]*peer, len(v.Peers))
 	for _, p := range v.Peers {
 		old := s.peers[p.Host]
@@ -123,123 +130,131 @@
 	}
 	for host, old := range s.peers {
 		if next := current[host]; next == nil || next != old {
-			s.giveUpOn(now, host)
+			s.handlePeerLost(now, host)
 		}
 	}
 	s.peers = current
 }
 
-// giveUpOn turns to the primary when a lost host's answer is missing.
-func (s *Service) giveUpOn(now time.Time, host string) {
-	if r := s.round; r != nil && r.gathering && r.missing[host] {
+// handlePeerLost requests the primary's position if the round awaits a lost host.
+func (s *Service) handlePeerLost(now time.Time, host string) {
+	if r := s.round; r != nil && r.gathering && r.awaited[host] {
 		r.gathering = false
-		s.askPrimary(now)
+		s.requestPrimary(now)
 	}
 }
 
-// begin starts the next round for the reads that wait.
-func (s *Service) begin(now time.Time) {
-	if s.round != nil || len(s.pending) == 0 || !s.known {
+// startRound starts a round for the pending reads unless one is in progress or the
+// last one started less than Config.Interval ago.
+func (s *Service) startRound(now time.Time) {
+	if s.round != nil || len(s.pending) == 0 || !s.hasView {
 		return
 	}
-	if !s.begun.IsZero() && now.Sub(s.begun) < s.cfg.Interval {
+	if !s.lastRoundAt.IsZero() && now.Sub(s.lastRoundAt) < s.cfg.Interval {
 		return
 	}
 	s.rounds++
-	s.begun = now
+	s.lastRoundAt = now
 	s.round = &round{id: s.rounds, started: now, reads: s.pending}
 	s.pending = nil
-	if s.change != 0 {
-		s.askPrimary(now)
+	if s.floorRevision != 0 {
+		s.requestPrimary(now)
 		return
 	}
-	s.gather(now)
+	s.gatherTables(now)
 }
 
-// gather asks all other hosts, and the primary as well when one of them is
-// unlikely to answer.
-func (s *Service) gather(now time.Time) {
+// gatherTables requests the tables of all other hosts. If one of them is
+// unresponsive, it requests the primary's position at the same time.
+func (s *Service) gatherTables(now time.Time) {
 	r := s.round
 	r.gathering = true
-	r.missing = make(map[string]bool, len(s.peers))
-	anySilent := false
+	r.awaited = make(map[string]bool, len(s.peers))
+	anyUnresponsive := false
 	for host, p := range s.peers {
-		r.missing[host] = true
-		anySilent = anySilent || p.silent
+		r.awaited[host] = true
+		anyUnresponsive = anyUnresponsive || p.unresponsive
 	}
-	if len(r.missing) == 0 {
+	if len(r.awaited) == 0 {
 		s.finishGather()
 		return
 	}
-	hosts := slices.Sorted(maps.Keys(r.missing))
+	hosts := slices.Sorted(maps.Keys(r.awaited))
 	s.effects = append(s.effects, RequestTables{Round: r.id, Hosts: hosts})
-	if anySilent {
-		s.askPrimary(now)
+	if anyUnresponsive {
+		s.requestPrimary(now)
 	}
 }
 
-// askPrimary asks for the primary's position once per round. The answer covers
-// a lost process when no holder of a lease may still act beside its loss.
-func (s *Service) askPrimary(now time.Time) {
+// requestPrimary requests the primary's position, at most once at a time per round.
+// The answer can serve as the new floor only if the departure is settled: until then
+// a departed process may hold a lease and acknowledge further writes.
+func (s *Service) requestPrimary(now time.Time) {
 	r := s.round
-	if !r.askedPrimary.IsZero() {
+	if !r.primaryRequestedAt.IsZero() {
 		return
 	}
-	r.askedPrimary = now
-	if s.view.Settled >= s.change {
-		r.floorFor = s.changes
+	r.primaryRequestedAt = now
+	if s.view.Settled >= s.floorRevision {
+		r.floorChange = s.floorChanges
 	}
 	s.effects = append(s.effects, RequestPrimaryPosition{Round: r.id})
 }
 
-func (s *Service) receive(reply Reply) {
+// handleReply merges the table of a peer. It ignores replies of other processes and
+// of earlier rounds.
+func (s *Service) handleReply(reply Reply) {
 	p := s.peers[reply.Host]
 	if p == nil || p.incarnation != reply.Incarnation {
 		return
 	}
-	p.silent = false
+	p.unresponsive = false
 	r := s.round
-	if r == nil || r.id != reply.Round || !r.missing[reply.Host] {
+	if r == nil || r.id != reply.Round || !r.awaited[reply.Host] {
 		return
 	}
 	r.tables.merge(reply.Table)
-	delete(r.missing, reply.Host)
-	if len(r.missing) == 0 && r.gathering {
+	delete(r.awaited, reply.Host)
+	if len(r.awaited) == 0 && r.gathering {
 		s.finishGather()
 	}
 }
 
-// finishGather resolves the round from the tables of all hosts.
+// finishGather resolves the round with the merged tables of all hosts and the floor.
 func (s *Service) finishGather() {
 	r := s.round
 	s.round = nil
 	for _, read := range r.reads {
-		p := later(s.floor, s.table.at(read.Workspace))
-		s.effects = append(s.effects, Resolve{ID: read.ID, Position: later(p, r.tables.at(read.Workspace))})
+		p := later(s.floor, s.table.positionFor(read.Workspace))
+		s.effects = append(s.effects, Resolve{ID: read.ID, Position: later(p, r.tables.positionFor(read.Workspace))})
 	}
 }
 
-func (s *Service) receivePrimary(answer PrimaryPosition) {
+// handlePrimaryPosition resolves the round with the primary's position, which covers
+// every acknowledged write. A failed request fails the round unless the tables may
+// still resolve it.
+func (s *Service) handlePrimaryPosition(answer PrimaryPosition) {
 	r := s.round
 	if r == nil || r.id != answer.Round {
 		return
 	}
 	if !answer.OK {
-		r.askedPrimary = time.Time{}
+		r.primaryRequestedAt = time.Time{}
 		if !r.gathering {
 			s.failRound()
 		}
 		return
 	}
 	s.round = nil
-	if r.floorFor == s.changes {
-		s.floor, s.change = answer.Position, 0
+	if r.floorChange == s.floorChanges {
+		s.floor, s.floorRevision = answer.Position, 0
 	}
 	for _, read := range r.reads {
 		s.effects = append(s.effects, Resolve{ID: read.ID, Position: answer.Position})
 	}
 }
 
+// failRound ends the round without positions.
 func (s *Service) failRound() {
 	for _, read := range s.round.reads {
 		s.effects = append(s.effects, Fail{ID: read.ID, Code: result.NoPrimary})
@@ -247,6 +262,8 @@
 	s.round = nil
 }
 
+// checkTimeouts falls back from the peers to the primary after GatherTimeout, and fails
+// the round after PrimaryTimeout.
 func (s *Service) checkTimeouts(now time.Time) {
 	r := s.round
 	if r == nil {
@@ -254,19 +271,20 @@
 	}
 	if r.gathering && now.Sub(r.started) >= s.cfg.GatherTimeout {
 		r.gathering = false
-		for host := range r.missing {
+		for host := range r.awaited {
 			if p := s.peers[host]; p != nil {
-				p.silent = true
+				p.unresponsive = true
 			}
 		}
-		s.askPrimary(now)
+		s.requestPrimary(now)
 	}
-	if !r.gathering && now.Sub(r.askedPrimary) >= s.cfg.PrimaryTimeout {
+	if !r.gathering && now.Sub(r.primaryRequestedAt) >= s.cfg.PrimaryTimeout {
 		s.failRound()
 	}
 }
 
-func (s *Service) cancel(id uint64) {
+// cancelRead removes a read, which then gets no answer.
+func (s *Service) cancelRead(id uint64) {
 	match := func(r Read) bool { return r.ID == id }
 	s.pending = slices.DeleteFunc(s.pending, match)
 	if s.round != nil {
--- a/internal/session/service_test.go
+++ b/internal/session/service_test.go
@@ -10,7 +10,7 @@
 
 var start = time.Unix(10, 0)
 
-// settledService knows two peers and has a floor at the given position.
+// settledService returns a Service with two peers and a floor at the given position.
 func settledService(floor uint64) *Service {
 	s := NewService(DefaultConfig())
 	s.Step(start, View{Settled: 5, Departed: 5, Term: 1, Peers: []Peer{{"h2", 2}, {"h3", 3}}})
@@ -30,7 +30,9 @@
 	return Table{Acked: map[string]Position{workspace: {1, lsn}}}
 }
 
-func TestReadsThatWaitShareARound(t *testing.T) {
+// TestPendingReadsShareRound guards against a read that joins a round in progress, whose
+// answers may predate the writes that the read must include.
+func TestPendingReadsShareRound(t *testing.T) {
 	s := settledService(50)
 	now := start.Add(s.cfg.Interval)
 	expect(t, s.Step(now, Read{1, "a"}), RequestTables{Round: 2, Hosts: []string{"h2", "h3"}})
@@ -44,21 +46,21 @@
 	expect(t, s.Step(now, Reply{3, "h3", 3, table("b", 80)}), Resolve{2, Position{1, 50}}, Resolve{3, Position{1, 80}})
 }
 
-func TestMissingAnswerLeadsToThePrimary(t *testing.T) {
+func TestMissingReplyFallsBackToPrimary(t *testing.T) {
 	s := settledService(50)
 	now := start.Add(s.cfg.Interval)
 	s.Step(now, Read{1, "a"})
 	s.Step(now, Reply{2, "h2", 2, table("a", 70)})
-	s.Step(now, Reply{2, "h3", 9, Table{}}) // another process than the known one
+	s.Step(now, Reply{2, "h3", 9, Table{}}) // from another process of the host
 	now = now.Add(s.cfg.GatherTimeout)
 	expect(t, s.Step(now, Tick{}), RequestPrimaryPosition{Round: 2})
 	expect(t, s.Step(now, PrimaryPosition{2, true, Position{1, 90}}), Resolve{1, Position{1, 90}})
-	// The silent host is not waited for again until it answers.
+	// The next round requests the primary's position at once, until the host answers.
 	now = now.Add(s.cfg.Interval)
 	expect(t, s.Step(now, Read{2, "a"}), RequestTables{Round: 3, Hosts: []string{"h2", "h3"}}, RequestPrimaryPosition{Round: 3})
 }
 
-func TestNoAnswerAtAllFails(t *testing.T) {
+func TestReadFailsWithoutAnyAnswer(t *testing.T) {
 	s := settledService(50)
 	now := start.Add(s.cfg.Interval)
 	s.Step(now, Read{1, "a"})
@@ -67,7 +69,9 @@
 	expect(t, s.Step(now, PrimaryPosition{Round: 2}), Fail{1, result.NoPrimary})
 }
 
-func TestDepartedProcessNeedsASettledFloor(t *testing.T) {
+// TestDepartedProcessRequiresSettledFloor guards against a floor that is set too early: until
+// the departure is settled, the departed process may acknowledge further writes.
+func TestDepartedProcessRequiresSettledFloor(t *testing.T) {
 	s := settledService(50)
 	view := View{Settled: 6, Departed: 7, Term: 1, Peers: []Peer{{"h2", 2}}}
 	now := start.Add(s.cfg.Interval)
@@ -86,7 +90,9 @@
 	expect(t, s.Step(now, Reply{5, "h2", 2, Table{}}), Resolve{5, Position{1, 99}})
 }
 
-func TestPrunedPositionsStayInForce(t *testing.T) {
+// TestPrunedPositionsRaiseBase guards against pruning that loses a position which a replica
+// that joined later has not replayed.
+func TestPrunedPositionsRaiseBase(t *testing.T) {
 	s := settledService(50)
 	s.Step(start, Acked{"a", Position{1, 70}})
 	s.Step(start, Acked{"b", Position{1, 90}})
@@ -97,7 +103,7 @@
 	}
 }
 
-func TestCancelledReadIsNotAnswered(t *testing.T) {
+func TestCancelledReadNotResolved(t *testing.T) {
 	s := settledService(50)
 	now := start.Add(s.cfg.Interval)
 	s.Step(now, Read{1, "a"})
@@ -106,7 +112,7 @@
 	expect(t, s.Step(now, Reply{2, "h3", 3, Table{}}))
 }
 
-// BenchmarkRound is the cost of a round of 100 reads among nine hosts.
+// BenchmarkRound measures a round of 100 reads among nine hosts.
 func BenchmarkRound(b *testing.B) {
 	s := NewService(Config{GatherTimeout: time.Second, PrimaryTimeout: time.Second})
 	view := View{Settled: 1, Term: 1}
@@ -122,7 +128,7 @@
 		for id := range uint64(100) {
 			s.Step(start, Read{ID: id, Workspace: "w"})
 		}
-		s.begun = time.Time{}
+		s.lastRoundAt = time.Time{}
 		round := s.rounds
 		for _, p := range view.Peers {
 			s.Step(start, Reply{round, p.Host, 1, reply})
--- a/internal/session/types.go
+++ b/internal/session/types.go
@@ -1,9 +1,9 @@
-// Package session finds the log position that a read must see so that its
-// caller reads its own writes, whichever hosts the writes and the read go
-// through. Each host remembers the positions of the writes that it has
-// acknowledged; a read gathers them from all hosts. When that may be
-// incomplete, the primary's current position takes its place. The package
-// performs no I/O and reads no clock.
+// Package session determines the log position that a read must include for
+// read-your-writes consistency, when the writes and the read of a workspace may
+// go through different hosts. Each host keeps the positions of the writes that
+// it has acknowledged, and a read collects them from all hosts. When that set
+// may be incomplete, the current position of the primary is used instead. The
+// package performs no I/O and reads no clock.
 package session
 
 import (
@@ -36,9 +36,9 @@
 	return p
 }
 
-// Config holds the time limits of a Service.
+// Config holds the timeouts of a Service.
 type Config struct {
-	// GatherTimeout bounds the wait for the answers of the other hosts.
+	// GatherTimeout bounds the wait for the tables of the other hosts.
 	GatherTimeout time.Duration
 	// PrimaryTimeout bounds the wait for the primary's position.
 	PrimaryTimeout time.Duration
@@ -46,7 +46,7 @@
 	Interval time.Duration
 }
 
-// DefaultConfig returns the limits for hosts in one region.
+// DefaultConfig returns the timeouts for hosts in one region.
 func DefaultConfig() Config {
 	return Config{
 		GatherTimeout:  8 * time.Millisecond,
@@ -55,17 +55,17 @@
 	}
 }
 
-// Peer is another entry host.
+// Peer is the process of another entry host.
 type Peer struct {
 	Host        string
 	Incarnation uint64
 }
 
-// Event is an input of a Service.
+// Event is an input of Service.Step.
 type Event interface{ isEvent() }
 
-// View is the agreed state as far as it matters here. Intermediate states may
-// be left out.
+// View is the part of the agreed state that a Service depends on. Intermediate
+// states may be skipped.
 type View struct {
 	// Departed is the revision at which an entry host's process was last
 	// removed or replaced.
@@ -80,13 +80,13 @@
 	Peers []Peer
 }
 
-// Read asks for the position that a read of the workspace must see.
+// Read requests the position that a read of the workspace must include.
 type Read struct {
 	ID        uint64
 	Workspace string
 }
 
-// Cancel withdraws a Read.
+// Cancel withdraws a Read that needs no answer any more.
 type Cancel struct{ ID uint64 }
 
 // Acked records a write that is about to be acknowledged on this host.
@@ -98,7 +98,7 @@
 // Replayed reports a position that all replicas of the group have replayed.
 type Replayed struct{ Position Position }
 
-// Reply is a peer's answer to RequestTables.
+// Reply is the answer of a peer to RequestTables.
 type Reply struct {
 	Round       uint64
 	Host        string
@@ -114,7 +114,7 @@
 	Position Position
 }
 
-// Tick lets time pass.
+// Tick only advances the time.
 type Tick struct{}
 
 func (View) isEvent()            {}
@@ -126,25 +126,27 @@
 func (PrimaryPosition) isEvent() {}
 func (Tick) isEvent()            {}
 
-// Effect is an output of a Service.
+// Effect is an output of Service.Step.
 type Effect interface{ isEffect() }
 
-// RequestTables requests the tables of other hosts, read after the request.
+// RequestTables requests the tables of other hosts. Each must be read after the
+// host received the request.
 type RequestTables struct {
 	Round uint64
 	Hosts []string
 }
 
-// RequestPrimaryPosition requests the primary's current position, read after the request.
+// RequestPrimaryPosition requests the current position of the primary, read
+// after the request.
 type RequestPrimaryPosition struct{ Round uint64 }
 
-// Resolve answers a Read.
+// Resolve answers a Read with the position that it must include.
 type Resolve struct {
 	ID       uint64
 	Position Position
 }
 
-// Fail ends a Read whose position cannot be found now.
+// Fail ends a Read whose position cannot be determined now.
 type Fail struct {
 	ID   uint64
 	Code result.Code
