--- a/internal/route/endpoint.go
+++ b/internal/route/endpoint.go
@@ -6,117 +6,122 @@
 )
 
 const (
-	// minLatency is the least average latency that enters the load.
+	// minLatency is the lower bound of the average latency in the load estimate.
 	minLatency = 500 * time.Microsecond
-	// minRamp is the share of a replica that has just returned.
-	minRamp = 0.1
-	// maxEjections bounds the exponent of the time of an ejection.
-	maxEjections = 16
+	// minRampShare is the share of a replica that has just returned.
+	minRampShare = 0.1
+	// maxEjectionDoublings bounds the doublings of the duration of an ejection.
+	maxEjectionDoublings = 16
 )
 
-// endpoint is what this host knows of one member of the group.
+// endpoint is the state of one member of the group as observed by this host.
 type endpoint struct {
-	member  Member
-	status  Status
-	seen    time.Time // arrival of the status
-	running int
-
-	latency  time.Duration // average, as of measured
-	measured time.Time
-
-	failures  int // consecutive
-	ejections int // since the last quiet time
-	ejected   time.Time
-	// returned is when the endpoint last came back into use.
-	returned time.Time
-	usable   bool
-	// freshAt is a time such that the replica holds everything that the
-	// primary had written by then.
+	member   Member
+	status   Status
+	statusAt time.Time // arrival of the status
+	running  int
+
+	latency    time.Duration // moving average as of measuredAt
+	measuredAt time.Time
+
+	failures     int // consecutive failures
+	ejections    int // since the last period without failures
+	ejectedUntil time.Time
+	// returnedAt is when the endpoint last became usable again.
+	returnedAt time.Time
+	usable     bool
+	// freshAt is the latest time for which the replica is known to hold every
+	// write that the primary had made by then.
 	freshAt time.Time
 }
 
-// load estimates how long a further request would take here.
+// load estimates how many seconds one more request would take on the endpoint.
 func (e *endpoint) load(now time.Time, cfg Config) float64 {
-	latency := max(e.average(now, cfg), minLatency)
+	latency := max(e.decayedLatency(now, cfg), minLatency)
 	return latency.Seconds() * float64(e.running+1) / e.ramp(now, cfg)
 }
 
-// average returns the latency, which decays while the endpoint is unused, so
-// that it is tried again.
-func (e *endpoint) average(now time.Time, cfg Config) time.Duration {
-	return time.Duration(float64(e.latency) * e.decay(now, cfg))
+// decayedLatency returns the average latency. It decays while the endpoint is
+// unused, so that a slow endpoint is tried again.
+func (e *endpoint) decayedLatency(now time.Time, cfg Config) time.Duration {
+	return time.Duration(float64(e.latency) * e.decayFactor(now, cfg))
 }
 
-func (e *endpoint) decay(now time.Time, cfg Config) float64 {
-	if e.measured.IsZero() {
+// decayFactor returns the weight of the average since the last measurement, in [0, 1].
+func (e *endpoint) decayFactor(now time.Time, cfg Config) float64 {
+	if e.measuredAt.IsZero() {
 		return 0
 	}
-	age := max(now.Sub(e.measured), 0)
+	age := max(now.Sub(e.measuredAt), 0)
 	return math.Exp(-age.Seconds() / cfg.LatencyWindow.Seconds())
 }
 
-// measure takes a latency into the average.
-func (e *endpoint) measure(now time.Time, latency time.Duration, cfg Config) {
-	keep := e.decay(now, cfg)
-	keep = min(keep, 1-minGain)
+// recordLatency adds a latency to the moving average.
+func (e *endpoint) recordLatency(now time.Time, latency time.Duration, cfg Config) {
+	keep := e.decayFactor(now, cfg)
+	keep = min(keep, 1-minSampleWeight)
 	e.latency = time.Duration(keep*float64(e.latency) + (1-keep)*float64(latency))
-	e.measured = now
+	e.measuredAt = now
 }
 
-// minGain is the least weight of the newest latency in the average.
-const minGain = 0.05
+// minSampleWeight is the least weight of the newest latency in the average.
+const minSampleWeight = 0.05
 
-// ramp returns the share of the endpoint's capacity in use after a return.
+// ramp returns the share of requests that the endpoint gets in its slow start, from
+// minRampShare to 1.
 func (e *endpoint) ramp(now time.Time, cfg Config) float64 {
-	if e.returned.IsZero() {
+	if e.returnedAt.IsZero() {
 		return 1
 	}
-	share := now.Sub(e.returned).Seconds() / cfg.SlowStart.Seconds()
-	return min(max(share, minRamp), 1)
+	share := now.Sub(e.returnedAt).Seconds() / cfg.SlowStart.Seconds()
+	return min(max(share, minRampShare), 1)
 }
 
-// fail counts a failed request and ejects the endpoint when mayEject allows.
-func (e *endpoint) fail(now time.Time, cfg Config, mayEject bool) {
+// recordFailure counts a failed request and, if mayEject is set, ejects the endpoint
+// after EjectAfter consecutive failures.
+func (e *endpoint) recordFailure(now time.Time, cfg Config, mayEject bool) {
 	e.failures++
 	if e.failures < cfg.EjectAfter || !mayEject {
 		return
 	}
-	wait := cfg.EjectBase << min(e.ejections, maxEjections)
+	wait := cfg.EjectBase << min(e.ejections, maxEjectionDoublings)
 	if wait > cfg.EjectMax {
 		wait = cfg.EjectMax
 	}
 	e.ejections++
 	e.failures = 0
-	e.ejected = now.Add(wait)
+	e.ejectedUntil = now.Add(wait)
 	e.usable = false
 }
 
-// succeed ends a row of failures; after a quiet time the next ejection is a
-// short one again.
-func (e *endpoint) succeed(now time.Time, cfg Config) {
+// recordSuccess resets the count of consecutive failures. EjectMax after the end of
+// the last ejection it also resets the duration of the next one.
+func (e *endpoint) recordSuccess(now time.Time, cfg Config) {
 	e.failures = 0
-	if now.Sub(e.ejected) > cfg.EjectMax {
+	if now.Sub(e.ejectedUntil) > cfg.EjectMax {
 		e.ejections = 0
 	}
 }
 
-func (e *endpoint) isEjected(now time.Time) bool { return now.Before(e.ejected) }
+func (e *endpoint) isEjected(now time.Time) bool { return now.Before(e.ejectedUntil) }
 
-// review notes when the endpoint leaves and comes back into use.
-func (e *endpoint) review(now time.Time, cfg Config) {
-	if e.seen.IsZero() {
-		// Nothing is known yet; what a host finds when it starts is not new.
+// updateUsable recomputes whether the endpoint is usable, and starts the slow start
+// when it has become usable again.
+func (e *endpoint) updateUsable(now time.Time, cfg Config) {
+	if e.statusAt.IsZero() {
+		// No status has arrived yet. The members in the first view are not treated
+		// as returning, so that they get no slow start.
 		e.usable = e.usable && !e.member.Out
 		return
 	}
-	usable := !e.member.Out && !e.isEjected(now) && e.answers(now, cfg)
+	usable := !e.member.Out && !e.isEjected(now) && e.hasRecentStatus(now, cfg)
 	if usable && !e.usable {
-		e.returned = now
+		e.returnedAt = now
 	}
 	e.usable = usable
 }
 
-// answers reports whether the endpoint's latest status is good and recent.
-func (e *endpoint) answers(now time.Time, cfg Config) bool {
-	return !e.seen.IsZero() && !e.status.Failed && now.Sub(e.seen) <= cfg.StatusTTL
+// hasRecentStatus reports whether the latest status is a success within StatusTTL.
+func (e *endpoint) hasRecentStatus(now time.Time, cfg Config) bool {
+	return !e.statusAt.IsZero() && !e.status.Failed && now.Sub(e.statusAt) <= cfg.StatusTTL
 }
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -5,25 +5,27 @@
 	"time"
 )
 
-// maxSamples bounds the history of a primary's positions.
+// maxSamples bounds the number of samples in a history.
 const maxSamples = 512
 
-// sample says that by time at the primary had written no more than lsn.
+// sample records that by time at the primary had written at most lsn.
 type sample struct {
 	at  time.Time
 	lsn uint64
 }
 
-// history tells by when a replica at a position had everything. Times are when
-// the primary was asked, so its answer covers all that was written before.
+// history maps log positions to times, to derive how fresh a replica at a position
+// is. The time of a sample is when the position was requested, so that the position
+// covers everything written before. Times increase, and
+// positions never decrease.
 type history struct {
 	samples []sample
 }
 
 func (h *history) clear() { h.samples = h.samples[:0] }
 
-// add appends a sample; one that is older than the last is dropped. Positions
-// can fall when a primary restarts; samples above the new one are then void.
+// add appends a sample; one that is older than the last is dropped. Positions can
+// decrease when a primary restarts; samples above the new position are then removed.
 func (h *history) add(at time.Time, lsn uint64) {
 	if n := len(h.samples); n > 0 && !at.After(h.samples[n-1].at) {
 		return
@@ -37,7 +39,8 @@
 	h.samples = append(h.samples, sample{at: at, lsn: lsn})
 }
 
-// thin drops every second sample of the older half.
+// thin removes every second sample of the older half, which keeps the covered period
+// at a lower resolution.
 func (h *history) thin() {
 	kept := h.samples[:0]
 	for i, s := range h.samples {
@@ -48,8 +51,8 @@
 	h.samples = kept
 }
 
-// reached returns the latest time whose writes are all at or before lsn.
-func (h *history) reached(lsn uint64) (time.Time, bool) {
+// caughtUpAt returns the latest sampled time by which nothing beyond lsn was written.
+func (h *history) caughtUpAt(lsn uint64) (time.Time, bool) {
 	n, _ := slices.BinarySearchFunc(h.samples, lsn, func(s sample, lsn uint64) int {
 		if s.lsn <= lsn {
 			return -1
--- a/internal/route/home.go
+++ b/internal/route/home.go
@@ -2,14 +2,15 @@
 
 import "github.com/galenabridge/galenabridge/internal/rendezvous"
 
-// HomeHostCount is the number of hosts that hold connections to one database group
-// in a fleet with more hosts than that.
+// HomeHostCount is the number of home hosts of a service in a fleet of more than
+// maxSmallFleetHosts hosts.
 const HomeHostCount = 4
 
-// HomeHosts returns the hosts that hold connections to the endpoints of a service
-// and acknowledge its writes, in order of preference. The hosts are spread over
-// the failure domains as far as those go: the domains are ranked first, then
-// the hosts within each. In a small fleet all hosts are at home everywhere.
+// HomeHosts returns the home hosts of a service in order of preference: the hosts
+// that hold connections to its endpoints and acknowledge its writes. hosts lists
+// the hosts by failure domain. The home hosts are spread over as many domains as
+// possible: the domains are ranked first, then the hosts within each. In a small
+// fleet all hosts are home hosts of every service.
 func HomeHosts(service string, hosts map[string][]string) []string {
 	total := 0
 	domains := make([]string, 0, len(hosts))
@@ -18,7 +19,7 @@
 		domains = append(domains, domain)
 	}
 	ranked := rendezvous.Top(domains, service, len(domains))
-	size := min(total, max(HomeHostCount, smallFleet(total)))
+	size := min(total, max(HomeHostCount, smallFleetSize(total)))
 	byDomain := make([][]string, len(ranked))
 	for i, domain := range ranked {
 		byDomain[i] = rendezvous.Top(hosts[domain], service, size)
@@ -34,18 +35,21 @@
 	return home
 }
 
-// maxSmallFleet is the number of hosts up to which each is at home everywhere.
-const maxSmallFleet = 16
+// maxSmallFleetHosts is the number of hosts up to which every host is a home host of
+// every service.
+const maxSmallFleetHosts = 16
 
-func smallFleet(total int) int {
-	if total <= maxSmallFleet {
+// smallFleetSize returns the number of home hosts in a small fleet, or 0 in a larger one.
+func smallFleetSize(total int) int {
+	if total <= maxSmallFleetHosts {
 		return total
 	}
 	return 0
 }
 
-// Owner returns the host of a home set that serves a workspace, so that its
-// reads find the positions of its writes without asking the others.
+// Owner returns the home host that serves a workspace. When it serves all requests
+// of the workspace, reads find the positions of writes without a request to other
+// hosts.
 func Owner(home []string, service, workspace string) string {
 	return rendezvous.Owner(home, service+"\x00"+workspace)
 }
--- a/internal/route/home_test.go
+++ b/internal/route/home_test.go
@@ -16,15 +16,15 @@
 	return byDomain
 }
 
-func TestSmallFleetIsAtHomeEverywhere(t *testing.T) {
-	for _, n := range []int{1, 9, maxSmallFleet} {
+func TestHomeHostsSmallFleetIncludesAll(t *testing.T) {
+	for _, n := range []int{1, 9, maxSmallFleetHosts} {
 		if home := HomeHosts("s", fleet(n, 4)); len(home) != n {
-			t.Errorf("%d of %d hosts are at home", len(home), n)
+			t.Errorf("%d of %d hosts are home hosts", len(home), n)
 		}
 	}
 }
 
-func TestHomeIsSpreadOverDomains(t *testing.T) {
+func TestHomeHostsSpreadOverDomains(t *testing.T) {
 	hosts := fleet(2000, 11)
 	load := map[string]int{}
 	for i := range 2200 {
@@ -39,7 +39,7 @@
 			}
 		}
 		if len(home) != HomeHostCount || len(domains) != HomeHostCount {
-			t.Fatalf("home %v in %d domains", home, len(domains))
+			t.Fatalf("home hosts %v in %d domains", home, len(domains))
 		}
 	}
 	most := 0
@@ -48,11 +48,12 @@
 	}
 	t.Logf("2,200 databases at 2,000 hosts: 4.4 on average, %d at most", most)
 	if most > 20 {
-		t.Errorf("a host is at home for %d databases", most)
+		t.Errorf("a host is the home host of %d databases", most)
 	}
 }
 
-func TestLostHostMovesOnlyItsPlace(t *testing.T) {
+// TestHomeHostsStableAfterHostLoss guards against replacing more home hosts than the lost one.
+func TestHomeHostsStableAfterHostLoss(t *testing.T) {
 	hosts := fleet(200, 4)
 	before := HomeHosts("s", hosts)
 	for domain, names := range hosts {
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// pickReplica returns the replica for a read, or nil when none qualifies. The
-// better of two local replicas is chosen, unless it carries SpillFactor times
-// the load of the better of two remote ones.
+// pickReplica returns the replica for a read, or nil when none qualifies. It draws
+// two local and two remote replicas and takes the less loaded of each pair. The
+// local one is preferred unless its load exceeds SpillFactor times that of the
+// remote one, or its slots are full and those of the remote one are not.
 func (t *Table) pickReplica(now time.Time, need Need) *endpoint {
 	var local, remote []*endpoint
 	for _, e := range t.members {
@@ -20,14 +21,14 @@
 			remote = append(remote, e)
 		}
 	}
-	near := t.betterOfTwo(now, local)
-	far := t.betterOfTwo(now, remote)
+	near := t.lessLoadedOfTwo(now, local)
+	far := t.lessLoadedOfTwo(now, remote)
 	switch {
 	case near == nil:
 		return far
 	case far == nil:
 		return near
-	case t.full(near) && !t.full(far):
+	case t.slotsFull(near) && !t.slotsFull(far):
 		return far
 	case near.load(now, t.cfg) > t.cfg.SpillFactor*far.load(now, t.cfg):
 		return far
@@ -36,14 +37,15 @@
 	}
 }
 
-// full reports whether this host alone fills the slots of the endpoint.
-func (t *Table) full(e *endpoint) bool {
+// slotsFull reports whether the requests of this host alone fill the slots of the
+// endpoint.
+func (t *Table) slotsFull(e *endpoint) bool {
 	return e.member.Slots > 0 && e.running >= e.member.Slots
 }
 
 // qualifies reports whether the endpoint is a replica that may serve the read.
 func (t *Table) qualifies(now time.Time, e *endpoint, need Need) bool {
-	e.review(now, t.cfg)
+	e.updateUsable(now, t.cfg)
 	if !e.usable || !e.status.InRecovery || e.status.Timeline != t.view.Timeline {
 		return false
 	}
@@ -56,24 +58,25 @@
 	return e.status.LSN >= need.Min.LSN
 }
 
-// betterOfTwo draws two candidates at random and returns the less loaded one.
-func (t *Table) betterOfTwo(now time.Time, all []*endpoint) *endpoint {
+// lessLoadedOfTwo draws two candidates at random and returns the less loaded one, or
+// nil when there is none.
+func (t *Table) lessLoadedOfTwo(now time.Time, all []*endpoint) *endpoint {
 	if len(all) == 0 {
 		return nil
 	}
-	a := t.draw(now, all)
-	b := t.draw(now, all)
+	a := t.drawCandidate(now, all)
+	b := t.drawCandidate(now, all)
 	if b.load(now, t.cfg) < a.load(now, t.cfg) {
 		return b
 	}
 	return a
 }
 
-// maxDraws bounds the attempts to draw by share.
+// maxDraws bounds the rejections of candidates in slow start.
 const maxDraws = 8
 
-// draw picks a candidate at random, those in slow start less often.
-func (t *Table) draw(now time.Time, all []*endpoint) *endpoint {
+// drawCandidate returns a random candidate. Those in slow start are drawn less often.
+func (t *Table) drawCandidate(now time.Time, all []*endpoint) *endpoint {
 	for range maxDraws {
 		e := all[t.rand.IntN(len(all))]
 		if t.rand.Float64() < e.ramp(now, t.cfg) {
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -16,21 +16,23 @@
 	// members holds the endpoints in the order of the view.
 	members []*endpoint
 	history history
-	known   bool
+	hasView bool
 }
 
-// NewTable returns a Table that knows no endpoint yet.
+// NewTable returns a Table without endpoints. SetView adds them.
 func NewTable(cfg Config, rand Rand) *Table {
 	return &Table{cfg: cfg, rand: rand, endpoints: make(map[string]*endpoint)}
 }
 
-// SetView replaces the agreed state of the group.
+// SetView replaces the agreed state of the group. It keeps the measurements of endpoints
+// that remain members, and clears the history of positions when the term, the primary
+// or its activity changes.
 func (t *Table) SetView(now time.Time, v View) {
 	if v.Term != t.view.Term || v.Primary != t.view.Primary || v.Active != t.view.Active {
 		t.history.clear()
 	}
-	first := !t.known
-	t.view, t.known = v, true
+	first := !t.hasView
+	t.view, t.hasView = v, true
 	t.members = t.members[:0]
 	kept := make(map[string]*endpoint, len(v.Members))
 	for _, m := range v.Members {
@@ -39,25 +41,26 @@
 			e = &endpoint{usable: first}
 		}
 		e.member = m
-		e.review(now, t.cfg)
+		e.updateUsable(now, t.cfg)
 		kept[m.Endpoint] = e
 		t.members = append(t.members, e)
 	}
 	t.endpoints = kept
 }
 
-// Observe takes in a status. Statuses of unknown endpoints are ignored.
+// Observe records a status, which must have arrived at now. Statuses of unknown endpoints
+// are ignored, and positions on another timeline prove no freshness.
 func (t *Table) Observe(now time.Time, s Status) {
 	e := t.endpoints[s.Endpoint]
 	if e == nil {
 		return
 	}
-	e.status, e.seen = s, now
-	e.review(now, t.cfg)
+	e.status, e.statusAt = s, now
+	e.updateUsable(now, t.cfg)
 	switch {
 	case s.Failed || s.Timeline != t.view.Timeline:
 	case s.InRecovery:
-		if at, ok := t.history.reached(s.LSN); ok && at.After(e.freshAt) {
+		if at, ok := t.history.caughtUpAt(s.LSN); ok && at.After(e.freshAt) {
 			e.freshAt = at
 		}
 	case s.Endpoint == t.view.Primary && t.view.Active:
@@ -72,8 +75,8 @@
 	}
 }
 
-// End counts the end of a request. Requests that failed before they began may
-// be reported as well.
+// End records the outcome of a request. began is false for a request that failed
+// before Begin was called for it.
 func (t *Table) End(now time.Time, r Report, began bool) {
 	e := t.endpoints[r.Endpoint]
 	if e == nil {
@@ -83,14 +86,15 @@
 		e.running = max(e.running-1, 0)
 	}
 	if r.Failed {
-		e.fail(now, t.cfg, r.Endpoint != t.view.Primary && t.mayEject(now))
+		e.recordFailure(now, t.cfg, r.Endpoint != t.view.Primary && t.mayEject(now))
 		return
 	}
-	e.succeed(now, t.cfg)
-	e.measure(now, r.Latency, t.cfg)
+	e.recordSuccess(now, t.cfg)
+	e.recordLatency(now, r.Latency, t.cfg)
 }
 
-// mayEject reports whether at least half of the members would stay in use.
+// mayEject reports whether at least half of the members would remain after one more
+// ejection.
 func (t *Table) mayEject(now time.Time) bool {
 	ejected := 0
 	for _, e := range t.members {
@@ -105,10 +109,10 @@
 // NoPrimary or NoEndpoint.
 func (t *Table) Pick(now time.Time, need Need) (string, error) {
 	if t.view.Leaving {
-		return "", result.New(noneCode(need), "service %s is leaving and gets no new work", t.view.Service)
+		return "", result.New(unavailableCode(need), "service %s is leaving and gets no new work", t.view.Service)
 	}
 	if need.Min.Term > t.view.Term {
-		return "", result.New(noneCode(need), "service %s: term %d is not known here yet", t.view.Service, need.Min.Term)
+		return "", result.New(unavailableCode(need), "service %s: term %d is not known on this host yet", t.view.Service, need.Min.Term)
 	}
 	if !need.ReadOnly {
 		return t.primary(need)
@@ -124,21 +128,22 @@
 	return "", result.New(result.NoEndpoint, "service %s: no replica is fresh enough and the primary cannot be used", t.view.Service)
 }
 
-func noneCode(need Need) result.Code {
+// unavailableCode returns the result code for a request that no endpoint can serve.
+func unavailableCode(need Need) result.Code {
 	if need.ReadOnly {
 		return result.NoEndpoint
 	}
 	return result.NoPrimary
 }
 
-// primary returns the primary when it may be given work.
+// primary returns the primary if it is active and gets new work.
 func (t *Table) primary(need Need) (string, error) {
 	e := t.endpoints[t.view.Primary]
 	switch {
 	case !t.view.Active || e == nil:
-		return "", result.New(noneCode(need), "service %s has no primary now: %s", t.view.Service, t.view.Reason)
+		return "", result.New(unavailableCode(need), "service %s has no primary now: %s", t.view.Service, t.view.Reason)
 	case e.member.Out:
-		return "", result.New(noneCode(need), "primary %s of service %s is out of use; a switchover is due", t.view.Primary, t.view.Service)
+		return "", result.New(unavailableCode(need), "primary %s of service %s is out of use; a switchover is due", t.view.Primary, t.view.Service)
 	}
 	return t.view.Primary, nil
 }
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -24,16 +24,16 @@
 	return NewTable(DefaultConfig("d1"), rand.New(rand.NewPCG(seed, 0)))
 }
 
-// ready returns a table whose replicas have replayed everything.
-func ready() *Table {
+// newReadyTable returns a table whose replicas have replayed everything.
+func newReadyTable() *Table {
 	t := newTable(1)
 	t.SetView(start, groupView())
-	report(t, start, 100, 100, 100)
+	observeAll(t, start, 100, 100, 100)
 	return t
 }
 
-// report observes the primary and both replicas at the given positions.
-func report(t *Table, now time.Time, primary, r1, r2 uint64) {
+// observeAll reports statuses of the primary and both replicas at the given positions.
+func observeAll(t *Table, now time.Time, primary, r1, r2 uint64) {
 	t.Observe(now, Status{Endpoint: "p", Asked: now, Timeline: 2, LSN: primary})
 	t.Observe(now, Status{Endpoint: "r1", Asked: now, Timeline: 2, InRecovery: true, LSN: r1})
 	t.Observe(now, Status{Endpoint: "r2", Asked: now, Timeline: 2, InRecovery: true, LSN: r2})
@@ -55,8 +55,8 @@
 	}
 }
 
-func TestWriteGoesToThePrimaryOnly(t *testing.T) {
-	table := ready()
+func TestWriteRoutedToPrimaryOnly(t *testing.T) {
+	table := newReadyTable()
 	expectPick(t, table, start, Need{Exclude: []string{"p"}}, "p")
 	v := groupView()
 	v.Active, v.Reason = false, "sealed"
@@ -65,9 +65,9 @@
 	expectPick(t, table, start, Need{ReadOnly: true}, "r1")
 }
 
-func TestReadNeedsItsPosition(t *testing.T) {
-	table := ready()
-	report(table, start, 200, 150, 180)
+func TestReadRequiresReplayedPosition(t *testing.T) {
+	table := newReadyTable()
+	observeAll(table, start, 200, 150, 180)
 	read := func(lsn uint64) Need { return Need{ReadOnly: true, Min: Position{Term: 2, LSN: lsn}} }
 	expectPick(t, table, start, read(150), "r1")
 	expectPick(t, table, start, read(151), "r2")
@@ -75,8 +75,8 @@
 	expectCode(t, table, start, Need{ReadOnly: true, Min: Position{Term: 3}}, result.NoEndpoint)
 }
 
-func TestReplicaOnAnotherTimelineIsNotUsed(t *testing.T) {
-	table := ready()
+func TestReplicaOnOtherTimelineExcluded(t *testing.T) {
+	table := newReadyTable()
 	for _, id := range []string{"r1", "r2"} {
 		table.Observe(start, Status{Endpoint: id, Asked: start, Timeline: 1, InRecovery: true, LSN: 900})
 	}
@@ -84,19 +84,19 @@
 	expectPick(t, table, start, Need{ReadOnly: true, MaxStaleness: time.Second}, "p")
 }
 
-func TestStalenessIsMeasuredFromThePrimarysPositions(t *testing.T) {
+func TestStalenessMeasuredFromPrimaryPositions(t *testing.T) {
 	table := newTable(1)
 	table.SetView(start, groupView())
 	for i := range 11 {
-		report(table, start.Add(time.Duration(i)*time.Second), uint64(100+i), 105, 0)
+		observeAll(table, start.Add(time.Duration(i)*time.Second), uint64(100+i), 105, 0)
 	}
 	now := start.Add(10 * time.Second)
 	expectPick(t, table, now, Need{ReadOnly: true, MaxStaleness: 5 * time.Second}, "r1")
 	expectPick(t, table, now, Need{ReadOnly: true, MaxStaleness: 5*time.Second - 1}, "p")
 }
 
-func TestNoNewWorkWhereItIsNotWanted(t *testing.T) {
-	table := ready()
+func TestMembersOutOfUseGetNoNewWork(t *testing.T) {
+	table := newReadyTable()
 	v := groupView()
 	v.Members[1].Out = true
 	table.SetView(start, v)
@@ -117,17 +117,17 @@
 	expectCode(t, table, start, Need{ReadOnly: true}, result.NoEndpoint)
 }
 
-func TestSilentReplicaIsNotUsed(t *testing.T) {
-	table := ready()
+func TestSilentReplicaExcluded(t *testing.T) {
+	table := newReadyTable()
 	later := start.Add(table.cfg.StatusTTL + 1)
 	expectPick(t, table, later, Need{ReadOnly: true}, "p")
-	report(table, later, 100, 100, 100)
+	observeAll(table, later, 100, 100, 100)
 	table.Observe(later, Status{Endpoint: "r1", Asked: later, Failed: true})
 	expectPick(t, table, later, Need{ReadOnly: true}, "r2")
 }
 
-func TestFailuresEjectWithBackOffAndFloor(t *testing.T) {
-	table := ready()
+func TestEjectionBackoffAndMemberFloor(t *testing.T) {
+	table := newReadyTable()
 	now := start
 	fail := func(id string) {
 		for range table.cfg.EjectAfter {
@@ -137,19 +137,19 @@
 	}
 	fail("r1")
 	expectPick(t, table, now, Need{ReadOnly: true}, "r2")
-	fail("r2") // one of three members is out already; two would be too many
+	fail("r2") // must not be ejected: two of three members would be out
 	expectPick(t, table, now, Need{ReadOnly: true}, "r2")
 	now = now.Add(table.cfg.EjectBase)
-	report(table, now, 100, 100, 100)
+	observeAll(table, now, 100, 100, 100)
 	expectPick(t, table, now, Need{ReadOnly: true, Exclude: []string{"r2"}}, "r1")
 	fail("r1")
 	now = now.Add(2*table.cfg.EjectBase - 1)
-	report(table, now, 100, 100, 100)
+	observeAll(table, now, 100, 100, 100)
 	expectPick(t, table, now, Need{ReadOnly: true, Exclude: []string{"r2"}}, "p")
 }
 
-func TestLocalReplicaUnlessLoaded(t *testing.T) {
-	table := ready()
+func TestLocalReplicaPreferredUnlessLoaded(t *testing.T) {
+	table := newReadyTable()
 	expectPick(t, table, start, Need{ReadOnly: true}, "r1")
 	for range 5 {
 		table.Begin("r1")
@@ -157,7 +157,7 @@
 	expectPick(t, table, start, Need{ReadOnly: true}, "r2")
 }
 
-func TestReturnedReplicaStartsSlowly(t *testing.T) {
+func TestReturnedReplicaSlowStart(t *testing.T) {
 	table := newTable(7)
 	v := groupView()
 	v.Members[1].Domain = "d2" // both replicas are remote
@@ -165,10 +165,10 @@
 	out.Members = append([]Member(nil), v.Members...)
 	out.Members[1].Out = true
 	table.SetView(start, out)
-	report(table, start, 1, 1, 1)
+	observeAll(table, start, 1, 1, 1)
 	table.SetView(start, v)
 	share := func(now time.Time) float64 {
-		report(table, now, 1, 1, 1)
+		observeAll(table, now, 1, 1, 1)
 		n := 0
 		for range 4000 {
 			if id, _ := table.Pick(now, Need{ReadOnly: true}); id == "r1" {
@@ -185,8 +185,8 @@
 	}
 }
 
-// The table is held against a direct reading of its rules, with a primary that
-// writes, replicas that lag and statuses that arrive late.
+// TestPickedEndpointQualifies checks each choice against the true state of the group, with
+// a primary that writes, replicas that lag and statuses that arrive late.
 func TestPickedEndpointQualifies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		w := newWorld(rapid.Uint64().Draw(t, "seed"))
@@ -199,7 +199,7 @@
 	})
 }
 
-// world is a group as it really is, beside the table that only sees statuses.
+// world is the true state of a group and a table that observes it only through statuses.
 type world struct {
 	rnd     *rand.Rand
 	table   *Table
@@ -207,7 +207,7 @@
 	view    View
 	written []sample // the primary's position by time
 	lsn     map[string]uint64
-	late    []Status
+	delayed []Status
 	failure string
 }
 
@@ -240,20 +240,20 @@
 	default:
 		w.report()
 	}
-	w.pick()
+	w.checkPick()
 }
 
-// report reads a status and delivers it or an older one.
+// report reads a status and delivers it or an older undelivered one.
 func (w *world) report() {
 	m := w.view.Members[w.rnd.IntN(3)].Endpoint
 	s := Status{Endpoint: m, Asked: w.now, Timeline: 2, InRecovery: m != "p", LSN: w.lsn[m], Failed: w.rnd.IntN(10) == 0}
-	w.late = append(w.late, s)
-	i := w.rnd.IntN(len(w.late))
-	w.table.Observe(w.now, w.late[i])
-	w.late = append(w.late[:i], w.late[i+1:]...)
+	w.delayed = append(w.delayed, s)
+	i := w.rnd.IntN(len(w.delayed))
+	w.table.Observe(w.now, w.delayed[i])
+	w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
 }
 
-func (w *world) pick() {
+func (w *world) checkPick() {
 	need := Need{ReadOnly: w.rnd.IntN(4) > 0, Min: Position{Term: 2, LSN: uint64(w.rnd.Int64N(int64(w.lsn["p"]) + 1))}}
 	if w.rnd.IntN(2) == 0 {
 		need.MaxStaleness = time.Duration(1+w.rnd.IntN(2000)) * time.Millisecond
@@ -261,7 +261,7 @@
 	id, err := w.table.Pick(w.now, need)
 	if err != nil {
 		if !w.view.Members[0].Out {
-			w.failure = fmt.Sprintf("%+v failed beside a primary in use: %v", need, err)
+			w.failure = fmt.Sprintf("%+v failed although the primary is in use: %v", need, err)
 		}
 		return
 	}
@@ -277,7 +277,7 @@
 	case need.MaxStaleness == 0 && w.lsn[id] < need.Min.LSN:
 		w.failure = fmt.Sprintf("%s is at %d, %d is needed", id, w.lsn[id], need.Min.LSN)
 	case need.MaxStaleness > 0 && w.lsn[id] < w.writtenBy(w.now.Add(-need.MaxStaleness)):
-		w.failure = fmt.Sprintf("%s lacks writes that are older than %s", id, need.MaxStaleness)
+		w.failure = fmt.Sprintf("%s does not hold all writes older than %s", id, need.MaxStaleness)
 	}
 }
 
@@ -293,7 +293,7 @@
 }
 
 func BenchmarkPickRead(b *testing.B) {
-	table := ready()
+	table := newReadyTable()
 	need := Need{ReadOnly: true, Min: Position{Term: 2, LSN: 50}}
 	b.ReportAllocs()
 	for b.Loop() {
@@ -306,7 +306,7 @@
 	}
 }
 
-func TestPositionsOfAnotherTimelineProveNoFreshness(t *testing.T) {
+func TestPositionsOfOtherTimelineIgnoredForFreshness(t *testing.T) {
 	table := newTable(1)
 	table.SetView(start, groupView())
 	table.Observe(start, Status{Endpoint: "p", Asked: start, Timeline: 1, LSN: 50})
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -1,7 +1,7 @@
-// Package route chooses the endpoint of a database group that a request runs
-// on. Writes go to the primary; reads go to a replica that is fresh enough and
-// least loaded, and to the primary only when no replica qualifies. The package
-// performs no I/O, reads no clock and takes its randomness from the caller.
+// Package route chooses the endpoint of a database group for a request. Writes
+// go to the primary; reads go to a lightly loaded replica that is fresh enough,
+// and to the primary only when no replica qualifies. The package performs no
+// I/O, reads no clock and takes its randomness from the caller.
 package route
 
 import "time"
@@ -25,18 +25,19 @@
 type Config struct {
 	// Domain is the failure domain of this host.
 	Domain string
-	// StatusTTL is how long a replica's status counts without a newer one.
+	// StatusTTL is how long a status of a replica is valid.
 	StatusTTL time.Duration
 	// EjectAfter is the number of consecutive failures that eject a replica.
 	EjectAfter int
-	// EjectBase is the time of the first ejection. Each further one takes twice
-	// as long, up to EjectMax.
+	// EjectBase is the duration of the first ejection. Each further one takes
+	// twice as long, up to EjectMax.
 	EjectBase time.Duration
 	EjectMax  time.Duration
-	// SlowStart is the time over which a returned replica gets its full share.
+	// SlowStart is the time in which the share of a returned replica grows to
+	// its full value.
 	SlowStart time.Duration
-	// SpillFactor is how many times the load of a remote replica a local one
-	// may carry and still be preferred.
+	// SpillFactor is the ratio of the load of a local replica to that of a
+	// remote one above which the remote one is preferred.
 	SpillFactor float64
 	// LatencyWindow is the time constant of the average latency.
 	LatencyWindow time.Duration
@@ -56,7 +57,7 @@
 	}
 }
 
-// View is the agreed state of the group.
+// View is the agreed state of the group of one service.
 type View struct {
 	Service string
 	Term    uint64
@@ -67,7 +68,7 @@
 	Active bool
 	// Leaving reports that the service gets no new work.
 	Leaving bool
-	// Reason tells why the group is not active.
+	// Reason is the reason why the group is not active.
 	Reason  string
 	Members []Member
 }
@@ -79,14 +80,15 @@
 	// Out reports that the member gets no new work: its failure domain is out
 	// or it is leaving.
 	Out bool
-	// Slots is the number of requests that it runs at once.
+	// Slots is the number of requests that the endpoint runs at once; zero when
+	// unlimited.
 	Slots int
 }
 
-// Status is what an endpoint reported of itself.
+// Status is the status that an endpoint reported.
 type Status struct {
 	Endpoint string
-	// Asked is when the question was sent; the answer is at least as new.
+	// Asked is when the status was requested; the answer is at least as recent.
 	Asked      time.Time
 	Failed     bool
 	InRecovery bool
@@ -104,11 +106,11 @@
 	// MaxStaleness, when above zero, replaces Min: the replica must hold
 	// everything that was written this long ago.
 	MaxStaleness time.Duration
-	// Exclude lists endpoints that a read has already tried.
+	// Exclude lists endpoints at which a read has already failed.
 	Exclude []string
 }
 
-// Report tells how a request on an endpoint ended.
+// Report is the outcome of a request on an endpoint.
 type Report struct {
 	Endpoint string
 	Failed   bool
