--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -8,14 +8,15 @@
 	Int64N(n int64) int64
 }
 
-// Bounds of the wait before a retry.
+// Default bounds of the wait before a retry.
 const (
 	DefaultBackoffBase = 10 * time.Millisecond
 	DefaultBackoffCap  = 2 * time.Second
 )
 
-// Backoff yields decorrelated waits: each lies between the base and three
-// times the last one, up to the cap.
+// Backoff is an exponential backoff with decorrelated jitter: each wait is random
+// between Base and three times the previous wait, and at most Cap. The zero state
+// starts at Base.
 type Backoff struct {
 	Base time.Duration
 	Cap  time.Duration
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -2,58 +2,59 @@
 
 import "time"
 
-// BudgetConfig bounds the retries of one workspace or endpoint.
+// BudgetConfig holds the limits of the retry budget of one workspace or endpoint.
 type BudgetConfig struct {
-	// Ratio is the number of retries that each request earns.
+	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Reserve is the number of retries per second that are granted whatever
-	// the load, so that a workspace with few requests may retry at all.
+	// Reserve is the number of retries per second that are added regardless of
+	// the load, so that a workspace with few requests can retry at all.
 	Reserve float64
-	// Cap bounds the retries that can be saved up.
+	// Cap is the largest number of retries that a budget can hold.
 	Cap float64
-	// IdleAfter is how long the budget of an unused name is kept.
+	// IdleAfter is how long the bucket of an unused name is kept.
 	IdleAfter time.Duration
 }
 
-// DefaultBudgetConfig keeps retries at a tenth of the load.
+// DefaultBudgetConfig limits retries to a tenth of the load, plus the reserve.
 func DefaultBudgetConfig() BudgetConfig {
 	return BudgetConfig{Ratio: 0.1, Reserve: 0.2, Cap: 10, IdleAfter: 5 * time.Minute}
 }
 
-// bucket holds the retries that a name may still spend.
+// bucket is the token bucket of one name. A token allows one retry.
 type bucket struct {
 	tokens  float64
 	updated time.Time
 }
 
-// Budget limits retries by name. It is not safe for concurrent use.
+// Budget limits retries by name with token buckets. It is not safe for concurrent use.
 type Budget struct {
-	cfg     BudgetConfig
-	buckets map[string]*bucket
-	swept   time.Time
+	cfg       BudgetConfig
+	buckets   map[string]*bucket
+	lastSweep time.Time
 }
 
-// NewBudget returns a Budget in which each new name starts with one retry.
+// NewBudget returns a Budget in which each new name starts with one token.
 func NewBudget(cfg BudgetConfig) *Budget {
 	return &Budget{cfg: cfg, buckets: make(map[string]*bucket)}
 }
 
-// Earn counts a first attempt of a request.
+// Earn adds Ratio tokens for the first attempt of a request.
 func (b *Budget) Earn(now time.Time, name string) {
 	k := b.bucket(now, name)
 	k.tokens = min(k.tokens+b.cfg.Ratio, b.cfg.Cap)
 }
 
-// HasToken reports whether the name may retry.
+// HasToken reports whether the name has a token for a retry.
 func (b *Budget) HasToken(now time.Time, name string) bool {
 	return b.bucket(now, name).tokens >= 1
 }
 
-// Spend takes a retry that HasToken has allowed.
+// Spend takes the token that HasToken has reported.
 func (b *Budget) Spend(now time.Time, name string) {
 	b.bucket(now, name).tokens--
 }
 
+// bucket returns the bucket of a name, refilled up to now.
 func (b *Budget) bucket(now time.Time, name string) *bucket {
 	b.sweep(now)
 	k := b.buckets[name]
@@ -68,12 +69,13 @@
 	return k
 }
 
-// sweep forgets the names that were not used for a while.
+// sweep removes the buckets of names that were not used for IdleAfter. It runs at most
+// once per IdleAfter.
 func (b *Budget) sweep(now time.Time) {
-	if now.Sub(b.swept) < b.cfg.IdleAfter {
+	if now.Sub(b.lastSweep) < b.cfg.IdleAfter {
 		return
 	}
-	b.swept = now
+	b.lastSweep = now
 	for name, k := range b.buckets {
 		if now.Sub(k.updated) >= b.cfg.IdleAfter {
 			delete(b.buckets, name)
@@ -81,25 +83,26 @@
 	}
 }
 
-// Budgets joins the budgets of workspaces and endpoints: a retry needs both.
+// Budgets combines the budgets of workspaces and endpoints: a retry needs a token of
+// each. It is not safe for concurrent use.
 type Budgets struct {
 	workspaces *Budget
 	endpoints  *Budget
 }
 
-// NewBudgets returns budgets with the same bounds for both.
+// NewBudgets returns budgets with the same limits for workspaces and endpoints.
 func NewBudgets(cfg BudgetConfig) *Budgets {
 	return &Budgets{workspaces: NewBudget(cfg), endpoints: NewBudget(cfg)}
 }
 
-// RecordFirstAttempt counts the first attempt of a request.
+// RecordFirstAttempt credits both budgets for the first attempt of a request.
 func (b *Budgets) RecordFirstAttempt(now time.Time, workspace, endpoint string) {
 	b.workspaces.Earn(now, workspace)
 	b.endpoints.Earn(now, endpoint)
 }
 
-// Allow takes a retry of a request that failed on the endpoint, or reports
-// false when the workspace or the endpoint has none left.
+// Allow takes a token of both budgets for the retry of a request that failed on the
+// endpoint. It takes none and returns false when either has no token.
 func (b *Budgets) Allow(now time.Time, workspace, endpoint string) bool {
 	if !b.workspaces.HasToken(now, workspace) || !b.endpoints.HasToken(now, endpoint) {
 		return false
--- a/internal/retry/marker.go
+++ b/internal/retry/marker.go
@@ -8,16 +8,16 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// MarkerTTL is how long the marker of a request id is kept. A resend after
-// that runs as a new request.
+// MarkerTTL is how long the marker of a request ID is kept. A retry after that
+// runs as a new request.
 const MarkerTTL = 24 * time.Hour
 
-// Digest identifies the statement and parameters of a request.
+// Digest is the SHA-256 digest of the statement and parameters of a request.
 type Digest [sha256.Size]byte
 
-// DigestOf returns the digest of a request's parts, such as its statement and
-// its parameters. Each part is preceded by its length, so that no two lists of
-// parts collide by concatenation.
+// DigestOf returns the digest of the parts of a request, such as its statement and
+// its parameters. Each part is prefixed with its length as 8 bytes, so that
+// different lists of parts with the same concatenation have different digests.
 func DigestOf(parts ...[]byte) Digest {
 	h := sha256.New()
 	var length [8]byte
@@ -29,12 +29,13 @@
 	return Digest(h.Sum(nil))
 }
 
-// Marker is the row that a request with an id writes in its own transaction.
+// Marker is the row that a request with an ID writes in its own transaction. Its
+// presence proves that the request was committed.
 type Marker struct {
 	Workspace string
 	RequestID string
 	Digest    Digest
-	// Written is the time of the database's clock when the row was written.
+	// Written is the time of the write by the clock of the database.
 	Written time.Time
 }
 
@@ -43,11 +44,11 @@
 	return now.Sub(m.Written) >= MarkerTTL
 }
 
-// CheckMarker tells what a request with an id may do, given the marker found
-// for its workspace and id, or nil. It returns nil when the request may run,
-// and a result.Error with code RequestAlreadyDone or RequestIDReused when it
-// must not. The marker must have been read on the primary, in the transaction
-// that then runs the request.
+// CheckMarker decides whether a request with an ID may run, given the marker found
+// for its workspace and ID, or nil. It returns nil when the request may run, and a
+// result.Error with code RequestAlreadyDone or RequestIDReused when it must not.
+// The marker must have been read on the primary, in the transaction that then runs
+// the request.
 func CheckMarker(found *Marker, digest Digest, now time.Time) error {
 	switch {
 	case found == nil || found.Expired(now):
--- a/internal/retry/outcome.go
+++ b/internal/retry/outcome.go
@@ -1,12 +1,12 @@
-// Package retry decides what may follow a request that got no good answer:
-// whether it may run again, whether a refusal may say that it was not run, and
-// how many retries the load allows. The package performs no I/O, reads no clock
-// and takes its randomness from the caller.
+// Package retry decides how to continue after a failed request: whether it may be
+// retried, whether the result code may state that it was not run, and how many
+// retries the load allows. The package performs no I/O, reads no clock and takes
+// its randomness from the caller.
 package retry
 
 import "github.com/galenabridge/galenabridge/internal/result"
 
-// Outcome is what is known of a request.
+// Outcome is what is known about the execution of a request.
 type Outcome int
 
 // Outcomes. A request starts as NotSent.
@@ -17,46 +17,47 @@
 	Sent
 	// Answered: the endpoint has answered it.
 	Answered
-	// Unknown: it was sent, and its answer can no longer arrive or count.
+	// Unknown: it was sent, and its answer was lost or must be ignored.
 	Unknown
-	// NotRun: it was sent, and the endpoint has proved that it had no effect.
+	// NotRun: it was sent, and the endpoint's refusal proves that it had no effect.
 	NotRun
 )
 
-// Event is something that happened to a request.
+// Event is an event in the life of a request.
 type Event int
 
 // Events.
 const (
 	// BytesSent: at least one byte may have reached the endpoint.
 	BytesSent Event = iota
-	// AnswerReceived: the answer is complete.
+	// AnswerReceived: the answer has been received completely.
 	AnswerReceived
 	// RefusedReadOnly: the endpoint refused a write with SQLSTATE 25006.
 	RefusedReadOnly
-	// ConnectionLost: the connection failed, or the term ended before the answer came.
+	// ConnectionLost: the connection failed, or the term ended before the answer arrived.
 	ConnectionLost
 )
 
-// Request is a request on its way. The zero value is a write that is not sent.
+// Request is the state machine of a request. The zero value is a write that has not
+// been sent. Answered, Unknown and NotRun are final until Reset.
 type Request struct {
-	// ReadOnly: the caller declared that it only reads, or it ran on a replica.
+	// ReadOnly: the caller declared that it only reads, or it runs on a replica.
 	ReadOnly bool
 	// InTransaction: earlier requests of the same transaction have run.
 	InTransaction bool
-	// Streamed: part of the answer has been passed on to the caller.
+	// Streamed: part of the answer has been forwarded to the caller.
 	Streamed bool
-	// HasID: it carries a request id, so that a marker tells whether it ran.
+	// HasID: it carries a request ID, so that a marker shows whether it ran.
 	HasID   bool
 	outcome Outcome
 	failed  bool
 }
 
-// Outcome returns what is known of the request.
+// Outcome returns what is known about the execution of the request.
 func (r *Request) Outcome() Outcome { return r.outcome }
 
-// Apply takes in an event. Events that come too late change nothing: an answer
-// that arrives after the request was given up does not count.
+// Apply applies an event. Late events have no effect: an answer that arrives after
+// the outcome became Unknown is ignored.
 func (r *Request) Apply(ev Event) {
 	switch {
 	case r.outcome == NotSent && ev == BytesSent:
@@ -72,26 +73,26 @@
 	}
 }
 
-// Action is what may follow.
+// Action is the next step for a request.
 type Action int
 
 // Actions.
 const (
-	// Proceed: send the request, or go on waiting for its answer.
+	// Proceed: send the request, or keep waiting for its answer.
 	Proceed Action = iota
-	// ForwardAnswer: pass the answer on.
+	// ForwardAnswer: forward the answer to the caller.
 	ForwardAnswer
 	// RetryElsewhere: send it again, if possible to another endpoint.
 	RetryElsewhere
 	// RetryOnPrimary: send it again to the primary.
 	RetryOnPrimary
-	// LookUpMarker: look the request id up before anything else.
+	// LookUpMarker: look up the marker of the request ID before anything else.
 	LookUpMarker
-	// Report: tell the caller the code that Code returns.
+	// Report: return the result of Code to the caller.
 	Report
 )
 
-// Next returns what may follow the events so far.
+// Next returns the action to take after the events so far.
 func (r *Request) Next() Action {
 	switch r.outcome {
 	case NotSent:
@@ -134,13 +135,14 @@
 	}
 }
 
-// Reset makes the request ready for another attempt.
+// Reset prepares the request for another attempt.
 func (r *Request) Reset() {
 	r.outcome, r.failed = NotSent, false
 }
 
-// Code returns the truthful result code when no further attempt is made. It is
-// zero for an answered request.
+// Code returns the result code to report when no further attempt is made. It is zero
+// for an answered request. A code that states that the request was not run is
+// returned only if that is certain.
 func (r *Request) Code() result.Code {
 	switch {
 	case r.outcome == Answered:
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -12,7 +12,7 @@
 
 var start = time.Unix(0, 0)
 
-func TestWhatMayFollow(t *testing.T) {
+func TestRequestNextActionAndCode(t *testing.T) {
 	cases := map[string]struct {
 		request Request
 		events  []Event
@@ -46,8 +46,9 @@
 	}
 }
 
-// A write without an id is sent again only when it provably had no effect, and
-// a code that says "not run" is given only then.
+// TestWritesRunAtMostOnce guards against a write that is applied twice: a write is retried
+// only when it provably had no effect, and a result code that states "not run" is
+// returned only then. Random sequences of events drive the request.
 func TestWritesRunAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		r := Request{InTransaction: rapid.Bool().Draw(t, "tx"), HasID: rapid.Bool().Draw(t, "id"), Streamed: rapid.Bool().Draw(t, "streamed")}
@@ -64,10 +65,10 @@
 			}
 			action := r.Next()
 			if mayHaveRun && (action == RetryElsewhere || action == RetryOnPrimary) {
-				t.Fatalf("a write that may have run is sent again: %+v", r)
+				t.Fatalf("a write that may have run is retried: %+v", r)
 			}
 			if mayHaveRun && r.Outcome() != Answered && result.Lookup(r.Code()).NotRun {
-				t.Fatalf("code %d claims that a write was not run: %+v", r.Code(), r)
+				t.Fatalf("code %d states that a write was not run, which is uncertain: %+v", r.Code(), r)
 			}
 			if action == RetryElsewhere || action == RetryOnPrimary {
 				r.Reset()
@@ -76,7 +77,9 @@
 	})
 }
 
-func TestRetriesStayWithinTheBudget(t *testing.T) {
+// TestBudgetBoundsRetries guards against a retry storm: at any failure rate, retries stay
+// within one initial token, a tenth of the requests and the reserve.
+func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultBudgetConfig()
 		b := NewBudgets(cfg)
@@ -98,10 +101,10 @@
 	})
 }
 
-func TestRetryNeedsBothBudgets(t *testing.T) {
+func TestBudgetsRequireWorkspaceAndEndpoint(t *testing.T) {
 	b := NewBudgets(DefaultBudgetConfig())
 	if !b.Allow(start, "w", "e") || b.Allow(start, "w", "other") || b.Allow(start, "other", "e") {
-		t.Fatal("a spent budget allowed a retry, or a full one did not")
+		t.Fatal("an empty budget allowed a retry, or a nonempty one did not")
 	}
 	later := start.Add(time.Minute)
 	if !b.Allow(later, "w", "e") {
@@ -109,16 +112,16 @@
 	}
 }
 
-func TestIdleBudgetsAreForgotten(t *testing.T) {
+func TestBudgetDropsIdleBuckets(t *testing.T) {
 	b := NewBudget(DefaultBudgetConfig())
 	b.Earn(start, "w")
 	b.Earn(start.Add(time.Hour), "v")
 	if len(b.buckets) != 1 {
-		t.Fatalf("%d budgets are kept", len(b.buckets))
+		t.Fatalf("%d buckets are kept", len(b.buckets))
 	}
 }
 
-func TestBackoffStaysWithinItsBounds(t *testing.T) {
+func TestBackoffWithinBounds(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		rnd := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 0))
 		b := Backoff{Base: DefaultBackoffBase, Cap: DefaultBackoffCap}
@@ -133,7 +136,7 @@
 	})
 }
 
-func TestMarkerRules(t *testing.T) {
+func TestCheckMarkerResults(t *testing.T) {
 	digest := DigestOf([]byte("insert"), []byte("1"))
 	marker := &Marker{Workspace: "w", RequestID: "r", Digest: digest, Written: start}
 	cases := map[string]struct {
