--- a/internal/connpool/alive.go
+++ b/internal/connpool/alive.go
@@ -5,9 +5,9 @@
 	"syscall"
 )
 
-// IsIdle reports whether a TCP connection is open and has nothing to read. It
-// looks at the socket without waiting, also while another task reads from it.
-// Other connections count as quiet.
+// IsIdle reports whether a TCP connection is open and has no unread data. It peeks at
+// the socket without blocking, and may be called while another goroutine reads from
+// the connection. It returns true for connections other than TCP.
 func IsIdle(c net.Conn) bool {
 	tcp, ok := c.(*net.TCPConn)
 	if !ok {
@@ -17,11 +17,11 @@
 	if err != nil {
 		return false
 	}
-	quiet := false
+	idle := false
 	var buf [1]byte
 	err = raw.Control(func(fd uintptr) {
 		_, _, recvErr := syscall.Recvfrom(int(fd), buf[:], syscall.MSG_PEEK|syscall.MSG_DONTWAIT)
-		quiet = recvErr == syscall.EAGAIN
+		idle = recvErr == syscall.EAGAIN
 	})
-	return err == nil && quiet
+	return err == nil && idle
 }
--- a/internal/connpool/alive_test.go
+++ b/internal/connpool/alive_test.go
@@ -29,28 +29,28 @@
 	return near, far
 }
 
-// TestQuietDoesNotWaitForAReader asks while another task reads, which a shutdown
-// does for every idle session.
-func TestQuietDoesNotWaitForAReader(t *testing.T) {
+// TestIsIdleWithConcurrentReader guards against a check that blocks behind a pending read. A
+// shutdown checks every idle session while its reader waits for the next request.
+func TestIsIdleWithConcurrentReader(t *testing.T) {
 	near, far := pair(t)
 	go func() { _, _ = near.Read(make([]byte, 1)) }()
 	answered := make(chan bool, 1)
 	go func() {
-		time.Sleep(50 * time.Millisecond) // lets the reader begin; either order must work
+		time.Sleep(50 * time.Millisecond) // lets the reader start; either order must work
 		answered <- IsIdle(near)
 	}()
 	select {
-	case quiet := <-answered:
-		if !quiet {
-			t.Error("an idle connection is not quiet")
+	case idle := <-answered:
+		if !idle {
+			t.Error("an idle connection is not reported as idle")
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("waits for the reader")
+		t.Fatal("IsIdle waits for the reader")
 	}
 	_ = far
 }
 
-func TestAClosedConnectionIsNotQuiet(t *testing.T) {
+func TestIsIdleClosedConnection(t *testing.T) {
 	near, far := pair(t)
 	_ = far.Close()
 	for IsIdle(near) { // until the end of the stream arrives
--- a/internal/connpool/keys_test.go
+++ b/internal/connpool/keys_test.go
@@ -15,12 +15,12 @@
 		t.Fatal(err)
 	}
 	if c.key != key {
-		t.Fatalf("lent a connection of %q to %q", c.key, key)
+		t.Fatalf("checked out a connection with key %q for %q", c.key, key)
 	}
 	return c
 }
 
-func TestAnIdleConnectionGivesWayToAnotherKey(t *testing.T) {
+func TestIdleConnectionEvictedForOtherKey(t *testing.T) {
 	p, dialed := newPool(2)
 	a, b := acquireKey(t, p, "a"), acquireKey(t, p, "b")
 	p.Release(a, true)
@@ -31,12 +31,13 @@
 	}
 	p.Release(c, true)
 	if s := p.Stats(); s.Open != 2 {
-		t.Errorf("%d open of %d", s.Open, s.Limit)
+		t.Errorf("%d connections open, limit %d", s.Open, s.Limit)
 	}
 }
 
-// TestNoKeyStarves keeps a connection busy with one key while another waits.
-func TestNoKeyStarves(t *testing.T) {
+// TestBusyKeyDoesNotStarveOthers guards against starvation: at the limit, a connection is
+// handed to requests of its own key without end while a request of another key waits.
+func TestBusyKeyDoesNotStarveOthers(t *testing.T) {
 	p, _ := newPool(1)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
@@ -62,12 +63,12 @@
 	<-done
 }
 
-func TestKeysInUseCountAsDemand(t *testing.T) {
+func TestTakePeakCountsRecentKeys(t *testing.T) {
 	p, _ := newPool(1)
 	for _, key := range []string{"a", "b", "c"} {
 		p.Release(acquireKey(t, p, key), true)
 	}
 	if n := p.TakePeak(); n != 3 {
-		t.Errorf("%d connections wanted for three keys", n)
+		t.Errorf("peak demand of %d connections for three keys", n)
 	}
 }
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -1,6 +1,6 @@
-// Package connpool lends the connections of one endpoint, within a cap that may
-// change while it runs. It knows no protocol. Connections have a key, such as
-// the workspace that the endpoint was told, and serve requests of that key only.
+// Package connpool pools the connections to one endpoint, within a limit that may change
+// at run time. It is independent of the protocol. Each connection has a key, such as the
+// workspace with which it was opened, and serves only requests with that key.
 package connpool
 
 import (
@@ -13,36 +13,37 @@
 )
 
 const (
-	// dialTimeout bounds the opening of one connection.
+	// dialTimeout bounds one dial.
 	dialTimeout = 5 * time.Second
-	// keepIdle is how long a connection that nobody needs stays open.
-	keepIdle = 60 * time.Second
-	// redialDelay is the wait after a failed attempt to open a connection. It
-	// doubles with each further failure up to maxRedialDelay: an endpoint may count
-	// the connections of a lost machine for 3 s.
+	// maxIdleTime is how long an idle connection stays open.
+	maxIdleTime = 60 * time.Second
+	// redialDelay is the wait after a failed dial. It doubles with each further failure
+	// up to maxRedialDelay: an endpoint may count the connections of a lost machine
+	// against its limit for 3 s.
 	redialDelay    = 100 * time.Millisecond
 	maxRedialDelay = 400 * time.Millisecond
-	// checkAfter is how long a connection rests before it is checked on reuse.
-	checkAfter = 200 * time.Millisecond
-	// fairAfter is how long the first request may wait while later ones of other
-	// keys are served. Under load each change of a connection's key costs the
-	// endpoint a slot for 12 ms, so that several requests must share one.
-	fairAfter = 150 * time.Millisecond
-	// keyMemory is how long a key counts as in use after its last request.
-	keyMemory = 5 * time.Second
+	// livenessCheckAfter is the idle time after which a connection is checked before
+	// reuse.
+	livenessCheckAfter = 200 * time.Millisecond
+	// maxBypassTime is how long the first waiting request may be bypassed by later ones
+	// with other keys. Under load each change of a connection's key occupies a slot of
+	// the endpoint for 12 ms, so several requests must share one change.
+	maxBypassTime = 150 * time.Millisecond
+	// keyRetention is how long a key counts as in use after its last request.
+	keyRetention = 5 * time.Second
 )
 
-// ErrClosed reports that the endpoint is no longer in use.
+// ErrClosed is returned by Acquire after Close: the endpoint is no longer in use.
 var ErrClosed = errors.New("the endpoint is no longer in use")
 
 // Conn is a pooled connection.
 type Conn interface {
-	// Key tells which requests the connection serves.
+	// Key returns the key of the requests that the connection serves. It is constant.
 	Key() string
-	// Alive reports, without waiting, whether a connection that has rested is
-	// still open and silent.
+	// Alive reports, without blocking, whether an idle connection is still open and
+	// has no unread data.
 	Alive() bool
-	// Reusable reports whether the connection may be lent again.
+	// Reusable reports whether the connection may be checked out again.
 	Reusable() bool
 	Close()
 }
@@ -50,32 +51,36 @@
 // Dial opens a connection with a key.
 type Dial[C Conn] func(ctx context.Context, key string) (C, error)
 
-// Pool lends the connections of one endpoint. It is safe for concurrent use.
-// Of the connections of a key the one used last is lent first, so that surplus
-// ones fall idle. At the cap, an idle connection gives way to a key that waits.
+// Pool holds the connections to one endpoint. It is safe for concurrent use. Of the idle
+// connections with a key the one used last is checked out first, so that surplus ones
+// time out. At the limit, an idle connection is closed to open one for a waiting request
+// with another key.
+//
+// open counts the connections that are checked out, idle or being dialed. Each waiter
+// receives exactly one grant unless it is removed from waiters first.
 type Pool[C Conn] struct {
 	dial Dial[C]
 
-	mu      sync.Mutex
-	limit   int
-	open    int
-	dialing map[string]int
-	held    map[string]int // open connections by key, without those being dialed
-	idle    []resting[C]   // in the order of their return
-	waiters []*waiter[C]   // in the order of their arrival
-	used    map[string]time.Time
-	lastErr error
-	// failures counts the failed attempts since the last connection was opened. The
-	// next attempt is made no earlier than retryAt, and one at a time.
+	mu        sync.Mutex
+	limit     int
+	open      int
+	dialing   map[string]int
+	openByKey map[string]int // open connections by key, without those being dialed
+	idle      []idleConn[C]  // ordered by the time of their release
+	waiters   []*waiter[C]   // ordered by their arrival
+	lastUsed  map[string]time.Time
+	lastErr   error
+	// failures counts the failed dials since the last success. After a failure the next
+	// dial starts no earlier than retryAt, and only one runs at a time.
 	failures int
 	retryAt  time.Time
 	closed   bool
-	// peak is the greatest number of lent and wanted connections since TakePeak.
+	// peak is the greatest demand (see demand) since the last call of TakePeak.
 	peak int
 }
 
-// resting is an idle connection.
-type resting[C Conn] struct {
+// idleConn is an idle connection with the time of its release.
+type idleConn[C Conn] struct {
 	conn  C
 	since time.Time
 }
@@ -94,46 +99,46 @@
 // New returns a pool that opens at most limit connections. While the limit is
 // zero, requests wait.
 func New[C Conn](dial Dial[C], limit int) *Pool[C] {
-	return &Pool[C]{dial: dial, limit: max(limit, 0), dialing: map[string]int{}, held: map[string]int{}, used: map[string]time.Time{}}
+	return &Pool[C]{dial: dial, limit: max(limit, 0), dialing: map[string]int{}, openByKey: map[string]int{}, lastUsed: map[string]time.Time{}}
 }
 
-// SetLimit changes the cap on open connections. Connections over a lowered cap
-// are closed as they are returned.
+// SetLimit changes the limit on open connections. Idle connections over a lowered limit
+// are closed at once, the others when they are released.
 func (p *Pool[C]) SetLimit(limit int) {
 	p.mu.Lock()
 	p.limit = max(limit, 0)
-	surplus := p.trim(time.Time{})
-	surplus = append(surplus, p.grow()...)
+	surplus := p.trimIdle(time.Time{})
+	surplus = append(surplus, p.openForWaiters()...)
 	p.mu.Unlock()
 	closeAll(surplus)
 }
 
-// Stats describes a pool.
+// Stats is a snapshot of the state of a pool.
 type Stats struct {
 	Limit   int
 	Open    int
 	Idle    int
 	Waiting int
-	// LastError is why the last attempt to open a connection failed, or nil.
+	// LastError is the error of the last dial, or nil if it succeeded.
 	LastError error
 }
 
-// Stats returns the present state.
+// Stats returns a snapshot of the current state.
 func (p *Pool[C]) Stats() Stats {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	return Stats{Limit: p.limit, Open: p.open, Idle: len(p.idle), Waiting: len(p.waiters), LastError: p.lastErr}
 }
 
-// HasIdle reports whether a connection of the key is idle.
+// HasIdle reports whether a connection with the key is idle.
 func (p *Pool[C]) HasIdle(key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.idle, func(r resting[C]) bool { return r.conn.Key() == key })
+	return slices.ContainsFunc(p.idle, func(r idleConn[C]) bool { return r.conn.Key() == key })
 }
 
-// wanted is the number of connections that are lent or waited for.
-func (p *Pool[C]) wanted() int {
+// demand returns the number of connections that are checked out or waited for.
+func (p *Pool[C]) demand() int {
 	dialing := 0
 	for _, n := range p.dialing {
 		dialing += n
@@ -141,26 +146,27 @@
 	return p.open - dialing - len(p.idle) + len(p.waiters)
 }
 
-// TakePeak returns how many connections the pool could use: the greatest number
-// that was lent or waited for at once since the last call, and at least one for
-// each key that was used lately.
+// TakePeak returns how many connections the pool could use: the greatest number that was
+// checked out or waited for at once since the last call, and at least one for each key
+// that was used within keyRetention.
 func (p *Pool[C]) TakePeak() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	now := time.Now()
-	for key, at := range p.used {
-		if now.Sub(at) > keyMemory {
-			delete(p.used, key)
+	for key, at := range p.lastUsed {
+		if now.Sub(at) > keyRetention {
+			delete(p.lastUsed, key)
 		}
 	}
-	peak := max(p.peak, p.wanted(), len(p.used))
+	peak := max(p.peak, p.demand(), len(p.lastUsed))
 	p.peak = 0
 	return peak
 }
 
-// Acquire lends a connection with the key, waiting until one is free or ctx
-// ends. Of the idle ones it lends the one used last for which prefer holds, if
-// any; prefer may be nil.
+// Acquire checks out a connection with the key. It waits until one is available, a dial
+// fails while the key has no other connection, or ctx ends. Of the idle connections it
+// takes the one used last for which prefer returns true, or else the one used last;
+// prefer may be nil. It returns ErrClosed after Close.
 func (p *Pool[C]) Acquire(ctx context.Context, key string, prefer func(C) bool) (C, error) {
 	var none C
 	now := time.Now()
@@ -169,15 +175,15 @@
 		p.mu.Unlock()
 		return none, ErrClosed
 	}
-	p.used[key] = now
-	conn, ok, dead := p.pop(now, key, prefer)
+	p.lastUsed[key] = now
+	conn, ok, dead := p.takeIdle(now, key, prefer)
 	if ok {
-		p.peak = max(p.peak, p.wanted())
+		p.peak = max(p.peak, p.demand())
 		p.mu.Unlock()
 		closeAll(dead)
 		return conn, nil
 	}
-	if p.held[key] == 0 && p.dialing[key] == 0 && now.Before(p.retryAt) {
+	if p.openByKey[key] == 0 && p.dialing[key] == 0 && now.Before(p.retryAt) {
 		err := p.lastErr
 		p.mu.Unlock()
 		closeAll(dead)
@@ -185,8 +191,8 @@
 	}
 	w := &waiter[C]{key: key, since: now, ready: make(chan grant[C], 1)}
 	p.waiters = append(p.waiters, w)
-	p.peak = max(p.peak, p.wanted())
-	surplus := append(dead, p.grow()...)
+	p.peak = max(p.peak, p.demand())
+	surplus := append(dead, p.openForWaiters()...)
 	p.mu.Unlock()
 	closeAll(surplus)
 
@@ -194,43 +200,43 @@
 	case g := <-w.ready:
 		return g.conn, g.err
 	case <-ctx.Done():
-		p.abandon(w)
+		p.cancelWaiter(w)
 		return none, ctx.Err()
 	}
 }
 
-// Release takes a connection back. A connection that is not reusable, because
+// Release returns a checked-out connection. A connection that is not reusable, because
 // its state is unknown or a request was cancelled on it, is closed.
 func (p *Pool[C]) Release(c C, reusable bool) {
 	p.mu.Lock()
 	var surplus []C
 	if !reusable || !c.Reusable() || p.closed || p.open > p.limit {
-		surplus = append(surplus, p.drop(c))
-	} else if !p.give(time.Now(), c) {
-		surplus = append(surplus, p.drop(c))
+		surplus = append(surplus, p.removeOpen(c))
+	} else if !p.deliver(time.Now(), c) {
+		surplus = append(surplus, p.removeOpen(c))
 	}
-	surplus = append(surplus, p.grow()...)
+	surplus = append(surplus, p.openForWaiters()...)
 	p.mu.Unlock()
 	closeAll(surplus)
 }
 
-// Sweep closes connections that have been idle for long.
+// Sweep closes connections that have been idle for longer than maxIdleTime.
 func (p *Pool[C]) Sweep(now time.Time) {
 	p.mu.Lock()
-	surplus := p.trim(now.Add(-keepIdle))
+	surplus := p.trimIdle(now.Add(-maxIdleTime))
 	p.mu.Unlock()
 	closeAll(surplus)
 }
 
-// Close closes idle connections and makes the pool refuse new requests. Lent
-// connections are closed when they are released.
+// Close closes idle connections and fails waiting and new requests with ErrClosed.
+// Connections that are checked out are closed when they are released.
 func (p *Pool[C]) Close() {
 	p.mu.Lock()
 	p.closed = true
 	idle := p.idle
 	p.idle = nil
 	for _, r := range idle {
-		p.drop(r.conn)
+		p.removeOpen(r.conn)
 	}
 	for _, w := range p.waiters {
 		w.ready <- grant[C]{err: ErrClosed}
@@ -242,17 +248,17 @@
 	}
 }
 
-// give lends c to the first waiter of its key or rests it. It reports false when
-// the connection should rather be closed, so that the first of all waiters,
-// which has another key, can have one.
-func (p *Pool[C]) give(now time.Time, c C) bool {
+// deliver hands c to the first waiter with its key, or adds it to the idle connections.
+// It returns false when the connection should be closed instead, because the first of
+// all waiters has another key and has been bypassed for maxBypassTime.
+func (p *Pool[C]) deliver(now time.Time, c C) bool {
 	key := c.Key()
 	at := slices.IndexFunc(p.waiters, func(w *waiter[C]) bool { return w.key == key })
 	if at < 0 {
-		p.idle = append(p.idle, resting[C]{conn: c, since: now})
+		p.idle = append(p.idle, idleConn[C]{conn: c, since: now})
 		return true
 	}
-	if first := p.waiters[0]; at > 0 && p.dialing[first.key] == 0 && now.Sub(first.since) >= fairAfter {
+	if first := p.waiters[0]; at > 0 && p.dialing[first.key] == 0 && now.Sub(first.since) >= maxBypassTime {
 		return false
 	}
 	w := p.waiters[at]
@@ -261,24 +267,26 @@
 	return true
 }
 
-// pop returns the idle connection of the key that was used last, among those
-// preferred if there are any, and the dead ones that it met.
-func (p *Pool[C]) pop(now time.Time, key string, prefer func(C) bool) (conn C, ok bool, dead []C) {
+// takeIdle removes and returns the idle connection with the key that was used last, among
+// the preferred ones if there are any. It also returns the dead connections that it
+// removed, for the caller to close.
+func (p *Pool[C]) takeIdle(now time.Time, key string, prefer func(C) bool) (conn C, ok bool, dead []C) {
 	for {
-		at := p.find(key, prefer)
+		at := p.findIdle(key, prefer)
 		if at < 0 {
 			return conn, false, dead
 		}
 		r := p.idle[at]
 		p.idle = slices.Delete(p.idle, at, at+1)
-		if now.Sub(r.since) < checkAfter || r.conn.Alive() {
+		if now.Sub(r.since) < livenessCheckAfter || r.conn.Alive() {
 			return r.conn, true, dead
 		}
-		dead = append(dead, p.drop(r.conn))
+		dead = append(dead, p.removeOpen(r.conn))
 	}
 }
 
-func (p *Pool[C]) find(key string, prefer func(C) bool) int {
+// findIdle returns the index of the idle connection that takeIdle returns, or -1.
+func (p *Pool[C]) findIdle(key string, prefer func(C) bool) int {
 	last := -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		c := p.idle[i].conn
@@ -293,9 +301,9 @@
 	return last
 }
 
-// trim removes idle connections over the cap, and those idle since before the
-// given time.
-func (p *Pool[C]) trim(before time.Time) []C {
+// trimIdle removes idle connections over the limit, and those idle since before the given
+// time. The caller closes them.
+func (p *Pool[C]) trimIdle(before time.Time) []C {
 	var surplus []C
 	for len(p.idle) > 0 && (p.open > p.limit || p.idle[0].since.Before(before)) {
 		surplus = append(surplus, p.evict())
@@ -303,26 +311,27 @@
 	return surplus
 }
 
-// evict removes the connection that has been idle for longest.
+// evict removes the connection that has been idle for longest. The caller closes it.
 func (p *Pool[C]) evict() C {
 	c := p.idle[0].conn
 	p.idle = slices.Delete(p.idle, 0, 1)
-	return p.drop(c)
+	return p.removeOpen(c)
 }
 
-// drop takes an open connection off the accounts; the caller closes it.
-func (p *Pool[C]) drop(c C) C {
+// removeOpen removes a connection from the counts of open ones. The caller closes it.
+func (p *Pool[C]) removeOpen(c C) C {
 	p.open--
-	p.held[c.Key()]--
-	if p.held[c.Key()] == 0 {
-		delete(p.held, c.Key())
+	p.openByKey[c.Key()]--
+	if p.openByKey[c.Key()] == 0 {
+		delete(p.openByKey, c.Key())
 	}
 	return c
 }
 
-// grow opens connections in the background for waiters that no opening
-// connection of their key will serve. It returns idle connections that gave way.
-func (p *Pool[C]) grow() []C {
+// openForWaiters dials connections in the background for waiters that no connection being
+// dialed with their key will serve. It returns the idle connections that it evicted at
+// the limit, for the caller to close.
+func (p *Pool[C]) openForWaiters() []C {
 	var evicted []C
 	if p.closed {
 		return nil
@@ -344,86 +353,89 @@
 		}
 		p.open++
 		p.dialing[w.key]++
-		go p.openOne(w.key)
+		go p.openConn(w.key)
 	}
 	return evicted
 }
 
-func (p *Pool[C]) openOne(key string) {
+// openConn dials one connection and delivers it to a waiter or to the idle connections.
+func (p *Pool[C]) openConn(key string) {
 	ctx, cancel := context.WithTimeout(context.Background(), dialTimeout)
 	defer cancel()
 	c, err := p.dial(ctx, key)
 	p.mu.Lock()
-	p.dialed(key)
+	p.dialFinished(key)
 	if err != nil {
-		p.failed(err)
+		p.dialFailed(err)
 		p.mu.Unlock()
 		return
 	}
 	p.lastErr, p.failures, p.retryAt = nil, 0, time.Time{}
-	p.held[key]++
+	p.openByKey[key]++
 	var surplus []C
-	if p.closed || !p.give(time.Now(), c) {
-		surplus = append(surplus, p.drop(c))
+	if p.closed || !p.deliver(time.Now(), c) {
+		surplus = append(surplus, p.removeOpen(c))
 	}
-	surplus = append(surplus, p.grow()...)
+	surplus = append(surplus, p.openForWaiters()...)
 	p.mu.Unlock()
 	closeAll(surplus)
 }
 
-func (p *Pool[C]) dialed(key string) {
+func (p *Pool[C]) dialFinished(key string) {
 	p.dialing[key]--
 	if p.dialing[key] == 0 {
 		delete(p.dialing, key)
 	}
 }
 
-// failed passes the error to the waiters whom no open connection can serve. For
-// the others another attempt follows.
-func (p *Pool[C]) failed(err error) {
+// dialFailed fails the waiters whose key has no open connection and no dial in progress.
+// For the others another dial is scheduled.
+func (p *Pool[C]) dialFailed(err error) {
 	p.open--
 	p.lastErr = err
 	delay := min(redialDelay<<min(p.failures, maxDoublings), maxRedialDelay)
 	p.failures++
 	p.retryAt = time.Now().Add(delay)
 	p.waiters = slices.DeleteFunc(p.waiters, func(w *waiter[C]) bool {
-		hopeless := p.held[w.key] == 0 && p.dialing[w.key] == 0
+		hopeless := p.openByKey[w.key] == 0 && p.dialing[w.key] == 0
 		if hopeless {
 			w.ready <- grant[C]{err: err}
 		}
 		return hopeless
 	})
 	if len(p.waiters) > 0 {
-		time.AfterFunc(delay, p.retry)
+		time.AfterFunc(delay, p.retryDial)
 	}
 }
 
-// maxDoublings bounds the shift of redialDelay.
+// maxDoublings bounds the doublings of redialDelay.
 const maxDoublings = 8
 
-func (p *Pool[C]) retry() {
+func (p *Pool[C]) retryDial() {
 	p.mu.Lock()
-	surplus := p.grow()
+	surplus := p.openForWaiters()
 	p.mu.Unlock()
 	closeAll(surplus)
 }
 
-func (p *Pool[C]) abandon(w *waiter[C]) {
+// cancelWaiter withdraws a waiter whose context has ended.
+func (p *Pool[C]) cancelWaiter(w *waiter[C]) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	if at := slices.Index(p.waiters, w); at >= 0 {
 		p.waiters = slices.Delete(p.waiters, at, at+1)
 		return
 	}
-	// The waiter was served meanwhile: the connection is lent onwards.
+	// A connection was delivered in the meantime: pass it to another waiter.
 	if g := <-w.ready; g.err == nil {
-		p.idle = append(p.idle, resting[C]{conn: g.conn, since: time.Now()})
-		p.handOver(g.conn)
+		p.idle = append(p.idle, idleConn[C]{conn: g.conn, since: time.Now()})
+		p.deliverIdle(g.conn)
 	}
 }
 
-// handOver lends an idle connection to a waiter of its key, if there is one.
-func (p *Pool[C]) handOver(c C) {
+// deliverIdle hands the connection that was added to idle last to a waiter with its key,
+// if there is one.
+func (p *Pool[C]) deliverIdle(c C) {
 	at := slices.IndexFunc(p.waiters, func(w *waiter[C]) bool { return w.key == c.Key() })
 	if at < 0 {
 		return
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -10,7 +10,7 @@
 	"github.com/pkg/errors"
 )
 
-// fakeConn counts what the pool does with it.
+// fakeConn is a connection that records whether the pool closed it.
 type fakeConn struct {
 	number   int
 	key      string
@@ -43,21 +43,21 @@
 	return c
 }
 
-func TestPreferredConnectionGoesFirst(t *testing.T) {
+func TestAcquirePreferredConnection(t *testing.T) {
 	p, _ := newPool(3)
 	a, b, c := acquire(t, p, nil), acquire(t, p, nil), acquire(t, p, nil)
 	for _, conn := range []*fakeConn{a, b, c} {
 		p.Release(conn, true)
 	}
 	if got := acquire(t, p, func(x *fakeConn) bool { return x == b }); got != b {
-		t.Errorf("lent %d, preferred %d", got.number, b.number)
+		t.Errorf("checked out %d, preferred %d", got.number, b.number)
 	}
 	if got := acquire(t, p, func(*fakeConn) bool { return false }); got != c {
-		t.Errorf("lent %d, used last %d", got.number, c.number)
+		t.Errorf("checked out %d, used last %d", got.number, c.number)
 	}
 }
 
-func TestDoubtfulConnectionsAreClosed(t *testing.T) {
+func TestUnusableConnectionClosedOnRelease(t *testing.T) {
 	p, dialed := newPool(1)
 	a := acquire(t, p, nil)
 	p.Release(a, false)
@@ -69,13 +69,15 @@
 	}
 }
 
-func TestAWaiterThatGivesUpLosesNoConnection(t *testing.T) {
+// TestAcquireCancelledKeepsConnection guards against losing a connection that is delivered to a
+// request whose context has ended.
+func TestAcquireCancelledKeepsConnection(t *testing.T) {
 	p, _ := newPool(1)
 	a := acquire(t, p, nil)
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := p.Acquire(ctx, "", nil); err == nil {
-		t.Fatal("lent a second connection")
+		t.Fatal("checked out a second connection")
 	}
 	p.Release(a, true)
 	if got := acquire(t, p, nil); got != a {
@@ -83,9 +85,9 @@
 	}
 }
 
-// TestARefusingEndpointIsNotFlooded asks again and again while every attempt to
-// open a connection fails.
-func TestARefusingEndpointIsNotFlooded(t *testing.T) {
+// TestFailedDialsThrottled guards against flooding an endpoint that refuses connections: every
+// dial fails while requests keep arriving.
+func TestFailedDialsThrottled(t *testing.T) {
 	var dialed atomic.Int64
 	refused := errors.New("too many connections")
 	p := New(func(context.Context, string) (*fakeConn, error) {
@@ -99,6 +101,6 @@
 		}
 	}
 	if n := dialed.Load(); n > asked/10 {
-		t.Errorf("%d attempts for %d requests", n, asked)
+		t.Errorf("%d dials for %d requests", n, asked)
 	}
 }
