--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -1,6 +1,6 @@
-// Package gate lets requests wait for the slots of endpoints. The order is that
-// of package admit; the package feeds one queue per endpoint with events and
-// wakes the requests that it starts or refuses.
+// Package gate makes requests wait for the slots of endpoints. It drives one admission
+// queue of package admit per endpoint, which decides the order, and wakes the requests
+// that the queue starts or refuses.
 package gate
 
 import (
@@ -23,33 +23,34 @@
 	Deadline  time.Time
 }
 
-// Gate has an admission queue for each endpoint.
+// Gate holds an admission queue for each endpoint. It is safe for concurrent use.
 type Gate struct {
 	policy admit.Policy
 	slots  func(service, endpoint string) int
 	ready  func(endpoint, workspace string) bool
 
-	mu    sync.Mutex
-	gates map[string]*endpointGate
+	mu        sync.Mutex
+	endpoints map[string]*endpointQueue
 }
 
-// New returns a gate. The slots of this host at an endpoint may change
-// over time. Ready reports whether a request of a workspace could start there
-// without delay; nil if that does not matter.
+// New returns a Gate. slots returns the number of slots of this host at an endpoint and
+// may change over time. ready reports whether a request of a workspace could start there
+// without delay; nil if that is irrelevant.
 func New(policy admit.Policy, slots func(service, endpoint string) int, ready func(endpoint, workspace string) bool) *Gate {
-	return &Gate{policy: policy, slots: slots, ready: ready, gates: make(map[string]*endpointGate)}
+	return &Gate{policy: policy, slots: slots, ready: ready, endpoints: make(map[string]*endpointQueue)}
 }
 
-// AcquireSlot waits for a slot until ctx ends. The caller must call leave once the
-// request has ended. It returns a result.Error with a code for which NotRun holds.
+// AcquireSlot waits for a slot until ctx ends and returns a function that frees it, which
+// must be called when the request has ended. The error is a result.Error
+// whose code has NotRun set.
 func (g *Gate) AcquireSlot(ctx context.Context, a SlotRequest) (func(), error) {
-	return g.gate(a).enter(ctx, a)
+	return g.queueFor(a).acquire(ctx, a)
 }
 
-// Waiting returns the number of requests that wait for an endpoint's slots.
+// Waiting returns the number of requests that wait for a slot of an endpoint.
 func (g *Gate) Waiting(endpoint string) int {
 	g.mu.Lock()
-	e, ok := g.gates[endpoint]
+	e, ok := g.endpoints[endpoint]
 	g.mu.Unlock()
 	if !ok {
 		return 0
@@ -59,10 +60,11 @@
 	return e.queue.Waiting()
 }
 
-func (g *Gate) gate(a SlotRequest) *endpointGate {
+// queueFor returns the queue of the endpoint and creates it on first use.
+func (g *Gate) queueFor(a SlotRequest) *endpointQueue {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e, ok := g.gates[a.Endpoint]
+	e, ok := g.endpoints[a.Endpoint]
 	if !ok {
 		slots := func() int { return g.slots(a.Service, a.Endpoint) }
 		cfg := admit.DefaultConfig(slots())
@@ -70,62 +72,66 @@
 		if g.ready != nil {
 			cfg.Ready = func(workspace string) bool { return g.ready(a.Endpoint, workspace) }
 		}
-		e = &endpointGate{queue: admit.New(cfg), slots: slots, waiting: make(map[uint64]chan error)}
-		g.gates[a.Endpoint] = e
+		e = &endpointQueue{queue: admit.New(cfg), slots: slots, waiting: make(map[uint64]chan error)}
+		g.endpoints[a.Endpoint] = e
 	}
 	return e
 }
 
-// endpointGate feeds the queue of one endpoint.
-type endpointGate struct {
+// endpointQueue drives the admission queue of one endpoint.
+type endpointQueue struct {
 	slots func() int
 
 	mu    sync.Mutex
 	queue *admit.Queue
-	// peak is the greatest number of requests that ran or waited at once since
-	// use was last called.
-	peak    int
-	current int
-	lastID  uint64
+	// peak is the greatest number of requests that ran or waited at once since the
+	// last call of TakeUsage.
+	peak int
+	// currentSlots is the number of slots that the queue was last set to.
+	currentSlots int
+	lastID       uint64
+	// waiting holds the channel of each waiting request by its ID in the queue. It
+	// receives nil when the request starts and an error when it is refused.
 	waiting map[uint64]chan error
 	timer   *time.Timer
-	// armed tells that the timer runs.
-	armed bool
+	// timerArmed reports whether the timer is set.
+	timerArmed bool
 }
 
-func (e *endpointGate) enter(ctx context.Context, a SlotRequest) (func(), error) {
-	turn := make(chan error, 1)
+// acquire queues a request and waits until it is started or refused, or until ctx ends.
+func (e *endpointQueue) acquire(ctx context.Context, a SlotRequest) (func(), error) {
+	decision := make(chan error, 1)
 	e.mu.Lock()
 	now := time.Now()
 	e.resize(now)
 	e.lastID++
 	id := e.lastID
-	e.waiting[id] = turn
+	e.waiting[id] = decision
 	e.apply(e.queue.Arrive(now, admit.Request{
 		ID: id, Workspace: a.Workspace, Weight: a.Weight, Class: a.Class, Deadline: a.Deadline,
 	}))
 	e.peak = max(e.peak, e.queue.Running()+e.queue.Waiting())
 	e.mu.Unlock()
 	select {
-	case err := <-turn:
-		return e.exit(id, a, err)
+	case err := <-decision:
+		return e.finishWait(id, a, err)
 	case <-ctx.Done():
 	}
 	if !e.cancel(id) {
-		return e.exit(id, a, <-turn)
+		return e.finishWait(id, a, <-decision)
 	}
 	return nil, result.New(result.DeadlineInQueue, "waiting for a slot of endpoint %s", a.Endpoint)
 }
 
-// exit returns the function that frees the slot.
-func (e *endpointGate) exit(id uint64, a SlotRequest, err error) (func(), error) {
+// finishWait returns the function that frees the slot, or the error of a refusal.
+func (e *endpointQueue) finishWait(id uint64, a SlotRequest, err error) (func(), error) {
 	if code := result.CodeOf(err); code != 0 {
 		return nil, result.New(code, "waiting for a slot of endpoint %s", a.Endpoint)
 	}
-	return func() { e.done(id) }, nil
+	return func() { e.release(id) }, nil
 }
 
-func (e *endpointGate) done(id uint64) {
+func (e *endpointQueue) release(id uint64) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	now := time.Now()
@@ -133,8 +139,8 @@
 	e.apply(e.queue.Done(now, id))
 }
 
-// cancel reports whether the request was still waiting.
-func (e *endpointGate) cancel(id uint64) bool {
+// cancel withdraws a request and reports whether it was still waiting.
+func (e *endpointQueue) cancel(id uint64) bool {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	waiting, effects := e.queue.Cancel(time.Now(), id)
@@ -145,63 +151,63 @@
 	return waiting
 }
 
-// resize follows a change of the number of slots.
-func (e *endpointGate) resize(now time.Time) {
-	if slots := e.slots(); slots != e.current {
-		e.current = slots
+// resize passes a changed number of slots to the queue.
+func (e *endpointQueue) resize(now time.Time) {
+	if slots := e.slots(); slots != e.currentSlots {
+		e.currentSlots = slots
 		e.apply(e.queue.SetSlots(now, slots))
 	}
 }
 
-// apply tells waiters what the queue decided.
-func (e *endpointGate) apply(effects []admit.Effect) {
+// apply notifies waiting requests of the decisions of the queue and sets the timer.
+func (e *endpointQueue) apply(effects []admit.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
 		case admit.Start:
-			e.tell(effect.ID, nil)
+			e.notify(effect.ID, nil)
 		case admit.Refuse:
-			e.tell(effect.ID, &result.Error{Code: effect.Code})
+			e.notify(effect.ID, &result.Error{Code: effect.Code})
 		}
 	}
 	e.schedule()
 }
 
-func (e *endpointGate) tell(id uint64, err error) {
-	if turn, ok := e.waiting[id]; ok {
+func (e *endpointQueue) notify(id uint64, err error) {
+	if decision, ok := e.waiting[id]; ok {
 		delete(e.waiting, id)
-		turn <- err
+		decision <- err
 	}
 }
 
-// schedule calls the queue at its next deadline. Waiters have contexts that
-// end then as well, so that a late call delays nobody.
-func (e *endpointGate) schedule() {
+// schedule sets the timer for the next deadline of the queue. The contexts of waiting
+// requests end at their deadlines too, so a late timer delays no request.
+func (e *endpointQueue) schedule() {
 	next, ok := e.queue.NextDeadline()
 	switch {
-	case !ok && e.armed:
-		e.armed = false
+	case !ok && e.timerArmed:
+		e.timerArmed = false
 		e.timer.Stop()
 	case !ok:
 	case e.timer == nil:
-		e.armed = true
+		e.timerArmed = true
 		e.timer = time.AfterFunc(time.Until(next), e.tick)
 	default:
-		e.armed = true
+		e.timerArmed = true
 		e.timer.Reset(time.Until(next))
 	}
 }
 
-func (e *endpointGate) tick() {
+func (e *endpointQueue) tick() {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	e.apply(e.queue.Tick(time.Now()))
 }
 
-// TakeUsage returns the requests that run on an endpoint, and the greatest number
-// that ran or waited at once since the last call.
+// TakeUsage returns the number of requests that run on an endpoint, and the greatest
+// number that ran or waited at once since the last call.
 func (g *Gate) TakeUsage(endpoint string) (running, peak int) {
 	g.mu.Lock()
-	e, ok := g.gates[endpoint]
+	e, ok := g.endpoints[endpoint]
 	g.mu.Unlock()
 	if !ok {
 		return 0, 0
@@ -213,15 +219,15 @@
 	return e.queue.Running(), peak
 }
 
-// Resize follows changed numbers of slots.
+// Resize applies changed numbers of slots to all endpoints.
 func (g *Gate) Resize() {
 	g.mu.Lock()
-	gates := make([]*endpointGate, 0, len(g.gates))
-	for _, e := range g.gates {
-		gates = append(gates, e)
+	endpoints := make([]*endpointQueue, 0, len(g.endpoints))
+	for _, e := range g.endpoints {
+		endpoints = append(endpoints, e)
 	}
 	g.mu.Unlock()
-	for _, e := range gates {
+	for _, e := range endpoints {
 		e.mu.Lock()
 		e.resize(time.Now())
 		e.mu.Unlock()
