--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -78,9 +78,9 @@
 	net     []Message
 	cut     map[[2]string]bool
 	check   *checker
-	compact uint64   // applied entries between snapshots, zero for none
-	wanted  []Wanted // control hosts that leaders bring into the group
-	open    bool     // leaders take in every host that asks
+	compact uint64          // applied entries between snapshots, zero for none
+	wanted  []DesiredMember // control hosts that leaders bring into the group
+	open    bool            // leaders take in every host that asks
 	// skip plants a fault in what is synced.
 	skip func(p *process, d Durable) Durable
 	// crash ends the next handling of work early.
@@ -96,17 +96,17 @@
 	}
 	for _, h := range founders {
 		c.add(h, founders)
-		c.wanted = append(c.wanted, Wanted{Host: h, Voter: true})
+		c.wanted = append(c.wanted, DesiredMember{Host: h, Voter: true})
 	}
 	return c
 }
 
 func (c *cluster) add(host string, founders []string) *process {
 	p := &process{cfg: Config{
-		Host: host, Peers: slices.Clone(c.hosts), Founders: founders,
+		Host: host, Peers: slices.Clone(c.hosts), InitialVoters: founders,
 		Rand:          rand.New(rand.NewPCG(c.rng.Uint64(), 2)),
 		ElectionTicks: c.electionTicks, HeartbeatTicks: max(1, c.electionTicks/5),
-		Trailing: 4, ChunkBytes: 64, MaxInflight: 4, MaxAppendBytes: 200,
+		TrailingEntries: 4, ChunkBytes: 64, MaxInflight: 4, MaxAppendBytes: 200,
 	}}
 	p.disk = c.newDisk()
 	c.procs[host] = p
@@ -170,7 +170,7 @@
 		}
 		p.confirmed = append(p.confirmed, rd.Confirmed...)
 		p.dropped = append(p.dropped, rd.Dropped...)
-		p.joining = rd.Joining
+		p.joining = rd.JoinRequests
 		p.node.Advance(rd)
 		c.check.observe(c, p, rd)
 		c.maybeCompact(p)
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -18,7 +18,7 @@
 	// Founders are the hosts, this one included, that found a new group as its
 	// voters once all of them are up with empty data folders. Empty: this node
 	// waits to be let into a group.
-	Founders []string
+	InitialVoters []string
 	// Rand randomises election timeouts and identifies a new group. Required.
 	Rand *rand.Rand
 	// TickInterval is the time between calls to Tick, for the driver.
@@ -36,7 +36,7 @@
 	ChunkBytes int
 	// Trailing is the number of applied entries kept after a snapshot so that
 	// followers that lag a little need no snapshot.
-	Trailing uint64
+	TrailingEntries uint64
 }
 
 func (c Config) withDefaults() Config {
@@ -48,8 +48,8 @@
 	setDefault(&c.MaxAppendBytes, DefaultMaxAppendBytes)
 	setDefault(&c.MaxInflight, DefaultMaxInflight)
 	setDefault(&c.ChunkBytes, DefaultChunkBytes)
-	if c.Trailing == 0 {
-		c.Trailing = DefaultTrailing
+	if c.TrailingEntries == 0 {
+		c.TrailingEntries = DefaultTrailingEntries
 	}
 	return c
 }
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -90,10 +90,10 @@
 // handleVote answers KindPreVote and KindVote. A node votes for any candidate
 // that counts its disk identity, even one that its own log does not name yet.
 func (n *Node) handleVote(m *Message) {
-	kind := KindVoteAnswer
+	kind := KindVoteResponse
 	free := n.hard.Vote == m.FromDisk || n.hard.Vote == 0 && n.leader.Disk == 0
 	if m.Kind == KindPreVote {
-		kind = KindPreVoteAnswer
+		kind = KindPreVoteResponse
 		free = m.Term > n.hard.Term && !n.hearsLeader() && n.role != Leader
 		if n.role == Leader {
 			n.dismissStranger(m)
@@ -116,12 +116,12 @@
 }
 
 func (n *Node) handleVoteAnswer(m *Message) {
-	asked := n.role == PreCandidate && m.Kind == KindPreVoteAnswer ||
-		n.role == Candidate && m.Kind == KindVoteAnswer
+	asked := n.role == PreCandidate && m.Kind == KindPreVoteResponse ||
+		n.role == Candidate && m.Kind == KindVoteResponse
 	if !asked {
 		return
 	}
-	if m.Kind == KindPreVoteAnswer && !m.Reject && m.Term != n.hard.Term+1 {
+	if m.Kind == KindPreVoteResponse && !m.Reject && m.Term != n.hard.Term+1 {
 		return
 	}
 	n.votes[m.FromDisk] = !m.Reject
--- a/internal/consensus/founding.go
+++ b/internal/consensus/founding.go
@@ -41,16 +41,16 @@
 	if n.ticks%helloTicks == 0 {
 		n.sendHellos()
 	}
-	if n.hard.Fleet != 0 || n.founding.welcomed || len(n.cfg.Founders) == 0 {
+	if n.hard.Fleet != 0 || n.founding.welcomed || len(n.cfg.InitialVoters) == 0 {
 		return
 	}
-	if slices.Min(n.cfg.Founders) == n.cfg.Host && n.foundersReady() {
+	if slices.Min(n.cfg.InitialVoters) == n.cfg.Host && n.foundersReady() {
 		n.found()
 	}
 }
 
 func (n *Node) sendHellos() {
-	hosts := append(slices.Clone(n.cfg.Peers), n.cfg.Founders...)
+	hosts := append(slices.Clone(n.cfg.Peers), n.cfg.InitialVoters...)
 	if n.founding.leader != "" {
 		hosts = append(hosts, n.founding.leader)
 	}
@@ -60,13 +60,13 @@
 	slices.Sort(hosts)
 	for _, host := range slices.Compact(hosts) {
 		if host != n.cfg.Host {
-			n.send(Member{Host: host}, Message{Kind: KindHello})
+			n.send(Member{Host: host}, Message{Kind: KindJoinRequest})
 		}
 	}
 }
 
 func (n *Node) foundersReady() bool {
-	for _, host := range n.cfg.Founders {
+	for _, host := range n.cfg.InitialVoters {
 		f, heard := n.founding.heard[host]
 		if host != n.cfg.Host && (!heard || n.ticks-f.tick > 2*helloTicks) {
 			return false
@@ -78,7 +78,7 @@
 // found begins a group whose log starts after an empty snapshot.
 func (n *Node) found() {
 	members := []Member{{Host: n.cfg.Host, Disk: n.disk, Voter: true}}
-	for _, host := range n.cfg.Founders {
+	for _, host := range n.cfg.InitialVoters {
 		if host != n.cfg.Host {
 			members = append(members, Member{Host: host, Disk: n.founding.heard[host].disk, Voter: true})
 		}
@@ -97,7 +97,7 @@
 		}
 		return
 	}
-	n.answer(m, Message{Kind: KindWelcome, Leader: n.leader.Host})
+	n.answer(m, Message{Kind: KindJoinResponse, Leader: n.leader.Host})
 	if _, member := n.member(m.FromDisk); n.role != Leader || member {
 		return
 	}
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -125,7 +125,7 @@
 func (n *Node) appendEntry(e Entry) {
 	e.Index, e.Term = n.log.last()+1, n.hard.Term
 	n.log.append(e)
-	if e.Kind == EntryChange {
+	if e.Kind == EntryMembership {
 		n.members = e.Members
 		n.followMembers()
 	}
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -149,7 +149,7 @@
 		if e.Index <= l.snap.Index {
 			break
 		}
-		if e.Kind == EntryChange {
+		if e.Kind == EntryMembership {
 			return e.Members
 		}
 	}
@@ -164,7 +164,7 @@
 		if e.Index <= l.snap.Index {
 			break
 		}
-		if e.Kind == EntryChange && e.Index <= index {
+		if e.Kind == EntryMembership && e.Index <= index {
 			return e.Members
 		}
 	}
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -25,7 +25,7 @@
 }
 
 // Wanted names a control host that the settings list.
-type Wanted struct {
+type DesiredMember struct {
 	Host  string
 	Voter bool
 }
@@ -47,7 +47,7 @@
 		if e.Index <= n.log.commit {
 			return true
 		}
-		if e.Kind == EntryChange {
+		if e.Kind == EntryMembership {
 			return false
 		}
 	}
@@ -68,7 +68,7 @@
 	if err != nil {
 		return 0, err
 	}
-	n.appendEntry(Entry{Kind: EntryChange, Members: members})
+	n.appendEntry(Entry{Kind: EntryMembership, Members: members})
 	return n.log.last(), nil
 }
 
@@ -108,7 +108,7 @@
 // joining hosts in as learners, promotes learners that have caught up, and
 // replaces the data folder of a host that returned with another one. It
 // removes no host: that is for operators to order.
-func (n *Node) NextChange(wanted []Wanted) (Change, bool) {
+func (n *Node) NextChange(wanted []DesiredMember) (Change, bool) {
 	if n.checkLeader() != nil || n.log.commit < n.lead.firstOwn || !n.changeCommitted() {
 		return Change{}, false
 	}
@@ -120,7 +120,7 @@
 	return Change{}, false
 }
 
-func (n *Node) nextChangeOf(w Wanted) (Change, bool) {
+func (n *Node) nextChangeOf(w DesiredMember) (Change, bool) {
 	var current []Member
 	for _, m := range n.members {
 		if m.Host == w.Host {
@@ -136,7 +136,7 @@
 }
 
 // admit lets a new data folder of a host in, after older learners of the host.
-func (n *Node) admit(w Wanted, current []Member, disk uint64) (Change, bool) {
+func (n *Node) admit(w DesiredMember, current []Member, disk uint64) (Change, bool) {
 	for _, m := range current {
 		switch {
 		case m.Disk == n.disk || n.lead.progress[m.Disk].live():
@@ -150,7 +150,7 @@
 
 // promote makes the caught-up learner of a wanted voter a voter, once the dead
 // voter that it replaces is removed.
-func (n *Node) promote(w Wanted, current []Member) (Change, bool) {
+func (n *Node) promote(w DesiredMember, current []Member) (Change, bool) {
 	learner := slices.IndexFunc(current, func(m Member) bool { return !m.Voter })
 	if !w.Voter || learner < 0 || !n.caughtUp(current[learner]) {
 		return Change{}, false
--- a/internal/consensus/member_test.go
+++ b/internal/consensus/member_test.go
@@ -78,7 +78,7 @@
 	for i := range 30 {
 		c.propose(strings.Repeat("x", 100) + fmt.Sprint(i)) // a snapshot of many chunks
 	}
-	c.wanted = append(c.wanted, Wanted{Host: "d", Voter: true}, Wanted{Host: "relay"})
+	c.wanted = append(c.wanted, DesiredMember{Host: "d", Voter: true}, DesiredMember{Host: "relay"})
 	c.add("d", nil)
 	c.add("relay", nil)
 	c.until("the new hosts are members", c.settled)
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -7,22 +7,22 @@
 const (
 	// KindPreVote asks whether the receiver would vote for the sender in Term.
 	KindPreVote Kind = iota + 1
-	KindPreVoteAnswer
+	KindPreVoteResponse
 	KindVote
-	KindVoteAnswer
+	KindVoteResponse
 	KindAppend
-	KindAppendAnswer
+	KindAppendResponse
 	KindHeartbeat
-	KindHeartbeatAnswer
+	KindHeartbeatResponse
 	// KindSnapshot carries one chunk of a snapshot.
 	KindSnapshot
-	KindSnapshotAnswer
+	KindSnapshotResponse
 	// KindTimeoutNow asks the receiver to start an election at once.
 	KindTimeoutNow
-	// KindHello is sent by a node that belongs to no group.
-	KindHello
-	// KindWelcome answers KindHello: the sender belongs to a group.
-	KindWelcome
+	// KindJoinRequest is sent by a node that belongs to no group.
+	KindJoinRequest
+	// KindJoinResponse answers KindJoinRequest: the sender belongs to a group.
+	KindJoinResponse
 	// KindRejoin tells the receiver that its data folder must not be used.
 	KindRejoin
 )
@@ -42,7 +42,7 @@
 	Boots uint64 `cbor:"8,keyasint,omitempty"`
 	// Index and LogTerm name the entry before Entries (KindAppend), the last
 	// entry of a candidate (KindPreVote, KindVote), the last entry that matches
-	// (KindAppendAnswer) or the entry that a snapshot stands for.
+	// (KindAppendResponse) or the entry that a snapshot stands for.
 	Index   uint64  `cbor:"9,keyasint,omitempty"`
 	LogTerm uint64  `cbor:"10,keyasint,omitempty"`
 	Entries []Entry `cbor:"11,keyasint,omitempty"`
@@ -57,12 +57,12 @@
 	// Force marks a vote asked for by a leader that hands over.
 	Force bool `cbor:"17,keyasint,omitempty"`
 	// Offset is the position of Chunk in the data of a snapshot, and in
-	// KindSnapshotAnswer the position wanted next. Total is the data's length.
+	// KindSnapshotResponse the position wanted next. Total is the data's length.
 	Offset  uint64   `cbor:"18,keyasint,omitempty"`
 	Total   uint64   `cbor:"19,keyasint,omitempty"`
 	Chunk   []byte   `cbor:"20,keyasint,omitempty"`
 	Members []Member `cbor:"21,keyasint,omitempty"`
-	// Leader is the leader that the sender of KindWelcome knows.
+	// Leader is the leader that the sender of KindJoinResponse knows.
 	Leader string `cbor:"22,keyasint,omitempty"`
 }
 
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -33,7 +33,7 @@
 	lead     *leadership // set while leader
 	incoming *assembly   // snapshot being received
 	founding founding
-	seen     map[uint64]Seen // by disk identity
+	seen     map[uint64]PeerRecord // by disk identity
 	// seenBoot is set while a peer's new start is not yet synced.
 	seenBoot bool
 
@@ -58,10 +58,10 @@
 	}
 	n := &Node{
 		cfg: cfg, disk: st.Disk, boots: st.Boots, hard: st.Hard, saved: st.Hard, log: log,
-		seen:     map[uint64]Seen{},
+		seen:     map[uint64]PeerRecord{},
 		founding: newFounding(),
 	}
-	for _, s := range st.Hard.Seen {
+	for _, s := range st.Hard.PeerRecords {
 		n.seen[s.Disk] = s
 	}
 	n.members = log.members()
@@ -97,10 +97,10 @@
 		return err
 	}
 	switch m.Kind {
-	case KindHello:
+	case KindJoinRequest:
 		n.handleHello(&m)
 		return nil
-	case KindWelcome:
+	case KindJoinResponse:
 		n.handleWelcome(&m)
 		return nil
 	case KindRejoin:
@@ -126,7 +126,7 @@
 	if m.Fleet != 0 && n.hard.Fleet != 0 && m.Fleet != n.hard.Fleet {
 		return result.New(result.PeerFleet, "host %s belongs to group %x, this host to %x", m.From, m.Fleet, n.hard.Fleet)
 	}
-	if m.Kind == KindHello || m.Kind == KindWelcome {
+	if m.Kind == KindJoinRequest || m.Kind == KindJoinResponse {
 		return nil
 	}
 	if m.ToDisk != n.disk {
@@ -155,7 +155,7 @@
 	switch m.Kind {
 	case KindPreVote:
 		return true
-	case KindPreVoteAnswer:
+	case KindPreVoteResponse:
 		if !m.Reject {
 			return true
 		}
@@ -177,9 +177,9 @@
 func (n *Node) refuseOlderTerm(m *Message) {
 	switch {
 	case m.fromLeader():
-		n.answer(m, Message{Kind: KindAppendAnswer, Reject: true, Hint: n.log.commit, Last: n.log.last()})
+		n.answer(m, Message{Kind: KindAppendResponse, Reject: true, Hint: n.log.commit, Last: n.log.last()})
 	case m.Kind == KindPreVote:
-		n.answer(m, Message{Kind: KindPreVoteAnswer, Reject: true})
+		n.answer(m, Message{Kind: KindPreVoteResponse, Reject: true})
 	}
 }
 
@@ -190,7 +190,7 @@
 	switch m.Kind {
 	case KindPreVote, KindVote:
 		n.handleVote(m)
-	case KindPreVoteAnswer, KindVoteAnswer:
+	case KindPreVoteResponse, KindVoteResponse:
 		n.handleVoteAnswer(m)
 	case KindAppend:
 		n.handleAppend(m)
@@ -203,7 +203,7 @@
 			n.forced = true
 			n.campaign(Candidate)
 		}
-	case KindAppendAnswer, KindHeartbeatAnswer, KindSnapshotAnswer:
+	case KindAppendResponse, KindHeartbeatResponse, KindSnapshotResponse:
 		if n.role == Leader {
 			n.handleFollowerAnswer(m)
 		}
--- a/internal/consensus/open.go
+++ b/internal/consensus/open.go
@@ -47,7 +47,7 @@
 		if _, member := n.member(n.lead.joiners[host].disk); member {
 			continue
 		}
-		if c, ok := n.admit(Wanted{Host: host, Voter: true}, n.membersOf(host), n.lead.joiners[host].disk); ok {
+		if c, ok := n.admit(DesiredMember{Host: host, Voter: true}, n.membersOf(host), n.lead.joiners[host].disk); ok {
 			return c, true
 		}
 	}
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -16,13 +16,13 @@
 func (n *Node) Ready() Ready {
 	n.startRound()
 	rd := Ready{
-		Durable:   n.durable(),
-		Messages:  n.msgs,
-		Committed: n.log.slice(n.log.applied+1, n.log.commit),
-		Confirmed: n.confirmed,
-		Dropped:   n.dropped,
-		Joining:   n.joining,
-		Rejoin:    n.rejoin,
+		Durable:      n.durable(),
+		Messages:     n.msgs,
+		Committed:    n.log.slice(n.log.applied+1, n.log.commit),
+		Confirmed:    n.confirmed,
+		Dropped:      n.dropped,
+		JoinRequests: n.joining,
+		Rejoin:       n.rejoin,
 	}
 	if n.log.install {
 		snap := n.log.snap
@@ -49,7 +49,7 @@
 	if n.hardChanged() || !d.Empty() {
 		hard := n.hard
 		hard.Commit = n.log.commit
-		hard.Seen = n.seenPeers()
+		hard.PeerRecords = n.seenPeers()
 		d.Hard = &hard
 	}
 	return d
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -48,7 +48,7 @@
 	term, known := n.log.term(m.Index)
 	if !known || term != m.LogTerm {
 		n.answer(m, Message{
-			Kind: KindAppendAnswer, Reject: true, Index: m.Index,
+			Kind: KindAppendResponse, Reject: true, Index: m.Index,
 			Hint: n.matchHint(m.Index), Last: n.log.last(),
 		})
 		return
@@ -63,7 +63,7 @@
 }
 
 func (n *Node) answerAppend(m *Message, match uint64) {
-	n.answer(m, Message{Kind: KindAppendAnswer, Index: match, Last: n.log.last()})
+	n.answer(m, Message{Kind: KindAppendResponse, Index: match, Last: n.log.last()})
 }
 
 // matchHint returns the last index before prev at which this log may match
@@ -92,7 +92,7 @@
 		return
 	}
 	n.log.commitTo(m.Commit)
-	n.answer(m, Message{Kind: KindHeartbeatAnswer, Round: m.Round, Last: n.log.last()})
+	n.answer(m, Message{Kind: KindHeartbeatResponse, Round: m.Round, Last: n.log.last()})
 }
 
 // handleFollowerAnswer handles the answers to a leader's messages.
@@ -107,11 +107,11 @@
 	}
 	p.active, p.heard, p.answered = true, true, n.ticks
 	switch m.Kind {
-	case KindAppendAnswer:
+	case KindAppendResponse:
 		n.handleAppendAnswer(p, m)
-	case KindHeartbeatAnswer:
+	case KindHeartbeatResponse:
 		n.handleHeartbeatAnswer(p, m)
-	case KindSnapshotAnswer:
+	case KindSnapshotResponse:
 		n.handleSnapshotAnswer(p, m)
 	}
 }
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -43,7 +43,7 @@
 	s := &schedule{cluster: c, by: by}
 	for _, h := range founders {
 		c.add(h, founders)
-		c.wanted = append(c.wanted, Wanted{Host: h, Voter: true})
+		c.wanted = append(c.wanted, DesiredMember{Host: h, Voter: true})
 		s.speeds = append(s.speeds, 1+by.IntN(2))
 	}
 	c.compact = uint64(5 + by.IntN(20))
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -31,7 +31,7 @@
 	term, _ := n.log.term(index)
 	n.log.compact(Snapshot{
 		Index: index, Term: term, Members: n.log.membersAt(index), Data: data,
-	}, n.cfg.Trailing)
+	}, n.cfg.TrailingEntries)
 	return nil
 }
 
@@ -96,7 +96,7 @@
 		a.data = append(a.data, m.Chunk...)
 	}
 	if uint64(len(a.data)) < m.Total {
-		n.answer(m, Message{Kind: KindSnapshotAnswer, Index: m.Index, Offset: uint64(len(a.data)), Last: n.log.last()})
+		n.answer(m, Message{Kind: KindSnapshotResponse, Index: m.Index, Offset: uint64(len(a.data)), Last: n.log.last()})
 		return
 	}
 	n.incoming = nil
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -11,9 +11,9 @@
 	EntryCommand EntryKind = iota
 	// EntryNoOp is appended by a new leader to commit entries of earlier terms.
 	EntryNoOp
-	// EntryChange holds a new membership in Members. It takes effect when it is
+	// EntryMembership holds a new membership in Members. It takes effect when it is
 	// appended, not when it is committed.
-	EntryChange
+	EntryMembership
 )
 
 // Entry is one entry of the replicated log.
@@ -63,12 +63,12 @@
 	// Fleet is the random identity of the log, zero before the node has one.
 	Fleet uint64 `cbor:"4,keyasint,omitempty"`
 	// Seen is what the node remembers of its peers' data folders.
-	Seen []Seen `cbor:"5,keyasint,omitempty"`
+	PeerRecords []PeerRecord `cbor:"5,keyasint,omitempty"`
 }
 
 // Seen names the latest start and term seen of a peer's data folder. A folder
 // that shows less has been replaced by an older copy of itself.
-type Seen struct {
+type PeerRecord struct {
 	Disk  uint64 `cbor:"1,keyasint"`
 	Boots uint64 `cbor:"2,keyasint"`
 	Term  uint64 `cbor:"3,keyasint"`
@@ -128,7 +128,7 @@
 	// no longer the leader.
 	Dropped []uint64
 	// Joining lists nodes that asked this leader to be let into the group.
-	Joining []Member
+	JoinRequests []Member
 	// Rejoin is set once peers have shown that the data folder is an older copy
 	// of itself or was removed from the group. The node is then inert: the
 	// driver must start anew from an empty data folder with a new identity.
@@ -183,11 +183,11 @@
 
 // Defaults of Config.
 const (
-	DefaultTickInterval   = 20 * time.Millisecond
-	DefaultElectionTicks  = 15 // 300 ms, randomised up to 600 ms
-	DefaultHeartbeatTicks = 3  // 60 ms
-	DefaultMaxAppendBytes = 256 << 10
-	DefaultMaxInflight    = 32 // append messages per follower
-	DefaultChunkBytes     = 256 << 10
-	DefaultTrailing       = 1024 // entries
+	DefaultTickInterval    = 20 * time.Millisecond
+	DefaultElectionTicks   = 15 // 300 ms, randomised up to 600 ms
+	DefaultHeartbeatTicks  = 3  // 60 ms
+	DefaultMaxAppendBytes  = 256 << 10
+	DefaultMaxInflight     = 32 // append messages per follower
+	DefaultChunkBytes      = 256 << 10
+	DefaultTrailingEntries = 1024 // entries
 )
--- a/internal/consensus/witness.go
+++ b/internal/consensus/witness.go
@@ -10,7 +10,7 @@
 		n.tellRejoin(m)
 		return false
 	}
-	now := Seen{Disk: m.FromDisk, Boots: m.Boots, Term: was.Term}
+	now := PeerRecord{Disk: m.FromDisk, Boots: m.Boots, Term: was.Term}
 	if known {
 		now.Term = max(was.Term, term)
 	}
@@ -20,8 +20,8 @@
 }
 
 // seenPeers returns the memory of the members' data folders.
-func (n *Node) seenPeers() []Seen {
-	var all []Seen
+func (n *Node) seenPeers() []PeerRecord {
+	var all []PeerRecord
 	for _, m := range n.members {
 		if s, ok := n.seen[m.Disk]; ok {
 			all = append(all, s)
@@ -35,7 +35,7 @@
 	switch {
 	case m.Kind == KindPreVote:
 		return m.Term - 1, true
-	case m.Kind == KindPreVoteAnswer && !m.Reject:
+	case m.Kind == KindPreVoteResponse && !m.Reject:
 		return 0, false
 	}
 	return m.Term, true
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -62,11 +62,11 @@
 	if h.opts.Open {
 		return h.node.NextOpenChange()
 	}
-	wanted := make([]consensus.Wanted, 0, len(h.opts.Controls))
+	wanted := make([]consensus.DesiredMember, 0, len(h.opts.Controls))
 	for _, c := range h.opts.Controls {
-		wanted = append(wanted, consensus.Wanted{Host: c.Host, Voter: c.Voter})
+		wanted = append(wanted, consensus.DesiredMember{Host: c.Host, Voter: c.Voter})
 	}
-	slices.SortFunc(wanted, func(a, b consensus.Wanted) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(wanted, func(a, b consensus.DesiredMember) int { return cmp.Compare(a.Host, b.Host) })
 	return h.node.NextChange(wanted)
 }
 
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -243,12 +243,12 @@
 			cfg.Peers = append(cfg.Peers, c.Host)
 		}
 		if c.Voter && h.opts.Bootstrap {
-			cfg.Founders = append(cfg.Founders, c.Host)
+			cfg.InitialVoters = append(cfg.InitialVoters, c.Host)
 			founder = founder || c.Host == cfg.Host
 		}
 	}
 	if h.opts.Open && !founder {
-		cfg.Founders = nil // a host beside the seeds waits to be let in
+		cfg.InitialVoters = nil // a host beside the seeds waits to be let in
 	}
 	return cfg
 }
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -69,7 +69,7 @@
 
 func dumpOf(e consensus.Entry) dumpedEntry {
 	kinds := map[consensus.EntryKind]string{
-		consensus.EntryCommand: "command", consensus.EntryNoOp: "no_op", consensus.EntryChange: "change",
+		consensus.EntryCommand: "command", consensus.EntryNoOp: "no_op", consensus.EntryMembership: "change",
 	}
 	return dumpedEntry{Index: e.Index, Term: e.Term, Kind: kinds[e.Kind], Data: e.Data, Members: e.Members}
 }
@@ -117,7 +117,7 @@
 		r.First, r.Last = st.Entries[0].Index, st.Entries[n-1].Index
 	}
 	for _, e := range st.Entries {
-		if e.Kind == consensus.EntryChange {
+		if e.Kind == consensus.EntryMembership {
 			r.Members = e.Members
 		}
 	}
