--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -62,7 +62,7 @@
 	fresh   *freshness
 
 	mu        sync.Mutex
-	usual     *pacing.Usual
+	usual     *pacing.Baseline
 	endpoints map[string]*endpoint
 	sessions  map[*Session]struct{}
 
@@ -77,7 +77,7 @@
 // NewServer returns a Server that Run must drive.
 func NewServer(opts Options) *Server {
 	s := &Server{
-		opts: opts, metrics: newMetrics(opts.Registerer), fresh: newFreshness(), usual: pacing.NewUsual(),
+		opts: opts, metrics: newMetrics(opts.Registerer), fresh: newFreshness(), usual: pacing.NewBaseline(),
 		endpoints: make(map[string]*endpoint), sessions: make(map[*Session]struct{}),
 	}
 	s.gate = gate.New(admit.PolicyFair, s.slots, s.ready)
@@ -245,8 +245,8 @@
 	for _, e := range s.used() {
 		u := limits.Usage{
 			Service: e.record.Service, Endpoint: e.record.ID,
-			Connections: e.pool.Stats().Open, WantedConnections: e.pool.TakePeak(),
-			OwnSlots: true,
+			Connections: e.pool.Stats().Open, ConnectionDemand: e.pool.TakePeak(),
+			NoSlotLease: true,
 		}
 		all = append(all, u)
 	}
--- a/internal/limits/holder.go
+++ b/internal/limits/holder.go
@@ -18,16 +18,16 @@
 type Usage struct {
 	Service  string
 	Endpoint string
-	// Connections are open, WantedConnections the most that were lent or asked for
+	// Connections are open, ConnectionDemand the most that were lent or asked for
 	// at once since the last report.
-	Connections       int
-	WantedConnections int
-	// Slots are taken, WantedSlots the most that were taken or asked for.
-	Slots       int
-	WantedSlots int
-	// OwnSlots: the host asks for no slots, since the endpoint has a queue of its
+	Connections      int
+	ConnectionDemand int
+	// Slots are taken, SlotDemand the most that were taken or asked for.
+	Slots      int
+	SlotDemand int
+	// NoSlotLease: the host asks for no slots, since the endpoint has a queue of its
 	// own.
-	OwnSlots bool
+	NoSlotLease bool
 }
 
 // Pool is the part of an entry host that uses connections and slots.
@@ -175,9 +175,9 @@
 	h.follow(state)
 	for _, u := range usage {
 		floor := h.floors[u.Service]
-		h.quota.Report(now, connectionKey(u.Endpoint), float64(max(u.Connections-floor, 0)), float64(max(u.WantedConnections-floor, 0)))
-		if !u.OwnSlots {
-			h.quota.Report(now, slotKey(u.Endpoint), float64(u.Slots), float64(u.WantedSlots))
+		h.quota.ReportUsage(now, connectionKey(u.Endpoint), float64(max(u.Connections-floor, 0)), float64(max(u.ConnectionDemand-floor, 0)))
+		if !u.NoSlotLease {
+			h.quota.ReportUsage(now, slotKey(u.Endpoint), float64(u.Slots), float64(u.SlotDemand))
 		}
 	}
 	batches := h.quota.Requests(now)
--- a/internal/limits/keys.go
+++ b/internal/limits/keys.go
@@ -31,7 +31,7 @@
 // quotaConfig derives the settings of quotas from those of the configuration
 // lease, under which owners act.
 func quotaConfig(cfg lease.Config) quota.Config {
-	return quota.Config{Authority: cfg.Duration, Drift: cfg.Drift}
+	return quota.Config{OwnerLease: cfg.Duration, Drift: cfg.Drift}
 }
 
 // limitsOf returns every limit that the agreed state sets.
@@ -60,10 +60,10 @@
 	// FloorConnections is what an entry host may have of each endpoint without a
 	// lease, so that a request on a quiet host does not wait for one.
 	FloorConnections int
-	// Probes is the number of an endpoint's connections that are left to probes;
+	// ProbeConnections is the number of an endpoint's connections that are left to probes;
 	// negative for one for each watching failure domain and one for the control
 	// leader.
-	Probes int
+	ProbeConnections int
 	// Headroom is how many connections for each entry host are left unused. After a
 	// loss of power an endpoint counts those of the lost processes for some seconds,
 	// and the hosts that start again need some beside them.
@@ -99,7 +99,7 @@
 // DefaultConfig returns the sharing of endpoints that are probed by watchers: a
 // host has one connection for its monitor and one for requests.
 func DefaultConfig() Config {
-	return Config{Lease: lease.DefaultConfig(), FloorConnections: 2, Probes: -1}
+	return Config{Lease: lease.DefaultConfig(), FloorConnections: 2, ProbeConnections: -1}
 }
 
 // floorSlots is the number of statements that a host without a lease may run.
@@ -129,7 +129,7 @@
 // use. The others are for probes: one watcher for each watching failure domain
 // and the control leader.
 func (f fleetSize) available(connections int) int {
-	probes := f.cfg.Probes
+	probes := f.cfg.ProbeConnections
 	if probes < 0 {
 		probes = min(f.domains, failover.MaxWatcherDomains) + 1
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -265,13 +265,13 @@
 // TestHeadroomIsLeftWhereItCanBe adds up what all hosts may use beside it.
 func TestHeadroomIsLeftWhereItCanBe(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.FloorConnections, cfg.Probes, cfg.Headroom = 1, 2, 1
+	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom = 1, 2, 1
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: cfg, entryHosts: hosts, domains: min(hosts, 4)}
 			used := size.floor(connections)*hosts + size.sharedConnections(connections)
-			left := max(connections-cfg.Probes, 1) - used
-			if left < 0 || left == 0 && connections-cfg.Probes >= 2*hosts {
+			left := max(connections-cfg.ProbeConnections, 1) - used
+			if left < 0 || left == 0 && connections-cfg.ProbeConnections >= 2*hosts {
 				t.Errorf("%d connections, %d hosts: %d left", connections, hosts, left)
 			}
 		}
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -83,7 +83,7 @@
 // noteKnown logs when the owner comes to know all leases of its keys, or has to
 // learn them anew.
 func (o *Owner) noteKnown(now time.Time) {
-	known, quiet := o.quota.Known()
+	known, quiet := o.quota.LeasesKnown()
 	if known == o.known {
 		return
 	}
@@ -99,7 +99,7 @@
 	if r.request.Host != r.from.Host || r.request.Incarnation != r.from.Incarnation {
 		return // a host asks for itself only
 	}
-	o.quota.SetAuthority(o.view.Current().ValidUntil)
+	o.quota.SetOwnerLease(o.view.Current().ValidUntil)
 	reply := o.quota.Handle(now, r.request)
 	if err := o.peers.Send(r.from.Host, r.from.Addr, peer.KindQuotaOK, reply); err != nil {
 		o.log.Debug("quota_reply_failed", "peer", r.from.Host, "err", err.Error())
@@ -154,7 +154,7 @@
 	}
 	for id, was := range o.state.Hosts {
 		if is, ok := state.Hosts[id]; !ok || is.Incarnation != was.Incarnation {
-			o.quota.Forget(now, id, was.Incarnation)
+			o.quota.RemoveHolder(now, id, was.Incarnation)
 		}
 	}
 }
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -76,7 +76,7 @@
 			h.quota.Withdraw(key, 1)
 			return nil, nil
 		}
-		q = &queue{over: decision.Over, next: now.Add(min(decision.Wait, floor.wait()))}
+		q = &queue{over: decision.Overloaded, next: now.Add(min(decision.Wait, floor.wait()))}
 		h.queues[workspace] = q
 	}
 	deadline := now.Add(idleWait)
@@ -179,7 +179,7 @@
 	floor := h.rates[workspace]
 	for len(q.waiters) > 0 {
 		decision := h.quota.Take(now, rateKey(workspace), 1)
-		q.over = decision.Over
+		q.over = decision.Overloaded
 		if !decision.Granted {
 			if !floor.take(now) {
 				wait := min(decision.Wait, floor.wait())
--- a/internal/pacing/usual.go
+++ b/internal/pacing/baseline.go
@@ -13,9 +13,9 @@
 	fall = 0.5
 )
 
-// Usual keeps the usual times of statements by kind. It is not safe for
+// Baseline keeps the usual times of statements by kind. It is not safe for
 // concurrent use.
-type Usual struct {
+type Baseline struct {
 	kinds map[string]*usual
 }
 
@@ -26,13 +26,13 @@
 	count int
 }
 
-// NewUsual returns a Usual without any kind.
-func NewUsual() *Usual { return &Usual{kinds: make(map[string]*usual)} }
+// NewBaseline returns a Baseline without any kind.
+func NewBaseline() *Baseline { return &Baseline{kinds: make(map[string]*usual)} }
 
 // Excess notes the time of a statement of a kind and returns by how much it is
 // above the usual. It may be negative, and is zero while the usual time is not
 // known.
-func (u *Usual) Excess(kind string, took time.Duration) time.Duration {
+func (u *Baseline) Excess(kind string, took time.Duration) time.Duration {
 	k := u.kinds[kind]
 	if k == nil {
 		k = &usual{}
--- a/internal/pacing/sim_test.go
+++ b/internal/pacing/sim_test.go
@@ -37,7 +37,7 @@
 type simHost struct {
 	rate    float64 // statements a second
 	limit   *Limit
-	usual   *Usual
+	usual   *Baseline
 	waiting []time.Duration // arrivals
 	running int
 }
@@ -61,7 +61,7 @@
 		total += r
 	}
 	for _, r := range rates {
-		h := &simHost{rate: load * simSlots / simWork.Seconds() * r / total, limit: NewLimit(DefaultConfig()), usual: NewUsual()}
+		h := &simHost{rate: load * simSlots / simWork.Seconds() * r / total, limit: NewLimit(DefaultConfig()), usual: NewBaseline()}
 		s.hosts = append(s.hosts, h)
 		for range 2 * batch { // usual times from before
 			h.usual.Excess("read", s.draw())
--- a/internal/quota/census_test.go
+++ b/internal/quota/census_test.go
@@ -129,11 +129,11 @@
 	o := NewOwner(Config{}, "c", 1, now)
 	o.SetEpoch(now, 1, []string{"c"})
 	o.SetHolders(now, []HolderID{{"h", 1}})
-	o.SetAuthority(now.Add(time.Minute))
+	o.SetOwnerLease(now.Add(time.Minute))
 	o.SetLimit(now, "k", Limit{Rate: 10, Burst: 10}, false)
-	o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, Owner: 1, Seq: 1, Complete: true})
+	o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, OwnerIncarnation: 1, Seq: 1, Complete: true})
 	o.SetHolders(now, []HolderID{{"h", 2}})
-	reply := o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, Owner: 1, Seq: 2, Asks: []Ask{{Key: "k", Demand: 1}}})
+	reply := o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, OwnerIncarnation: 1, Seq: 2, Keys: []KeyRequest{{Key: "k", Demand: 1}}})
 	if len(reply.Grants) != 1 || reply.Grants[0].Share.Rate == 0 {
 		t.Errorf("grants %+v", reply.Grants)
 	}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -138,7 +138,7 @@
 			// The end of a process is agreed in the order of the log: an owner that
 			// does not know the present epoch does not know of it either.
 			if c.epoch == f.epoch && !c.isolated {
-				c.owner.Forget(c.clock(f.now), e.name, e.procs)
+				c.owner.RemoveHolder(c.clock(f.now), e.name, e.procs)
 			}
 		}
 	}
@@ -173,7 +173,7 @@
 	f.now += d
 	for _, c := range f.controls {
 		if c.epoch == f.epoch && !c.isolated {
-			c.owner.SetAuthority(c.clock(f.now).Add(f.cfg.Authority))
+			c.owner.SetOwnerLease(c.clock(f.now).Add(f.cfg.OwnerLease))
 		}
 		c.owner.Tick(c.clock(f.now))
 	}
@@ -288,7 +288,7 @@
 	for key, l := range f.limits {
 		now := e.clock(f.now)
 		if allowed, inUse := e.holder.Units(now, key); l.Rate == 0 && allowed == 0 && inUse > 0 {
-			e.holder.Put(now, key, inUse)
+			e.holder.Release(now, key, inUse)
 		}
 	}
 }
--- a/internal/quota/held.go
+++ b/internal/quota/held.go
@@ -86,21 +86,21 @@
 }
 
 // ask describes the key to its owner.
-func (k *heldKey) ask(now time.Time) Ask {
-	a := Ask{
+func (k *heldKey) ask(now time.Time) KeyRequest {
+	a := KeyRequest{
 		Key: k.name, Demand: float32(k.demand), Level: float32(k.bucket.level), Returned: k.returned,
 	}
 	if k.valid(now) || k.inUse > 0 {
 		share := k.bucket.share
 		share.Burst = max(share.Burst, k.inUse)
 		remaining := max(0, (k.expires.Sub(now) + time.Millisecond - 1).Milliseconds())
-		a.Held = &Held{Stamp: k.stamp, Share: share, RemainingMS: uint32(remaining)}
+		a.Lease = &HeldLease{Stamp: k.stamp, Share: share, RemainingMS: uint32(remaining)}
 	}
 	return a
 }
 
 func (k *heldKey) asked(now time.Time, cfg Config) {
-	renew := cfg.Renew
+	renew := cfg.RenewInterval
 	if k.calm && k.valid(now) {
 		renew = cfg.Lease / 2
 	}
@@ -114,7 +114,7 @@
 		return
 	}
 	k.advance(now)
-	k.stamp, k.expires, k.over, k.calm = stamp, expires, g.Over, g.Calm
+	k.stamp, k.expires, k.over, k.calm = stamp, expires, g.Overloaded, g.LowDemand
 	k.returned += k.bucket.resize(now, g.Share)
 	k.bucket.add(g.Tokens)
 }
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -56,9 +56,9 @@
 	// which another attempt makes sense.
 	Granted bool
 	Wait    time.Duration
-	// Over tells that the demand of all hosts is above the limit, so that a
+	// Overloaded tells that the demand of all hosts is above the limit, so that a
 	// request which cannot wait is refused for its workspace's own load.
-	Over bool
+	Overloaded bool
 }
 
 // NewHolder returns the holder of an entry host.
@@ -112,14 +112,14 @@
 	switch {
 	case !k.valid(now):
 		k.short = true
-		return Decision{Wait: askInterval, Over: k.over}
+		return Decision{Wait: askInterval, Overloaded: k.over}
 	case k.units && k.inUse+n <= k.bucket.share.Burst:
 		k.inUse += n
 		k.backlog = max(0, k.backlog-n)
 		return Decision{Granted: true}
 	case k.units:
 		k.short = true
-		return Decision{Wait: askInterval, Over: k.over}
+		return Decision{Wait: askInterval, Overloaded: k.over}
 	case k.bucket.level >= n:
 		k.bucket.level -= n
 		h.quiet = now
@@ -127,11 +127,11 @@
 		return Decision{Granted: true}
 	}
 	k.short = true
-	return Decision{Wait: k.wait(n), Over: k.over}
+	return Decision{Wait: k.wait(n), Overloaded: k.over}
 }
 
-// Put returns n units.
-func (h *Holder) Put(now time.Time, key string, n float64) {
+// Release returns n units.
+func (h *Holder) Release(now time.Time, key string, n float64) {
 	k := h.keys[key]
 	if k == nil {
 		return
@@ -194,7 +194,7 @@
 		k.advance(now)
 		k.measure(now)
 		if h.idle(now, k) {
-			b.add(k, Ask{Key: k.name, Release: true, Returned: k.bucket.level + k.returned})
+			b.add(k, KeyRequest{Key: k.name, Release: true, Returned: k.bucket.level + k.returned})
 			delete(h.keys, k.name)
 			continue
 		}
@@ -232,7 +232,7 @@
 		if r.Complete {
 			r.QuietMS = uint32(min(now.Sub(h.quiet), maxQuiet).Milliseconds())
 		}
-		r.Asks = slices.DeleteFunc(r.Asks, func(a Ask) bool { return !a.Release })
+		r.Keys = slices.DeleteFunc(r.Keys, func(a KeyRequest) bool { return !a.Release })
 		for _, k := range h.order {
 			if rendezvous.Owner(h.owners, k.name) == owner {
 				b.add(k, k.ask(now))
@@ -244,7 +244,7 @@
 
 // told notes that an owner has answered the request that named all leases.
 func (h *Holder) told(r Reply) {
-	if c := h.census[r.Owner]; c != nil && r.Told && c.process == r.Incarnation && c.seq == r.Seq {
+	if c := h.census[r.Owner]; c != nil && r.Complete && c.process == r.Incarnation && c.seq == r.Seq {
 		c.done = true
 	}
 }
@@ -253,7 +253,7 @@
 // the key and ignores answers to earlier requests: when the key comes into use
 // again, only answers to later requests count.
 func (h *Holder) idle(now time.Time, k *heldKey) bool {
-	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.Idle
+	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.IdleTimeout
 }
 
 // batcher collects asks into one request per owner.
@@ -263,14 +263,14 @@
 	at      map[string]int // by owner
 }
 
-func (b *batcher) add(k *heldKey, a Ask) {
+func (b *batcher) add(k *heldKey, a KeyRequest) {
 	h := b.holder
 	owner := rendezvous.Owner(h.owners, k.name)
 	if owner == "" {
 		return
 	}
 	r := &b.batches[b.request(owner)].Request
-	r.Asks = append(r.Asks, a)
+	r.Keys = append(r.Keys, a)
 	if k.firstSeq == 0 {
 		k.firstSeq = r.Seq
 	}
@@ -287,7 +287,7 @@
 	b.at[owner] = i
 	b.batches = append(b.batches, Batch{Owner: owner, Request: Request{
 		Host: h.host, Incarnation: h.incarnation, Epoch: h.epoch,
-		Owner: h.processes[owner], Seq: h.seq,
+		OwnerIncarnation: h.processes[owner], Seq: h.seq,
 	}})
 	return i
 }
@@ -314,7 +314,7 @@
 // changes nothing.
 func (h *Holder) Receive(now time.Time, r Reply) {
 	at, known := h.sentAt(r.Seq)
-	if !known || r.Epoch != h.epoch || r.Holder != h.incarnation || r.Incarnation < h.processes[r.Owner] {
+	if !known || r.Epoch != h.epoch || r.HolderIncarnation != h.incarnation || r.Incarnation < h.processes[r.Owner] {
 		return
 	}
 	if r.Incarnation > h.processes[r.Owner] {
@@ -341,5 +341,5 @@
 	}
 }
 
-// Pairs returns the number of keys in use.
-func (h *Holder) Pairs() int { return len(h.keys) }
+// Keys returns the number of keys in use.
+func (h *Holder) Keys() int { return len(h.keys) }
--- a/internal/quota/owned.go
+++ b/internal/quota/owned.go
@@ -108,7 +108,7 @@
 }
 
 // report takes over what a holder says of itself.
-func (k *ownedKey) report(now time.Time, g *grantee, a Ask) {
+func (k *ownedKey) report(now time.Time, g *grantee, a KeyRequest) {
 	k.demand += float64(a.Demand) - g.demand
 	g.demand = float64(a.Demand)
 	g.heard = now
@@ -116,13 +116,13 @@
 	switch {
 	case a.Release:
 		g.given = nil
-	case a.Held != nil && len(g.given) == 0:
-		k.adopt(now, g, a.Held)
-	case a.Held != nil:
-		g.acknowledge(a.Held.Stamp)
+	case a.Lease != nil && len(g.given) == 0:
+		k.adopt(now, g, a.Lease)
+	case a.Lease != nil:
+		g.acknowledge(a.Lease.Stamp)
 	}
-	if a.Held != nil && k.limit.Rate == 0 {
-		g.inUse = a.Held.Share.Burst
+	if a.Lease != nil && k.limit.Rate == 0 {
+		g.inUse = a.Lease.Share.Burst
 	}
 	k.settle(now, g)
 	k.pool.add(a.Returned)
@@ -137,7 +137,7 @@
 }
 
 // adopt honours a lease of the former owner.
-func (k *ownedKey) adopt(now time.Time, g *grantee, h *Held) {
+func (k *ownedKey) adopt(now time.Time, g *grantee, h *HeldLease) {
 	if k.reserved == (Share{}) || h.RemainingMS == 0 {
 		return
 	}
@@ -170,7 +170,7 @@
 }
 
 // grant gives the holder its present share.
-func (k *ownedKey) grant(now time.Time, g *grantee, a Ask, stamp Stamp) Grant {
+func (k *ownedKey) grant(now time.Time, g *grantee, a KeyRequest, stamp Stamp) Grant {
 	share := k.choose(now, g)
 	g.given = append(g.given, given{stamp: stamp, share: share, until: now.Add(k.cfg.longer(k.cfg.Lease))})
 	level := k.pool.level
@@ -184,8 +184,8 @@
 	}
 	return Grant{
 		Key: k.name, ID: stamp.ID, Share: share, Tokens: tokens,
-		Over: k.over(now),
-		Calm: k.demand < calmDemand*k.limit.capacity(),
+		Overloaded: k.over(now),
+		LowDemand:  k.demand < calmDemand*k.limit.capacity(),
 	}
 }
 
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -62,9 +62,9 @@
 	}
 }
 
-// SetAuthority tells until when the host may act as an owner: the end of its
+// SetOwnerLease tells until when the host may act as an owner: the end of its
 // configuration lease.
-func (o *Owner) SetAuthority(until time.Time) { o.authority = until }
+func (o *Owner) SetOwnerLease(until time.Time) { o.authority = until }
 
 // SetLimit sets the limit of a key. Fresh tells that no lease of the key can
 // exist because the key is new in the fleet; its whole burst is then available
@@ -103,9 +103,9 @@
 	o.open(now)
 }
 
-// Known reports whether every holder has named its leases to this owner in the
+// LeasesKnown reports whether every holder has named its leases to this owner in the
 // present epoch, and since when none of them has spent a token by then.
-func (o *Owner) Known() (bool, time.Time) { return o.known, o.quiet }
+func (o *Owner) LeasesKnown() (bool, time.Time) { return o.known, o.quiet }
 
 // open ends the wait for unknown leases once every holder has named its own.
 func (o *Owner) open(now time.Time) {
@@ -134,17 +134,17 @@
 func (o *Owner) Handle(now time.Time, req Request) Reply {
 	reply := Reply{
 		Owner: o.host, Epoch: o.epoch, Incarnation: o.incarnation,
-		Holder: req.Incarnation, Seq: req.Seq,
+		HolderIncarnation: req.Incarnation, Seq: req.Seq,
 		LeaseMS: uint32(o.cfg.Lease.Milliseconds()),
 	}
-	if req.Epoch != o.epoch || req.Owner != o.incarnation || !now.Before(o.authority) {
+	if req.Epoch != o.epoch || req.OwnerIncarnation != o.incarnation || !now.Before(o.authority) {
 		return reply
 	}
-	if reply.Told = req.Complete; reply.Told {
+	if reply.Complete = req.Complete; reply.Complete {
 		quiet := time.Duration(req.QuietMS) * time.Millisecond
 		defer o.learn(now, HolderID{req.Host, req.Incarnation}, o.cfg.shorter(quiet))
 	}
-	for _, a := range req.Asks {
+	for _, a := range req.Keys {
 		if g, ok := o.ask(now, HolderID{req.Host, req.Incarnation}, req.Seq, a); ok {
 			reply.Grants = append(reply.Grants, g)
 		}
@@ -152,7 +152,7 @@
 	return reply
 }
 
-func (o *Owner) ask(now time.Time, id HolderID, seq uint64, a Ask) (Grant, bool) {
+func (o *Owner) ask(now time.Time, id HolderID, seq uint64, a KeyRequest) (Grant, bool) {
 	k := o.key(now, a.Key)
 	if k == nil {
 		return Grant{}, false
@@ -184,7 +184,7 @@
 	if !known || rendezvous.Owner(o.owners, key) != o.host {
 		return nil
 	}
-	quarantine := o.since.Add(o.cfg.longer(o.cfg.Authority + o.cfg.Lease))
+	quarantine := o.since.Add(o.cfg.longer(o.cfg.OwnerLease + o.cfg.Lease))
 	if o.fresh[key] || o.known {
 		quarantine = o.since
 	}
@@ -202,9 +202,9 @@
 	return k
 }
 
-// Forget reclaims the shares of a process that can no longer use them: the
+// RemoveHolder reclaims the shares of a process that can no longer use them: the
 // caller knows that its configuration lease has run out.
-func (o *Owner) Forget(now time.Time, host string, incarnation uint64) {
+func (o *Owner) RemoveHolder(now time.Time, host string, incarnation uint64) {
 	for _, k := range o.keys {
 		if g := k.grantees[HolderID{host, incarnation}]; g != nil {
 			k.advance(now)
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -46,7 +46,7 @@
 		f.take(e, "endpoint/x")
 		if f.rng.IntN(2) == 0 {
 			if _, inUse := e.holder.Units(e.clock(f.now), "endpoint/x"); inUse > 0 {
-				e.holder.Put(e.clock(f.now), "endpoint/x", 1)
+				e.holder.Release(e.clock(f.now), "endpoint/x", 1)
 			}
 		}
 	}
@@ -210,7 +210,7 @@
 	if used := float64(l.served) / (200 * 60); used < 0.9 || f.violation() != "" {
 		t.Fatalf("used %.2f of the rate, violation %q", used, f.violation())
 	}
-	if !f.entries[0].holder.Take(f.entries[0].clock(f.now), "workspace/a", 1000).Over {
+	if !f.entries[0].holder.Take(f.entries[0].clock(f.now), "workspace/a", 1000).Overloaded {
 		t.Fatal("the workspace is not told that it is over its rate")
 	}
 }
@@ -232,7 +232,7 @@
 			f.step(50 * time.Millisecond)
 			for _, e := range f.entries {
 				e.waiting = slices.DeleteFunc(e.waiting, func(key string) bool { return f.retry(e, key) })
-				over = over || e.holder.Take(e.clock(f.now), "k", 1000).Over
+				over = over || e.holder.Take(e.clock(f.now), "k", 1000).Overloaded
 			}
 		}
 		return over
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -2,11 +2,11 @@
 
 import "time"
 
-// Report sets how many units of a key the host has in use and how many it
+// ReportUsage sets how many units of a key the host has in use and how many it
 // wants. It serves callers that count their units themselves, in place of Take
 // and Put. Units that are in use but not wanted, such as idle connections, count
 // against the limit until they are given up.
-func (h *Holder) Report(now time.Time, key string, inUse, wanted float64) {
+func (h *Holder) ReportUsage(now time.Time, key string, inUse, wanted float64) {
 	k := h.key(now, key)
 	k.units, k.counted = true, true
 	k.inUse, k.wanted = inUse, wanted
--- a/internal/quota/types.go
+++ b/internal/quota/types.go
@@ -7,12 +7,12 @@
 
 // Defaults of Config.
 const (
-	DefaultLease     = 8 * time.Second
-	DefaultAuthority = 3 * time.Second
-	// DefaultRenew bounds how long a host that comes new to a contended key
+	DefaultLease      = 8 * time.Second
+	DefaultOwnerLease = 3 * time.Second
+	// DefaultRenewInterval bounds how long a host that comes new to a contended key
 	// waits for the others to give way.
-	DefaultRenew = time.Second
-	DefaultIdle  = 2 * time.Second
+	DefaultRenewInterval = time.Second
+	DefaultIdleTimeout   = 2 * time.Second
 	// DefaultDrift is the greatest relative difference between the clock rates
 	// of two hosts.
 	DefaultDrift = 0.001
@@ -23,22 +23,22 @@
 type Config struct {
 	// Lease is how long a holder may use a share after its request was sent.
 	Lease time.Duration
-	// Authority is how long a control host may act as owner after it was
+	// OwnerLease is how long a control host may act as owner after it was
 	// replaced without knowing, which is the length of a configuration lease.
-	Authority time.Duration
-	// Renew is the interval of requests for a key whose demand is steady. For a
+	OwnerLease time.Duration
+	// RenewInterval is the interval of requests for a key whose demand is steady. For a
 	// key that the owner calls calm it is half the lease.
-	Renew time.Duration
-	// Idle is the time without demand after which a holder gives a share back.
-	Idle  time.Duration
-	Drift float64
+	RenewInterval time.Duration
+	// IdleTimeout is the time without demand after which a holder gives a share back.
+	IdleTimeout time.Duration
+	Drift       float64
 }
 
 func (c Config) withDefaults() Config {
 	c.Lease = cmp.Or(c.Lease, DefaultLease)
-	c.Authority = cmp.Or(c.Authority, DefaultAuthority)
-	c.Renew = cmp.Or(c.Renew, DefaultRenew)
-	c.Idle = cmp.Or(c.Idle, DefaultIdle)
+	c.OwnerLease = cmp.Or(c.OwnerLease, DefaultOwnerLease)
+	c.RenewInterval = cmp.Or(c.RenewInterval, DefaultRenewInterval)
+	c.IdleTimeout = cmp.Or(c.IdleTimeout, DefaultIdleTimeout)
 	c.Drift = cmp.Or(c.Drift, DefaultDrift)
 	return c
 }
@@ -92,13 +92,13 @@
 	Incarnation uint64 `cbor:"2,keyasint"`
 	// Epoch numbers the set of owners that the holder knows.
 	Epoch uint64 `cbor:"3,keyasint"`
-	// Owner is the incarnation of the owner that the holder knows. An owner
+	// OwnerIncarnation is the incarnation of the owner that the holder knows. An owner
 	// believes no request that names another one: it may have been sent to a
 	// former process, and report shares that were passed on since.
-	Owner uint64 `cbor:"4,keyasint,omitempty"`
+	OwnerIncarnation uint64 `cbor:"4,keyasint,omitempty"`
 	// Seq grows with each request of the holder.
-	Seq  uint64 `cbor:"5,keyasint"`
-	Asks []Ask  `cbor:"6,keyasint"`
+	Seq  uint64       `cbor:"5,keyasint"`
+	Keys []KeyRequest `cbor:"6,keyasint"`
 	// Complete tells that the request names every key of the owner of which the
 	// holder has a lease. An owner that all holders have told so in its epoch
 	// knows all leases and need not wait for unknown ones.
@@ -108,8 +108,8 @@
 	QuietMS uint32 `cbor:"8,keyasint,omitempty"`
 }
 
-// Ask is the part of a request for one key.
-type Ask struct {
+// KeyRequest is the part of a request for one key.
+type KeyRequest struct {
 	Key string `cbor:"1,keyasint"`
 	// Demand is in tokens per second, or units wanted.
 	Demand float32 `cbor:"2,keyasint,omitempty"`
@@ -117,8 +117,8 @@
 	Level float32 `cbor:"3,keyasint,omitempty"`
 	// Returned tokens no longer fit the holder's share.
 	Returned float64 `cbor:"4,keyasint,omitempty"`
-	// Held is the lease in use, nil for none.
-	Held *Held `cbor:"5,keyasint,omitempty"`
+	// Lease is the lease in use, nil for none.
+	Lease *HeldLease `cbor:"5,keyasint,omitempty"`
 	// Release tells that the holder no longer uses any lease of the key.
 	Release bool `cbor:"6,keyasint,omitempty"`
 }
@@ -129,8 +129,8 @@
 	Incarnation uint64
 }
 
-// Held reports a lease.
-type Held struct {
+// HeldLease reports a lease.
+type HeldLease struct {
 	Stamp Stamp `cbor:"1,keyasint"`
 	// Share includes units still in use beyond the granted ones.
 	Share Share `cbor:"2,keyasint"`
@@ -144,14 +144,14 @@
 	Owner       string `cbor:"1,keyasint"`
 	Epoch       uint64 `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
-	// Holder is the incarnation in the request, so that an answer to a former
+	// HolderIncarnation is the incarnation in the request, so that an answer to a former
 	// process of the host is not taken for one to the present process.
-	Holder  uint64  `cbor:"4,keyasint"`
-	Seq     uint64  `cbor:"5,keyasint"`
-	LeaseMS uint32  `cbor:"6,keyasint"`
-	Grants  []Grant `cbor:"7,keyasint,omitempty"`
-	// Told confirms a complete request.
-	Told bool `cbor:"8,keyasint,omitempty"`
+	HolderIncarnation uint64  `cbor:"4,keyasint"`
+	Seq               uint64  `cbor:"5,keyasint"`
+	LeaseMS           uint32  `cbor:"6,keyasint"`
+	Grants            []Grant `cbor:"7,keyasint,omitempty"`
+	// Complete confirms a complete request.
+	Complete bool `cbor:"8,keyasint,omitempty"`
 }
 
 // Grant replaces the holder's share of a key.
@@ -161,9 +161,9 @@
 	Share Share  `cbor:"3,keyasint"`
 	// Tokens are moved from the owner's bucket to the holder's.
 	Tokens float64 `cbor:"4,keyasint,omitempty"`
-	// Over reports that the demand of all holders is above the limit.
-	Over bool `cbor:"5,keyasint,omitempty"`
-	// Calm reports that the demand is so far below the limit that a new holder
+	// Overloaded reports that the demand of all holders is above the limit.
+	Overloaded bool `cbor:"5,keyasint,omitempty"`
+	// LowDemand reports that the demand is so far below the limit that a new holder
 	// can be served from what is free.
-	Calm bool `cbor:"6,keyasint,omitempty"`
+	LowDemand bool `cbor:"6,keyasint,omitempty"`
 }
