--- a/bridge/host.go
+++ b/bridge/host.go
@@ -55,7 +55,7 @@
 	log        *log.Logger
 	registry   *prometheus.Registry
 	peers      *peer.Node
-	view       *view.Box
+	view       *view.Publisher
 	subscriber *control.Subscriber
 	control    *control.Host
 	owner      *limits.Owner
@@ -80,7 +80,7 @@
 		timing:   lease.DefaultConfig(),
 		log:      opts.Logger.With("host", opts.Settings.Host),
 		registry: prometheus.NewRegistry(),
-		view:     view.NewBox(),
+		view:     view.NewPublisher(),
 	}
 	h.registry.MustRegister(
 		collectors.NewGoCollector(),
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -19,12 +19,12 @@
 
 // stateFleet applies commands to a state of its own.
 type stateFleet struct {
-	box   *view.Box
+	box   *view.Publisher
 	state *agreed.State
 }
 
 func newStateFleet() *stateFleet {
-	f := &stateFleet{box: view.NewBox(), state: agreed.New()}
+	f := &stateFleet{box: view.NewPublisher(), state: agreed.New()}
 	f.box.Publish(view.View{State: f.state})
 	return f
 }
@@ -137,7 +137,7 @@
 // TestFieldAndReferenceErrorsComeTogether sends a note with a wrong field that
 // also withdraws what is not in force.
 func TestFieldAndReferenceErrorsComeTogether(t *testing.T) {
-	box := view.NewBox()
+	box := view.NewPublisher()
 	box.Publish(view.View{State: agreed.New()})
 	s := &Server{opts: Options{View: box}}
 	_, problems := s.check([]byte(`{"number":1,"added":{"domains":[{"name":""}]},"withdrawn":{"keys":["x"]}}`))
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -24,7 +24,7 @@
 const good = `{"service":"log","id":"b","addr":"127.0.0.1:5432","domain":"d","role":"replica","timeline":3,"lsn":"1/A0"}`
 
 func TestAnnouncementIsPassedOnAndAnswered(t *testing.T) {
-	box := view.NewBox()
+	box := view.NewPublisher()
 	state := agreed.New()
 	state.Groups["log"] = agreed.Group{Service: "log", Term: 4, Primary: "a", Phase: agreed.PhaseActive}
 	state.Endpoints["a"] = agreed.Endpoint{ID: "a", Addr: "127.0.0.1:1"}
@@ -52,7 +52,7 @@
 	}
 	for _, body := range bad {
 		var sent recorder
-		w := post(NewHandler(view.NewBox(), &sent), body)
+		w := post(NewHandler(view.NewPublisher(), &sent), body)
 		if w.Code != http.StatusBadRequest || len(sent.got) != 0 || !strings.Contains(w.Body.String(), `"code":3001`) {
 			t.Errorf("%.60q: %d %s", body, w.Code, w.Body)
 		}
--- a/internal/bench/ledger.go
+++ b/internal/bench/ledger.go
@@ -86,11 +86,11 @@
 	for i, e := range sent {
 		writes[i] = history.Write{ID: e.id, Workspace: e.workspace, Outcome: e.outcome}
 	}
-	for _, found := range history.Stored(writes, stored) {
+	for _, found := range history.CheckStored(writes, stored) {
 		switch found.Rule {
-		case history.RuleKept:
+		case history.RuleDurable:
 			v.Lost++
-		case history.RuleOnce:
+		case history.RuleAtMostOnce:
 			v.Doubled++
 		case history.RuleNotRun:
 			v.RanAnyway++
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -152,7 +152,7 @@
 	}
 	defer proxy.close()
 	prober := watch.NewProber()
-	defer prober.Forget(func(string) bool { return false })
+	defer prober.CloseExcept(func(string) bool { return false })
 	if err := r.measureQuestion(proxy, SlopeProbeCPU, SlopeProbeBytes, "probes/s", r.glance(prober)); err != nil {
 		return err
 	}
@@ -216,7 +216,7 @@
 func (r *run) glance(prober *watch.Prober) question {
 	return func(addr string) error {
 		endpoint := agreed.Endpoint{ID: addr, Service: "probe", Addr: addr}
-		if !prober.Glance(context.Background(), r.service(), endpoint).Reachable {
+		if !prober.ProbeRole(context.Background(), r.service(), endpoint).Reachable {
 			return errors.New("a probe was not answered")
 		}
 		return nil
--- a/internal/capacity/subscribers.go
+++ b/internal/capacity/subscribers.go
@@ -31,7 +31,7 @@
 
 type swarmMember struct {
 	subscriber *control.Subscriber
-	view       *view.Box
+	view       *view.Publisher
 }
 
 func newSwarm(system System) *swarm {
@@ -75,7 +75,7 @@
 	if err := node.Listen(); err != nil {
 		return err
 	}
-	m := &swarmMember{view: view.NewBox()}
+	m := &swarmMember{view: view.NewPublisher()}
 	m.subscriber = control.NewSubscriber(control.SubscriberOptions{
 		Fleet: s.system.Fleet, Domain: s.system.Domain, Entry: true,
 		Controls: []config.ControlHost{{Host: s.system.RelayHost, Addr: s.system.RelayPeer}},
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -7,5 +7,5 @@
 // leader. The leader also ages out hosts and runs the failover of groups.
 //
 // A Subscriber runs on every host. It follows the agreed state through one
-// control host at a time, registers its host and publishes a view.Box.
+// control host at a time, registers its host and publishes a view.Publisher.
 package control
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -188,7 +188,7 @@
 	leading := st.Role == consensus.Leader
 	if info := h.lead.Load(); info.leading != leading || info.leader != st.Leader {
 		h.lead.Store(&leadInfo{leading: leading, leader: st.Leader})
-		h.broker.Abort()
+		h.broker.AbortRound()
 		h.log.Info("control_leader", "leader", st.Leader, "term", st.Term, "leading", leading)
 	}
 	if h.leading && (!leading || h.term != st.Term) {
@@ -201,8 +201,8 @@
 
 func (h *Host) startLeading(now time.Time, term uint64) {
 	h.leading, h.confirmed, h.term = true, false, term
-	h.broker.Abort()
-	h.broker.Lead(now)
+	h.broker.AbortRound()
+	h.broker.BecomeLeader(now)
 	clear(h.lastHeld)
 	if err := h.node.ConfirmQuorum(electionConfirm); err != nil {
 		h.log.Warn("confirm_failed", "err", err.Error())
@@ -215,8 +215,8 @@
 	}
 	h.leading, h.confirmed = false, false
 	h.reads.failAll()
-	h.broker.Abort()
-	h.broker.Follow()
+	h.broker.AbortRound()
+	h.broker.StepDown()
 	h.failover.stop()
 	h.failover = nil
 }
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -73,7 +73,7 @@
 // ageHosts removes hosts whose lease ran out some time ago. While a host may
 // still hold a lease it stays.
 func (h *Host) ageHosts(now time.Time) {
-	leased := h.broker.Held(now, h.registered)
+	leased := h.broker.PossibleHolders(now, h.registered)
 	for _, host := range h.state.Hosts {
 		id := lease.ID{Host: host.ID, Incarnation: host.Incarnation}
 		if leased[id] {
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -31,7 +31,7 @@
 // A nil driver does nothing.
 type failoverDriver struct {
 	host    *Host
-	fleet   *failover.Fleet
+	fleet   *failover.MachineSet
 	ctx     context.Context
 	cancel  context.CancelFunc
 	ticked  time.Time
@@ -55,7 +55,7 @@
 	cfg.Fenced, cfg.Chooser = h.opts.Fenced, h.term
 	return &failoverDriver{
 		host:    h,
-		fleet:   failover.NewFleet(cfg),
+		fleet:   failover.NewMachineSet(cfg),
 		ctx:     ctx,
 		cancel:  cancel,
 		changed: true,
@@ -136,7 +136,7 @@
 			}})
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
-		case failover.AskPositions:
+		case failover.QueryPositions:
 			d.ask(e)
 		case failover.Promote:
 			d.promote(e)
@@ -160,7 +160,7 @@
 }
 
 // ask probes endpoints, each at most once at a time.
-func (d *failoverDriver) ask(e failover.AskPositions) {
+func (d *failoverDriver) ask(e failover.QueryPositions) {
 	reach := d.reacher()
 	for _, id := range e.Endpoints {
 		endpoint, ok := d.host.state.Endpoints[id]
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -69,7 +69,7 @@
 	subscriber *control.Subscriber
 	watcher    *watch.Watcher
 	registry   *prometheus.Registry
-	view       *view.Box
+	view       *view.Publisher
 	replaced   chan struct{}
 	cancel     context.CancelFunc
 	done       chan struct{}
@@ -112,7 +112,7 @@
 func (f *fleet) start(name string) *testHost {
 	f.t.Helper()
 	f.started++
-	h := &testHost{name: name, domain: "domain of " + name, view: view.NewBox(), registry: prometheus.NewRegistry(),
+	h := &testHost{name: name, domain: "domain of " + name, view: view.NewPublisher(), registry: prometheus.NewRegistry(),
 		replaced: make(chan struct{}), done: make(chan struct{})}
 	listen, isControl := "127.0.0.1:0", false
 	for _, c := range f.controls {
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -204,7 +204,7 @@
 	h.recent = recentStates{}
 	h.recent.add(state)
 	h.registered = processesOf(state)
-	h.broker.Abort()
+	h.broker.AbortRound()
 	h.subscribers = make(map[lease.ID]*subscription)
 	h.proposals = make(map[uint64]pendingProposal)
 	h.reads = newReads()
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -65,10 +65,10 @@
 
 // pumpLeases starts a lease round when subscribers wait and none is in flight.
 func (h *Host) pumpLeases(now time.Time) {
-	if now.Before(h.nextRound) && !h.broker.Progress() {
+	if now.Before(h.nextRound) && !h.broker.HasProgress() {
 		return
 	}
-	round, ok := h.broker.Begin(now)
+	round, ok := h.broker.BeginRound(now)
 	if !ok {
 		return
 	}
@@ -94,7 +94,7 @@
 func (h *Host) expireRound(now time.Time) {
 	if !h.roundEnd.IsZero() && now.After(h.roundEnd) {
 		h.roundEnd = time.Time{}
-		h.broker.Abort()
+		h.broker.AbortRound()
 	}
 }
 
@@ -103,7 +103,7 @@
 func (h *Host) confirmAll(now time.Time, rd consensus.Ready) {
 	for _, id := range rd.Dropped {
 		if !h.failRead(id) {
-			h.broker.Abort()
+			h.broker.AbortRound()
 		}
 	}
 	for _, c := range rd.Confirmed {
@@ -127,7 +127,7 @@
 	h.confirmed = true
 	h.confirmedAt = now
 	if h.state.HostsChanged == 0 {
-		h.broker.Found()
+		h.broker.AssumeNoLeases()
 	}
 	if h.opts.Databases != nil {
 		h.failover = newFailoverDriver(h)
@@ -136,7 +136,7 @@
 
 // answerRound answers the requests of a finished round.
 func (h *Host) answerRound(id, revision, settled uint64) {
-	for _, a := range h.broker.Finish(id, revision, settled) {
+	for _, a := range h.broker.FinishRound(id, revision, settled) {
 		kind := peer.KindRenewOK
 		if a.Relay {
 			kind = peer.KindRelayOK
@@ -153,7 +153,7 @@
 		return h.broker.Settled()
 	}
 	before := h.broker.Settled()
-	e := lease.Electorate{Holders: h.present(), Changed: h.state.HostsChanged}
+	e := lease.Registrations{Holders: h.present(), Changed: h.state.HostsChanged}
 	settled := h.broker.Settle(now, h.state.Revision, e)
 	if settled > before && h.failover != nil {
 		h.failover.settled(now, settled)
@@ -181,7 +181,7 @@
 // present returns the registered processes that may hold leases. Where a host has
 // one process at a time, those of which a newer process was met may not.
 func (h *Host) present() []lease.ID {
-	if !h.opts.Lease.Exclusive {
+	if !h.opts.Lease.ExclusiveIdentity {
 		return h.registered
 	}
 	ids := make([]lease.ID, 0, len(h.registered))
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -84,7 +84,7 @@
 		}
 		s.Controls = append(s.Controls, c)
 	}
-	leased := h.broker.Held(now, h.registered)
+	leased := h.broker.PossibleHolders(now, h.registered)
 	for _, host := range h.state.Hosts {
 		id := lease.ID{Host: host.ID, Incarnation: host.Incarnation}
 		s.Hosts = append(s.Hosts, HostStatus{Host: host, Leased: leased[id]})
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -50,7 +50,7 @@
 	Logger   *log.Logger
 	Registry prometheus.Registerer
 	// View receives the agreed state with the lease.
-	View *view.Box
+	View *view.Publisher
 }
 
 // Subscriber follows the agreed state on one host, holds its configuration
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -151,7 +151,7 @@
 	t         *testing.T
 	endpoints *fakeEndpoints
 	server    *Server
-	view      *view.Box
+	view      *view.Publisher
 	state     *agreed.State
 	// taken and refunded count tokens of rates.
 	taken, refunded atomic.Int64
@@ -168,7 +168,7 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	r := &rig{t: t, endpoints: &fakeEndpoints{}, view: view.NewBox(), state: agreed.New()}
+	r := &rig{t: t, endpoints: &fakeEndpoints{}, view: view.NewPublisher(), state: agreed.New()}
 	r.state.Revision = 1
 	r.state.Catalog.Stamp.Number = 1
 	r.state.Catalog.Services["logs"] = note.Service{Name: "logs", Ack: note.AckReplicas}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -69,7 +69,7 @@
 	log        *log.Logger
 	registry   *prometheus.Registry
 	peers      *peer.Node
-	view       *view.Box
+	view       *view.Publisher
 	subscriber *control.Subscriber
 	control    *control.Host
 	owner      *limits.Owner
@@ -83,7 +83,7 @@
 // New builds a host and opens its peer listener.
 func New(opts Options) (*Daemon, error) {
 	d := &Daemon{
-		opts: opts, log: opts.Logger, registry: prometheus.NewRegistry(), view: view.NewBox(),
+		opts: opts, log: opts.Logger, registry: prometheus.NewRegistry(), view: view.NewPublisher(),
 		replaced: make(chan struct{}),
 	}
 	d.peers = peer.NewNode(peer.Options{
@@ -106,7 +106,7 @@
 func timing() lease.Config {
 	cfg := lease.DefaultConfig()
 	cfg.Duration, cfg.RenewInterval = 2*time.Second, 400*time.Millisecond
-	cfg.Exclusive = true // a host is named by the address that its process listens on
+	cfg.ExclusiveIdentity = true // a host is named by the address that its process listens on
 	return cfg
 }
 
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -36,7 +36,7 @@
 type fixture struct {
 	t      testing.TB
 	group  *standin.Group
-	box    *view.Box
+	box    *view.Publisher
 	server *Server
 	// registry holds the server's metrics.
 	registry *prometheus.Registry
@@ -68,7 +68,7 @@
 		cfg.connections = 20
 	}
 	f := &fixture{
-		t: t, group: group, box: view.NewBox(), registry: prometheus.NewRegistry(),
+		t: t, group: group, box: view.NewPublisher(), registry: prometheus.NewRegistry(),
 		state: newState(group, cfg.connections),
 	}
 	f.background(group.Run)
--- a/internal/failover/bench_test.go
+++ b/internal/failover/bench_test.go
@@ -37,7 +37,7 @@
 
 // BenchmarkFleetTick is the cost of one tick over all groups of the target.
 func BenchmarkFleetTick(b *testing.B) {
-	f := NewFleet(DefaultConfig())
+	f := NewMachineSet(DefaultConfig())
 	now := time.Unix(0, 0)
 	f.SetState(now, targetState(), nil)
 	b.ReportAllocs()
@@ -49,7 +49,7 @@
 
 // BenchmarkFleetSetState is the cost of one change of the agreed state.
 func BenchmarkFleetSetState(b *testing.B) {
-	f := NewFleet(DefaultConfig())
+	f := NewMachineSet(DefaultConfig())
 	s := targetState()
 	b.ReportAllocs()
 	for b.Loop() {
@@ -59,7 +59,7 @@
 
 // BenchmarkObservation is the cost of one report of a watcher.
 func BenchmarkObservation(b *testing.B) {
-	f := NewFleet(DefaultConfig())
+	f := NewMachineSet(DefaultConfig())
 	now := time.Unix(0, 0)
 	f.SetState(now, targetState(), nil)
 	o := Observation{Watcher: "host0", Domain: "d0", Endpoint: "db0-0", Condition: Condition{Reachable: true, Timeline: 1}}
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -109,7 +109,7 @@
 // may hold commits that no other has. Nobody waits for a member that is
 // suspected.
 func (m *Machine) mayImprove(now time.Time, all []contender) bool {
-	if m.view.Ack != note.AckReplicas || now.Sub(m.majorityAt) >= m.cfg.BestGrace {
+	if m.view.Ack != note.AckReplicas || now.Sub(m.majorityAt) >= m.cfg.PositionGrace {
 		return false
 	}
 	return slices.ContainsFunc(m.view.Members, func(member Member) bool {
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -77,7 +77,7 @@
 
 func (p *latePlatform) apply(effect Effect) {
 	switch e := effect.(type) {
-	case AskPositions:
+	case QueryPositions:
 		for _, id := range e.Endpoints {
 			if id == "a" && p.leads == "a" {
 				continue // the lost primary
@@ -178,7 +178,7 @@
 	r.answer("b", replica(100))
 	expectNone[Choose](r) // another may hold more
 	r.answer("c", replica(120))
-	r.pass(DefaultConfig().BestGrace)
+	r.pass(DefaultConfig().PositionGrace)
 	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
@@ -188,7 +188,7 @@
 	r.sealed()
 	r.send(Settled{Revision: 11})
 	r.answer("b", replica(100))
-	r.pass(DefaultConfig().BestGrace)
+	r.pass(DefaultConfig().PositionGrace)
 	expect(r, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
 }
 
@@ -204,7 +204,7 @@
 	expectNone[Choose](r) // c may hold an acknowledged commit that b lacks
 	r.answer("b", replica(100))
 	r.answer("c", replica(120))
-	r.pass(DefaultConfig().BestGrace)
+	r.pass(DefaultConfig().PositionGrace)
 	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
--- a/internal/failover/fleet.go
+++ b/internal/failover/fleet.go
@@ -11,7 +11,7 @@
 
 // Fleet holds one Machine per group of the agreed state. It is not safe for
 // concurrent use.
-type Fleet struct {
+type MachineSet struct {
 	cfg      Config
 	machines map[string]*Machine
 	state    *agreed.State
@@ -22,13 +22,13 @@
 
 // NewFleet returns a Fleet without groups. A new control leader starts with a
 // new Fleet.
-func NewFleet(cfg Config) *Fleet {
-	return &Fleet{cfg: cfg, machines: make(map[string]*Machine)}
+func NewMachineSet(cfg Config) *MachineSet {
+	return &MachineSet{cfg: cfg, machines: make(map[string]*Machine)}
 }
 
 // SetState sends the agreed state to all machines. The leaving set names
 // endpoints that asked to be taken out of use.
-func (f *Fleet) SetState(now time.Time, s *agreed.State, leaving map[string]bool) []Effect {
+func (f *MachineSet) SetState(now time.Time, s *agreed.State, leaving map[string]bool) []Effect {
 	f.state, f.leaving = s, leaving
 	f.services = slices.Sorted(maps.Keys(s.Groups))
 	electorate := NewElectorate(EntryHosts(s))
@@ -52,7 +52,7 @@
 
 // Step sends an event to the machine of a service. Unknown services are
 // ignored.
-func (f *Fleet) Step(now time.Time, service string, event Event) []Effect {
+func (f *MachineSet) Step(now time.Time, service string, event Event) []Effect {
 	m := f.machines[service]
 	if m == nil {
 		return nil
@@ -61,7 +61,7 @@
 }
 
 // StepAll sends an event, such as Settled or Tick, to all machines.
-func (f *Fleet) StepAll(now time.Time, event Event) []Effect {
+func (f *MachineSet) StepAll(now time.Time, event Event) []Effect {
 	if s, ok := event.(Settled); ok {
 		f.settled = max(f.settled, s.Revision)
 	}
@@ -73,14 +73,14 @@
 }
 
 // Reason tells why a group is not active, or what it waits for.
-func (f *Fleet) Reason(service string) string {
+func (f *MachineSet) Reason(service string) string {
 	if m := f.machines[service]; m != nil {
 		return m.reason
 	}
 	return ""
 }
 
-func (f *Fleet) view(service string, electorate *Electorate) View {
+func (f *MachineSet) view(service string, electorate *Electorate) View {
 	s := f.state
 	group := s.Groups[service]
 	v := View{
--- a/internal/failover/machine.go
+++ b/internal/failover/machine.go
@@ -146,7 +146,7 @@
 
 func (m *Machine) commandDone(now time.Time, r CommandResult) {
 	if !r.Committed {
-		m.busyUntil = now.Add(m.cfg.AskInterval)
+		m.busyUntil = now.Add(m.cfg.QueryInterval)
 	}
 }
 
@@ -172,7 +172,7 @@
 
 // ask requests the positions of all members once per AskInterval.
 func (m *Machine) ask(now time.Time) {
-	if !m.asked.IsZero() && now.Sub(m.asked) < m.cfg.AskInterval {
+	if !m.asked.IsZero() && now.Sub(m.asked) < m.cfg.QueryInterval {
 		return
 	}
 	m.asked = now
@@ -180,7 +180,7 @@
 	for i, member := range m.view.Members {
 		endpoints[i] = member.Endpoint
 	}
-	m.effects = append(m.effects, AskPositions{
+	m.effects = append(m.effects, QueryPositions{
 		Service:   m.view.Group.Service,
 		Term:      m.view.Group.Term,
 		Endpoints: endpoints,
--- a/internal/failover/machine_test.go
+++ b/internal/failover/machine_test.go
@@ -159,9 +159,9 @@
 	r.sealed()
 	r.send(Settled{Revision: 10})
 	r.pass(10 * time.Second)
-	expectNone[AskPositions](r)
+	expectNone[QueryPositions](r)
 	r.send(Settled{Revision: 11})
-	expect(r, AskPositions{Service: "s", Term: 2, Endpoints: []string{"a", "b", "c"}})
+	expect(r, QueryPositions{Service: "s", Term: 2, Endpoints: []string{"a", "b", "c"}})
 }
 
 func TestFailoverChoosesPromotesVerifiesActivates(t *testing.T) {
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -206,7 +206,7 @@
 	case Choose:
 		m.checkChoice(ef)
 		m.commands = append(m.commands, ef)
-	case AskPositions:
+	case QueryPositions:
 		for _, id := range ef.Endpoints {
 			m.answerLater(ef.Term, m.endpoint(id))
 		}
--- a/internal/failover/sealed.go
+++ b/internal/failover/sealed.go
@@ -59,7 +59,7 @@
 	}
 	best := slices.MinFunc(able, prefer)
 	second := best.suspected || best.member.unwanted()
-	if second && len(all) < len(m.view.Members) && now.Sub(m.majorityAt) < m.cfg.SecondBestGrace {
+	if second && len(all) < len(m.view.Members) && now.Sub(m.majorityAt) < m.cfg.FallbackGrace {
 		m.report("sealed: only an endpoint that is suspected or out of use qualifies; waiting for others")
 		return "", false
 	}
--- a/internal/failover/sim_test.go
+++ b/internal/failover/sim_test.go
@@ -203,7 +203,7 @@
 	switch e := effect.(type) {
 	case Seal, Choose, Activate:
 		s.later(simCommand, commitEvent{command: e})
-	case AskPositions:
+	case QueryPositions:
 		for _, id := range e.Endpoints {
 			if id == "a" {
 				continue
--- a/internal/failover/types.go
+++ b/internal/failover/types.go
@@ -43,9 +43,9 @@
 	// ObservationTTL is how long an observation against an endpoint counts
 	// without a newer one, WellTTL one in its favour.
 	ObservationTTL time.Duration
-	WellTTL        time.Duration
+	HealthyTTL     time.Duration
 	// AskInterval is the time between two requests for positions.
-	AskInterval time.Duration
+	QueryInterval time.Duration
 	// AnswerTTL is how long an answer proves that an endpoint is alive.
 	AnswerTTL time.Duration
 	// ProposeTimeout is the wait before a command is proposed again.
@@ -57,7 +57,7 @@
 	PromoteTimeout time.Duration
 	// SecondBestGrace is how long the choice waits for other members when only
 	// an endpoint that is suspected or out of use qualifies.
-	SecondBestGrace time.Duration
+	FallbackGrace time.Duration
 	// CatchUpTimeout bounds the wait of a planned switchover for a replica
 	// that holds the last position of the primary.
 	CatchUpTimeout time.Duration
@@ -72,7 +72,7 @@
 	FormGrace time.Duration
 	// BestGrace is how long the choice waits for further members of a group whose
 	// endpoints acknowledge by themselves: each may hold a later position.
-	BestGrace time.Duration
+	PositionGrace time.Duration
 	// OrderTimeout is how long an order that was accepted may take to show.
 	OrderTimeout time.Duration
 	// Fenced: orders carry fences and may run late. A group is activated only
@@ -87,18 +87,18 @@
 	return Config{
 		SuspectAfter:     3 * ProbeInterval,
 		ObservationTTL:   2 * time.Second,
-		WellTTL:          2*ReportInterval + 2*time.Second,
-		AskInterval:      100 * time.Millisecond,
+		HealthyTTL:       2*ReportInterval + 2*time.Second,
+		QueryInterval:    100 * time.Millisecond,
 		AnswerTTL:        time.Second,
 		ProposeTimeout:   time.Second,
 		CandidateTimeout: 1500 * time.Millisecond,
 		PromoteTimeout:   8 * time.Second,
-		SecondBestGrace:  time.Second,
+		FallbackGrace:    time.Second,
 		CatchUpTimeout:   3 * time.Second,
 		DrainTime:        250 * time.Millisecond,
 		SwitchoverRetry:  3 * time.Second,
 		FormGrace:        3 * time.Second,
-		BestGrace:        300 * time.Millisecond,
+		PositionGrace:    300 * time.Millisecond,
 		OrderTimeout:     3 * time.Second,
 	}
 }
@@ -234,7 +234,7 @@
 }
 
 // AskPositions requests the condition of endpoints, read after the request.
-type AskPositions struct {
+type QueryPositions struct {
 	Service   string
 	Term      uint64
 	Endpoints []string
@@ -266,9 +266,9 @@
 	Reason  string
 }
 
-func (Seal) isEffect()         {}
-func (Choose) isEffect()       {}
-func (Activate) isEffect()     {}
-func (AskPositions) isEffect() {}
-func (Promote) isEffect()      {}
-func (Status) isEffect()       {}
+func (Seal) isEffect()           {}
+func (Choose) isEffect()         {}
+func (Activate) isEffect()       {}
+func (QueryPositions) isEffect() {}
+func (Promote) isEffect()        {}
+func (Status) isEffect()         {}
--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -27,10 +27,10 @@
 
 // Rules.
 const (
-	RuleKept         Rule = "acknowledged record kept"
-	RuleOnce         Rule = "stored at most once"
+	RuleDurable      Rule = "acknowledged record kept"
+	RuleAtMostOnce   Rule = "stored at most once"
 	RuleNotRun       Rule = "not run is true"
-	RuleForeign      Rule = "own answer"
+	RuleOwnAnswer    Rule = "own answer"
 	RuleRate         Rule = "rate over the fleet"
 	RuleFresh        Rule = "read your writes"
 	RuleLinearizable Rule = "linearizable record"
@@ -57,15 +57,15 @@
 }
 
 // Stored compares what was sent with how often each record is stored.
-func Stored(sent []Write, stored map[string]int) []Violation {
+func CheckStored(sent []Write, stored map[string]int) []Violation {
 	var out []Violation
 	for _, w := range sent {
 		n := stored[w.ID]
 		if n > 1 {
-			out = append(out, violation(RuleOnce, "%s of %s is stored %d times", w.ID, w.Workspace, n))
+			out = append(out, violation(RuleAtMostOnce, "%s of %s is stored %d times", w.ID, w.Workspace, n))
 		}
 		if n == 0 && w.Outcome == Acked {
-			out = append(out, violation(RuleKept, "%s of %s is not stored", w.ID, w.Workspace))
+			out = append(out, violation(RuleDurable, "%s of %s is not stored", w.ID, w.Workspace))
 		}
 		if n > 0 && w.Outcome == NotRun {
 			out = append(out, violation(RuleNotRun, "%s of %s is stored", w.ID, w.Workspace))
@@ -81,11 +81,11 @@
 }
 
 // Foreign finds answers that belong to another request.
-func Foreign(answers []Answer) []Violation {
+func CheckAnswers(answers []Answer) []Violation {
 	var out []Violation
 	for _, a := range answers {
 		if a.Sent != a.Received {
-			out = append(out, violation(RuleForeign, "request %s was answered with %s", a.Sent, a.Received))
+			out = append(out, violation(RuleOwnAnswer, "request %s was answered with %s", a.Sent, a.Received))
 		}
 	}
 	return out
@@ -101,7 +101,7 @@
 // Rate finds windows in which more requests of one workspace were served than
 // its rate (per second) and burst allow. Only requests that lie within a window
 // as a whole count, so the order of events within a request does not matter.
-func Rate(served []Span, rate, burst float64) []Violation {
+func CheckRate(served []Span, rate, burst float64) []Violation {
 	for _, first := range served {
 		within := spansAfter(served, first.Invoke)
 		for i, last := range within {
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -23,14 +23,14 @@
 		{ID: "kept"}, {ID: "lost"}, {ID: "twice"}, {ID: "refused", Outcome: NotRun}, {ID: "ran", Outcome: NotRun},
 		{ID: "open", Outcome: Unknown}, {ID: "open, ran", Outcome: Unknown},
 	}
-	got := rules(Stored(sent, map[string]int{"kept": 1, "twice": 2, "ran": 1, "open, ran": 1}))
-	if len(got) != 3 || got[RuleKept] != 1 || got[RuleOnce] != 1 || got[RuleNotRun] != 1 {
+	got := rules(CheckStored(sent, map[string]int{"kept": 1, "twice": 2, "ran": 1, "open, ran": 1}))
+	if len(got) != 3 || got[RuleDurable] != 1 || got[RuleAtMostOnce] != 1 || got[RuleNotRun] != 1 {
 		t.Errorf("%v", got)
 	}
 }
 
 func TestForeignFindsCrossedAnswers(t *testing.T) {
-	if got := Foreign([]Answer{{"a", "a"}, {"b", "c"}}); len(got) != 1 {
+	if got := CheckAnswers([]Answer{{"a", "a"}, {"b", "c"}}); len(got) != 1 {
 		t.Errorf("%v", got)
 	}
 }
@@ -41,13 +41,13 @@
 		steady = append(steady, at(i*100, i*100+5))
 		crowded = append(crowded, at(i*100, i*100+5))
 	}
-	if got := Rate(steady, 10, 1.1); len(got) != 0 {
+	if got := CheckRate(steady, 10, 1.1); len(got) != 0 {
 		t.Errorf("within the rate: %v", got)
 	}
 	for i := range 10 {
 		crowded = append(crowded, at(5000+i, 5001+i))
 	}
-	if got := Rate(crowded, 10, 5); len(got) != 1 {
+	if got := CheckRate(crowded, 10, 5); len(got) != 1 {
 		t.Errorf("over the rate: %v", got)
 	}
 }
@@ -75,7 +75,7 @@
 		"refused and seen": {[]Operation{write("1", NotRun, at(0, 1)), read(OpStrongRead, "1", at(2, 3))}, 1},
 	}
 	for name, c := range cases {
-		if got := Linearizable(c.ops); len(got) != c.want {
+		if got := CheckLinearizable(c.ops); len(got) != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
@@ -96,7 +96,7 @@
 		"refused": {[]Operation{write("1", NotRun, at(0, 1)), read(OpRead, "1", at(4, 5))}, 1},
 	}
 	for name, c := range cases {
-		if got := Fresh(c.ops); len(got) != c.want {
+		if got := CheckFreshReads(c.ops); len(got) != c.want {
 			t.Errorf("%s: %v", name, got)
 		}
 	}
--- a/internal/history/register.go
+++ b/internal/history/register.go
@@ -38,7 +38,7 @@
 
 // Linearizable checks the writes and strong reads of each record. A write with
 // an unknown outcome may take effect at any later time, or never.
-func Linearizable(ops []Operation) []Violation {
+func CheckLinearizable(ops []Operation) []Violation {
 	var out []Violation
 	for record, history := range byRecord(ops) {
 		switch porcupine.CheckOperationsTimeout(registerModel, events(history), checkTimeout) {
@@ -91,7 +91,7 @@
 // Fresh checks plain reads: a read returns the value of a write that began
 // before the read ended and that no acknowledged write had replaced before the
 // read began.
-func Fresh(ops []Operation) []Violation {
+func CheckFreshReads(ops []Operation) []Violation {
 	var out []Violation
 	for _, history := range byRecord(ops) {
 		writes := make(map[string]Operation)
--- a/internal/lease/broker.go
+++ b/internal/lease/broker.go
@@ -143,7 +143,7 @@
 }
 
 // Begin starts a round when requests wait and none is in flight.
-func (b *Broker) Begin(now time.Time) (Round, bool) {
+func (b *Broker) BeginRound(now time.Time) (Round, bool) {
 	if b.round != 0 {
 		return Round{}, false
 	}
@@ -184,14 +184,14 @@
 
 // Progress reports whether the next round would tell of a greater revision
 // than the last one.
-func (b *Broker) Progress() bool {
+func (b *Broker) HasProgress() bool {
 	return len(b.waiting) > 0 && b.minimum() > b.reported
 }
 
 // Finish ends the round in flight with what the leader confirmed, and returns
 // the answers to the requests that arrived before it began. Other rounds are
 // ignored.
-func (b *Broker) Finish(id, revision, settled uint64) []Answer {
+func (b *Broker) FinishRound(id, revision, settled uint64) []Answer {
 	if id == 0 || id != b.round {
 		return nil
 	}
@@ -226,7 +226,7 @@
 
 // Abort ends the round in flight without a confirmation. Its requests wait for
 // the next round, unless a later one of the same subscriber does.
-func (b *Broker) Abort() {
+func (b *Broker) AbortRound() {
 	later := b.waiting
 	b.waiting = b.inRound
 	for _, r := range later {
@@ -238,7 +238,7 @@
 }
 
 // Held reports which of the processes may hold a valid lease.
-func (b *Broker) Held(now time.Time, ids []ID) map[ID]bool {
+func (b *Broker) PossibleHolders(now time.Time, ids []ID) map[ID]bool {
 	held := make(map[ID]bool)
 	if now.Before(b.assumeUntil) {
 		for _, id := range ids {
@@ -255,12 +255,12 @@
 
 // Lead tells the broker that its host was elected leader. Former leaders may
 // have granted leases that this broker has not seen.
-func (b *Broker) Lead(now time.Time) {
+func (b *Broker) BecomeLeader(now time.Time) {
 	b.assumeUntil = now.Add(b.cfg.counted())
 }
 
 // Electorate describes the registered processes that may act.
-type Electorate struct {
+type Registrations struct {
 	Holders []ID
 	// Changed is the revision at which a process was last registered or removed.
 	Changed uint64
@@ -268,7 +268,7 @@
 
 // Found tells the broker of a leader that no process was ever registered, so
 // that no lease of a former leader can allow anyone to act.
-func (b *Broker) Found() { b.assumeUntil = time.Time{} }
+func (b *Broker) AssumeNoLeases() { b.assumeUntil = time.Time{} }
 
 // Settle returns the greatest revision known to be applied by every holder of a
 // valid lease; revision is what the leader has applied. Only the leader calls
@@ -281,7 +281,7 @@
 // was replaced or removed since may still hold a lease. With exclusive identities
 // a replaced process has ended, and a removed one's lease had, so that only the
 // registered processes matter.
-func (b *Broker) Settle(now time.Time, revision uint64, e Electorate) uint64 {
+func (b *Broker) Settle(now time.Time, revision uint64, e Registrations) uint64 {
 	b.expire(now)
 	if now.Before(b.assumeUntil) && !b.allPresent(e) {
 		return b.settled
@@ -291,19 +291,19 @@
 }
 
 // Learn takes a settled revision reported by the leader.
-func (b *Broker) Learn(settled uint64) { b.settled = max(b.settled, settled) }
+func (b *Broker) ObserveSettled(settled uint64) { b.settled = max(b.settled, settled) }
 
 // Settled returns the last settled revision.
 func (b *Broker) Settled() uint64 { return b.settled }
 
-func (b *Broker) allPresent(e Electorate) bool {
-	if e.Changed > b.settled && !b.cfg.Exclusive {
+func (b *Broker) allPresent(e Registrations) bool {
+	if e.Changed > b.settled && !b.cfg.ExclusiveIdentity {
 		return false
 	}
 	present := b.holders()
 	for _, id := range e.Holders {
 		at, ok := slices.BinarySearchFunc(present, id, compareID)
-		replaced := b.cfg.Exclusive && at < len(present) && present[at].Host == id.Host
+		replaced := b.cfg.ExclusiveIdentity && at < len(present) && present[at].Host == id.Host
 		if !ok && !replaced {
 			return false
 		}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -92,11 +92,11 @@
 	b := NewBroker(DefaultConfig(), 0)
 	id := ID{"h", 1}
 	b.Receive(now, id, Renew{Seq: 1, Applied: 4})
-	if got := b.Settle(now, 9, Electorate{}); got != 4 || !b.Held(now, []ID{id})[id] {
+	if got := b.Settle(now, 9, Registrations{}); got != 4 || !b.PossibleHolders(now, []ID{id})[id] {
 		t.Fatalf("settled %d, want 4", got)
 	}
 	b.Release(id)
-	if got := b.Settle(now, 9, Electorate{}); got != 9 || b.Held(now, []ID{id})[id] {
+	if got := b.Settle(now, 9, Registrations{}); got != 9 || b.PossibleHolders(now, []ID{id})[id] {
 		t.Fatalf("settled %d, want 9", got)
 	}
 }
@@ -104,9 +104,9 @@
 func TestNewLeaderEndsItsWaitEarly(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
-	e := Electorate{Holders: []ID{{"h", 1}}, Changed: 2}
-	b.Learn(3)
-	b.Lead(now)
+	e := Registrations{Holders: []ID{{"h", 1}}, Changed: 2}
+	b.ObserveSettled(3)
+	b.BecomeLeader(now)
 	if got := b.Settle(now, 9, e); got != 3 {
 		t.Fatalf("settled %d before the host asked", got)
 	}
@@ -126,14 +126,14 @@
 	h := NewHolder(DefaultConfig(), 40)
 	r := h.Renew(now, 0)
 	b.Receive(now, fresh, r)
-	round, ok := b.Begin(now)
+	round, ok := b.BeginRound(now)
 	if !ok || round.Applied != 8 || len(round.Holders) != 1 {
 		t.Fatalf("round %+v", round)
 	}
-	if answers := b.Finish(round.ID, 8, 8); len(answers) != 2 {
+	if answers := b.FinishRound(round.ID, 8, 8); len(answers) != 2 {
 		t.Fatalf("%d answers", len(answers))
 	}
-	if got := b.Settle(now, 9, Electorate{}); got != 8 {
+	if got := b.Settle(now, 9, Registrations{}); got != 8 {
 		t.Fatalf("settled %d", got)
 	}
 	h.Granted(RenewOK{Seq: r.Seq, Revision: 8, Settled: 8})
@@ -148,10 +148,10 @@
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.Exclusive = exclusive
+		cfg.ExclusiveIdentity = exclusive
 		b := NewBroker(cfg, 0)
-		b.Lead(now)
-		e := Electorate{Holders: []ID{{"h", 2}, {"i", 2}}, Changed: 9}
+		b.BecomeLeader(now)
+		e := Registrations{Holders: []ID{{"h", 2}, {"i", 2}}, Changed: 9}
 		b.Receive(now, e.Holders[0], Renew{Seq: 1, Applied: 9})
 		if got := b.Settle(now, 9, e); got != 0 {
 			t.Fatalf("exclusive %v: settled %d before all hosts asked", exclusive, got)
@@ -170,20 +170,20 @@
 	cfg := DefaultConfig()
 	b := NewBroker(cfg, 0)
 	b.Receive(now, ID{"gone", 1}, Renew{Seq: 1, Applied: 4})
-	if round, ok := b.Begin(now); !ok || round.Applied != 4 {
+	if round, ok := b.BeginRound(now); !ok || round.Applied != 4 {
 		t.Fatalf("round %+v", round)
 	}
-	b.Abort() // no leader is known
+	b.AbortRound() // no leader is known
 	later := now.Add(cfg.Duration/patienceShare + time.Millisecond)
 	b.Receive(later, ID{"stays", 1}, Renew{Seq: 1, Applied: 9})
-	round, ok := b.Begin(later)
+	round, ok := b.BeginRound(later)
 	if !ok || round.Applied != 9 || len(round.Holders) != 1 {
 		t.Fatalf("round %+v", round)
 	}
-	if answers := b.Finish(round.ID, 9, 9); len(answers) != 1 {
+	if answers := b.FinishRound(round.ID, 9, 9); len(answers) != 1 {
 		t.Fatalf("%d answers", len(answers))
 	}
-	if got := b.Settle(later, 9, Electorate{}); got != 9 {
+	if got := b.Settle(later, 9, Registrations{}); got != 9 {
 		t.Fatalf("settled %d", got)
 	}
 }
@@ -194,12 +194,12 @@
 	cfg := DefaultConfig()
 	b := NewBroker(cfg, 0)
 	b.Receive(now, ID{"h", 1}, Renew{Seq: 1, Applied: 4})
-	round, _ := b.Begin(now)
-	b.Finish(round.ID, 4, 4)
-	if got := b.Settle(now.Add(cfg.counted()-time.Millisecond), 9, Electorate{}); got != 4 {
+	round, _ := b.BeginRound(now)
+	b.FinishRound(round.ID, 4, 4)
+	if got := b.Settle(now.Add(cfg.counted()-time.Millisecond), 9, Registrations{}); got != 4 {
 		t.Fatalf("settled %d while the lease is valid", got)
 	}
-	if got := b.Settle(now.Add(cfg.counted()), 9, Electorate{}); got != 9 {
+	if got := b.Settle(now.Add(cfg.counted()), 9, Registrations{}); got != 9 {
 		t.Fatalf("settled %d after its end", got)
 	}
 }
@@ -210,18 +210,18 @@
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.Exclusive = exclusive
+		cfg.ExclusiveIdentity = exclusive
 		b := NewBroker(cfg, 0)
 		b.Receive(now, ID{"h", 1}, Renew{Seq: 1, Applied: 4})
-		round, _ := b.Begin(now)
-		b.Finish(round.ID, 4, 4)
+		round, _ := b.BeginRound(now)
+		b.FinishRound(round.ID, 4, 4)
 		b.Receive(now, ID{"h", 2}, Renew{Seq: 9, Applied: 8})
-		if got := b.Settle(now, 9, Electorate{}); (got == 8) != exclusive {
+		if got := b.Settle(now, 9, Registrations{}); (got == 8) != exclusive {
 			t.Errorf("exclusive %v: settled %d", exclusive, got)
 		}
 		b.Receive(now, ID{"i", 1}, Renew{Seq: 1, Applied: 2})
 		b.Supersede(ID{"i", 2}) // registered through another control host
-		if got := b.Settle(now, 9, Electorate{}); (got == 8) != exclusive {
+		if got := b.Settle(now, 9, Registrations{}); (got == 8) != exclusive {
 			t.Errorf("exclusive %v: settled %d with a superseded process", exclusive, got)
 		}
 	}
@@ -233,10 +233,10 @@
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.Exclusive = exclusive
+		cfg.ExclusiveIdentity = exclusive
 		b := NewBroker(cfg, 0)
-		b.Lead(now)
-		e := Electorate{Holders: []ID{{"h", 1}, {"i", 1}}}
+		b.BecomeLeader(now)
+		e := Registrations{Holders: []ID{{"h", 1}, {"i", 1}}}
 		b.Receive(now, ID{"h", 1}, Renew{Seq: 1, Applied: 9})
 		b.Receive(now, ID{"i", 2}, Renew{Seq: 1, Applied: 9})
 		if got := b.Settle(now, 9, e); (got == 9) != exclusive {
@@ -252,23 +252,23 @@
 	b, h, id := NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40), ID{"h", 1}
 	r := h.Renew(now, 4)
 	b.Receive(now, id, r)
-	round, _ := b.Begin(now)
+	round, _ := b.BeginRound(now)
 	b.Receive(now, id, h.Release(false))
-	if got := b.Settle(now, 9, Electorate{}); got != 9 {
+	if got := b.Settle(now, 9, Registrations{}); got != 9 {
 		t.Errorf("settled %d", got)
 	}
-	for _, a := range b.Finish(round.ID, 4, 4) {
+	for _, a := range b.FinishRound(round.ID, 4, 4) {
 		h.Granted(a.OK)
 	}
 	if !h.ValidUntil(9).IsZero() {
 		t.Error("the host took a lease that it had released")
 	}
 	b.Receive(now, id, r) // overtaken on another connection
-	if got := b.Settle(now, 12, Electorate{}); got != 12 {
+	if got := b.Settle(now, 12, Registrations{}); got != 12 {
 		t.Errorf("settled %d after a request that was overtaken", got)
 	}
 	b.Receive(now, id, h.Renew(now, 13))
-	if got := b.Settle(now, 20, Electorate{}); got != 13 {
+	if got := b.Settle(now, 20, Registrations{}); got != 13 {
 		t.Errorf("settled %d with the host back", got)
 	}
 }
@@ -285,15 +285,15 @@
 			t.Fatal("the relay has nothing to tell")
 		}
 		leader.Receive(now, via, Renew{Seq: round.ID, Applied: round.Applied, Relay: true, Holders: round.Holders, Base: round.Base})
-		r, _ := leader.Begin(now)
-		leader.Finish(r.ID, 4, 0)
-		relay.Finish(round.ID, 4, 0)
+		r, _ := leader.BeginRound(now)
+		leader.FinishRound(r.ID, 4, 0)
+		relay.FinishRound(round.ID, 4, 0)
 	}
 	relay.Receive(now, id, h.Renew(now, 4))
-	pass(relay.Begin(now))
+	pass(relay.BeginRound(now))
 	relay.Receive(now, id, h.Release(false))
-	pass(relay.Begin(now))
-	if got := leader.Settle(now, 9, Electorate{}); got != 9 {
+	pass(relay.BeginRound(now))
+	if got := leader.Settle(now, 9, Registrations{}); got != 9 {
 		t.Errorf("settled %d while nobody holds a lease", got)
 	}
 }
@@ -305,22 +305,22 @@
 	b, h, id := NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40), ID{"h", 1}
 	r := h.Renew(now, 4)
 	b.Receive(now, id, r)
-	round, _ := b.Begin(now)
-	for _, a := range b.Finish(round.ID, 4, 4) {
+	round, _ := b.BeginRound(now)
+	for _, a := range b.FinishRound(round.ID, 4, 4) {
 		h.Granted(a.OK)
 	}
 	unread := []Renew{h.Renew(now, 4), h.Release(true)}
 	if h.ValidUntil(4).IsZero() {
 		t.Fatal("the host gave up the lease that it uses")
 	}
-	if got := b.Settle(now, 9, Electorate{}); got != 4 {
+	if got := b.Settle(now, 9, Registrations{}); got != 4 {
 		t.Fatalf("settled %d while the lease is in use", got)
 	}
 	later := now.Add(DefaultConfig().counted())
 	for _, r := range unread {
 		b.Receive(later, id, r)
 	}
-	if got := b.Settle(later, 9, Electorate{}); got != 9 {
+	if got := b.Settle(later, 9, Registrations{}); got != 9 {
 		t.Errorf("settled %d by requests that were given up", got)
 	}
 }
@@ -331,9 +331,9 @@
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
 	b.Receive(now, ID{"c", 1}, Renew{Seq: 1, Applied: 4, Relay: true, Holders: []ID{{"h", 1}}})
-	b.Follow()
+	b.StepDown()
 	b.Receive(now, ID{"i", 1}, Renew{Seq: 1, Applied: 9})
-	round, ok := b.Begin(now)
+	round, ok := b.BeginRound(now)
 	if !ok || round.Applied != 9 || len(round.Holders) != 1 {
 		t.Errorf("round %+v", round)
 	}
--- a/internal/lease/release.go
+++ b/internal/lease/release.go
@@ -24,7 +24,7 @@
 
 // Follow drops the requests and leases of relays, once the host does not lead any
 // more: relays ask the leader, and a new one counts or waits for all leases.
-func (b *Broker) Follow() {
+func (b *Broker) StepDown() {
 	ofRelay := func(w request) bool { return w.key.relay }
 	b.waiting = slices.DeleteFunc(b.waiting, ofRelay)
 	b.inRound = slices.DeleteFunc(b.inRound, ofRelay)
@@ -39,7 +39,7 @@
 // Supersede ends the leases of former processes of a host, where one process
 // proves that the former ones have ended.
 func (b *Broker) Supersede(id ID) {
-	if !b.cfg.Exclusive {
+	if !b.cfg.ExclusiveIdentity {
 		return
 	}
 	for key := range b.sessions {
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -99,7 +99,7 @@
 
 func newSim(p params) *sim {
 	s := &sim{params: p, cfg: DefaultConfig(), rng: rand.New(rand.NewPCG(p.seed, 7))}
-	s.cfg.Exclusive = p.exclusive
+	s.cfg.ExclusiveIdentity = p.exclusive
 	s.registry = []map[string]simHost{{}}
 	for i := range 3 {
 		s.controls = append(s.controls, &simControl{id: i, rate: s.clockRate(), broker: NewBroker(s.cfg, 0)})
@@ -210,8 +210,8 @@
 	}
 	if c.leading && c.id != s.leader {
 		c.leading, c.believed = false, s.leader
-		c.broker.Abort()
-		c.broker.Follow()
+		c.broker.AbortRound()
+		c.broker.StepDown()
 	}
 	c.applied = max(c.applied, revision)
 	for name, reg := range s.registry[c.applied] {
@@ -252,7 +252,7 @@
 }
 
 func (s *sim) held(c *simControl, id ID) bool {
-	return c.broker.Held(s.local(c.rate), []ID{id})[id]
+	return c.broker.PossibleHolders(s.local(c.rate), []ID{id})[id]
 }
 
 // startHolder starts a process and registers it. An older process of the same
@@ -309,7 +309,7 @@
 
 // pump starts a round on a control host.
 func (s *sim) pump(c *simControl) {
-	round, ok := c.broker.Begin(s.local(c.rate))
+	round, ok := c.broker.BeginRound(s.local(c.rate))
 	if !ok {
 		return
 	}
@@ -324,7 +324,7 @@
 	}
 	s.after(500*time.Millisecond, func() {
 		if c.broker.round == round.ID {
-			c.broker.Abort()
+			c.broker.AbortRound()
 			s.pump(c)
 		}
 	})
@@ -357,7 +357,7 @@
 }
 
 func (s *sim) finish(c *simControl, id, revision, settled uint64) {
-	for _, a := range c.broker.Finish(id, revision, settled) {
+	for _, a := range c.broker.FinishRound(id, revision, settled) {
 		s.send(func() { s.answer(a) })
 	}
 	s.pump(c)
@@ -386,9 +386,9 @@
 	s.leader = id
 	c.applied = s.revision()
 	c.leading, c.ready, c.believed = true, false, id
-	c.broker.Abort()
+	c.broker.AbortRound()
 	if s.fault != faultNoWait {
-		c.broker.Lead(s.local(c.rate))
+		c.broker.BecomeLeader(s.local(c.rate))
 	}
 	s.pump(c)
 	for _, other := range s.controls {
@@ -403,8 +403,8 @@
 		s.after(unaware, func() {
 			if s.leader == id {
 				other.leading, other.believed = false, id
-				other.broker.Abort()
-				other.broker.Follow()
+				other.broker.AbortRound()
+				other.broker.StepDown()
 			}
 		})
 	}
@@ -421,7 +421,7 @@
 	if !c.leading || !c.ready {
 		return
 	}
-	var e Electorate
+	var e Registrations
 	for name, reg := range s.registry[c.applied] {
 		e.Holders = append(e.Holders, ID{name, reg.incarnation})
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -38,7 +38,7 @@
 
 type testHost struct {
 	peers  *peer.Node
-	view   *view.Box
+	view   *view.Publisher
 	holder *Holder
 	stop   context.CancelFunc
 	done   sync.WaitGroup
@@ -71,7 +71,7 @@
 
 func (f *fleet) add(id string, control bool) {
 	logger := log.New(io.Discard)
-	h := &testHost{view: view.NewBox()}
+	h := &testHost{view: view.NewPublisher()}
 	h.peers = peer.NewNode(peer.Options{
 		Host: id, Fleet: "test", Secret: "0123456789abcdef", Incarnation: 1,
 		Listen: "127.0.0.1:0", Registry: prometheus.NewRegistry(), Logger: logger,
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -36,33 +36,33 @@
 }
 
 // Box is a Source that its owner publishes to. It is safe for concurrent use.
-type Box struct {
+type Publisher struct {
 	mu      sync.RWMutex
 	view    View
 	changed chan struct{}
 }
 
 // NewBox returns an empty Box, whose view is not valid.
-func NewBox() *Box {
-	return &Box{changed: make(chan struct{})}
+func NewPublisher() *Publisher {
+	return &Publisher{changed: make(chan struct{})}
 }
 
 // Current implements Source.
-func (b *Box) Current() View {
+func (b *Publisher) Current() View {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.view
 }
 
 // Changed implements Source.
-func (b *Box) Changed() <-chan struct{} {
+func (b *Publisher) Changed() <-chan struct{} {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	return b.changed
 }
 
 // Publish replaces the view and wakes watchers when the state differs.
-func (b *Box) Publish(v View) {
+func (b *Publisher) Publish(v View) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	stateChanged := b.view.State != v.State
--- a/internal/watch/prober.go
+++ b/internal/watch/prober.go
@@ -51,7 +51,7 @@
 }
 
 // Glance is like Probe but leaves the position out, which saves a round trip.
-func (p *Prober) Glance(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
+func (p *Prober) ProbeRole(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.ask(ctx, service, e, readRole)
 }
 
@@ -92,7 +92,7 @@
 }
 
 // Forget closes the connections to endpoints for which keep is false.
-func (p *Prober) Forget(keep func(endpoint string) bool) {
+func (p *Prober) CloseExcept(keep func(endpoint string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, e := range p.endpoints {
--- a/internal/watch/prober_test.go
+++ b/internal/watch/prober_test.go
@@ -35,7 +35,7 @@
 func TestProbeSeesRolesAndPromotion(t *testing.T) {
 	group := startGroup(t)
 	p := NewProber()
-	defer p.Forget(func(string) bool { return false })
+	defer p.CloseExcept(func(string) bool { return false })
 	service := note.Service{Name: "s", Database: "db", User: standin.DefaultUser}
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -64,7 +64,7 @@
 func TestProbeReportsALostEndpoint(t *testing.T) {
 	group := startGroup(t)
 	p := NewProber()
-	defer p.Forget(func(string) bool { return false })
+	defer p.CloseExcept(func(string) bool { return false })
 	service := note.Service{Name: "s", Database: "db", User: standin.DefaultUser}
 	e := agreed.Endpoint{ID: "s-1", Service: "s", Addr: group.Servers[0].Addr()}
 	if c := p.Probe(context.Background(), service, e); !c.Reachable {
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -69,7 +69,7 @@
 	defer func() {
 		stopAll(running)
 		tasks.Wait()
-		w.prober.Forget(func(string) bool { return false })
+		w.prober.CloseExcept(func(string) bool { return false })
 	}()
 	for {
 		changed := w.view.Changed()
@@ -110,7 +110,7 @@
 		running[id] = watch{watched: target, stop: stop}
 		tasks.Go(func() { w.probe(ctx, target) })
 	}
-	w.prober.Forget(func(id string) bool {
+	w.prober.CloseExcept(func(id string) bool {
 		_, ok := running[id]
 		return ok
 	})
@@ -193,7 +193,7 @@
 func (w *Watcher) observe(ctx context.Context, target watched, last *reported) {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
-	condition := w.prober.Glance(probeCtx, target.service, target.endpoint)
+	condition := w.prober.ProbeRole(probeCtx, target.service, target.endpoint)
 	now := time.Now()
 	if ctx.Err() != nil || !last.due(now, target, condition) {
 		return
--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -257,7 +257,7 @@
 	for _, s := range spans {
 		all = append(all, s...)
 	}
-	for _, v := range history.Rate(all, meteredRate, meteredBurst) {
+	for _, v := range history.CheckRate(all, meteredRate, meteredBurst) {
 		t.Error(v)
 	}
 	if len(all) == 0 {
--- a/test/integration/recorder_test.go
+++ b/test/integration/recorder_test.go
@@ -116,10 +116,10 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	var found []history.Violation
-	found = append(found, history.Stored(r.writes, stored)...)
-	found = append(found, history.Foreign(r.answers)...)
-	found = append(found, history.Linearizable(r.ops)...)
-	found = append(found, history.Fresh(r.ops)...)
+	found = append(found, history.CheckStored(r.writes, stored)...)
+	found = append(found, history.CheckAnswers(r.answers)...)
+	found = append(found, history.CheckLinearizable(r.ops)...)
+	found = append(found, history.CheckFreshReads(r.ops)...)
 	for i, v := range found {
 		if i == 20 {
 			t.Errorf("and %d more", len(found)-i)
