--- a/internal/agreed/apply.go
+++ b/internal/agreed/apply.go
@@ -49,8 +49,8 @@
 		return removeEndpoint(s, index, c.RemoveEndpoint)
 	case c.SealGroup != nil:
 		return sealGroup(s, index, c.SealGroup)
-	case c.ChooseGroup != nil:
-		return chooseGroup(s, index, c.ChooseGroup)
+	case c.ChooseCandidate != nil:
+		return chooseGroup(s, index, c.ChooseCandidate)
 	case c.ActivateGroup != nil:
 		return activateGroup(s, index, c.ActivateGroup)
 	case c.NameFleet != nil:
--- a/internal/agreed/apply_endpoint.go
+++ b/internal/agreed/apply_endpoint.go
@@ -8,30 +8,30 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// RetiredLimit is the number of endpoints that left which the state remembers.
+// MaxTombstones is the number of endpoints that left which the state remembers.
 // Announcements are late by seconds; this many leave in days.
-const RetiredLimit = 256
+const MaxTombstones = 256
 
-// Admits reports why an announcement of an endpoint must not change the state:
+// CheckStale reports why an announcement of an endpoint must not change the state:
 // it comes from a process that has left, or that another one has followed on the
 // identity or the address. A zero code admits it.
-func (s *State) Admits(e Endpoint) Outcome {
-	if gone, ok := s.Retired[e.ID]; ok && e.Born <= gone.Born {
+func (s *State) CheckStale(e Endpoint) Outcome {
+	if gone, ok := s.Retired[e.ID]; ok && e.StartedMS <= gone.StartedMS {
 		return refuse(result.GroupConflict, "endpoint %q has left", e.ID)
 	}
-	if known, ok := s.Endpoints[e.ID]; ok && (e.Born < known.Born || e.Born == known.Born && e.Seq < known.Seq) {
+	if known, ok := s.Endpoints[e.ID]; ok && (e.StartedMS < known.StartedMS || e.StartedMS == known.StartedMS && e.Seq < known.Seq) {
 		return refuse(result.GroupConflict, "endpoint %q has announced itself later", e.ID)
 	}
 	for id, other := range s.Endpoints {
-		if id != e.ID && other.Addr == e.Addr && other.Born > e.Born {
+		if id != e.ID && other.Addr == e.Addr && other.StartedMS > e.StartedMS {
 			return refuse(result.GroupConflict, "the address of endpoint %q belongs to %q", e.ID, id)
 		}
 	}
 	return Outcome{}
 }
 
-// Known reports whether the state holds what the announcement says.
-func (s *State) Known(e Endpoint) bool {
+// HasEndpoint reports whether the state holds what the announcement says.
+func (s *State) HasEndpoint(e Endpoint) bool {
 	known, ok := s.Endpoints[e.ID]
 	return ok && known.same(e)
 }
@@ -48,18 +48,18 @@
 	switch {
 	case e.ID == "" || e.Addr == "":
 		return nil, refuse(result.GroupConflict, "an endpoint has an identity and an address")
-	case s.Known(e):
+	case s.HasEndpoint(e):
 		return nil, Outcome{}
-	case exists && known.Service != e.Service && e.Born <= known.Born:
+	case exists && known.Service != e.Service && e.StartedMS <= known.StartedMS:
 		return nil, refuse(result.GroupConflict, "endpoint %q is a member of service %q", e.ID, known.Service)
 	case !exists && limit != note.OpenGroup && len(g.Members) >= limit:
 		return nil, refuse(result.GroupConflict, "the group of service %q has all its %d endpoints", e.Service, len(g.Members))
 	}
-	if out := s.Admits(e); out.Code != 0 {
+	if out := s.CheckStale(e); out.Code != 0 {
 		return nil, out
 	}
 	next := s.without(index, func(o Endpoint) bool {
-		return o.ID == e.ID && o.Service != e.Service || o.ID != e.ID && o.Addr == e.Addr && o.Born < e.Born
+		return o.ID == e.ID && o.Service != e.Service || o.ID != e.ID && o.Addr == e.Addr && o.StartedMS < e.StartedMS
 	})
 	g = next.Groups[e.Service]
 	if !slices.Contains(g.Members, e.ID) {
@@ -96,26 +96,26 @@
 // retireEndpoint removes an endpoint and remembers that it left.
 func retireEndpoint(s *State, index uint64, c *RetireEndpoint) (*State, Outcome) {
 	known, exists := s.Endpoints[c.ID]
-	born := c.Born
+	born := c.StartedMS
 	if born == 0 {
-		born = known.Born
+		born = known.StartedMS
 	}
-	if !exists || known.Born > born {
+	if !exists || known.StartedMS > born {
 		return nil, Outcome{}
 	}
 	next := copyOf(s.without(index, func(e Endpoint) bool { return e.ID == c.ID }))
-	next.Retired = retire(s.Retired, c.ID, Retired{Born: born, At: index})
+	next.Retired = retire(s.Retired, c.ID, Tombstone{StartedMS: born, At: index})
 	return next, Outcome{}
 }
 
-// retire returns a copy with one more entry, shortened to RetiredLimit.
-func retire(all map[string]Retired, id string, r Retired) map[string]Retired {
+// retire returns a copy with one more entry, shortened to MaxTombstones.
+func retire(all map[string]Tombstone, id string, r Tombstone) map[string]Tombstone {
 	next := maps.Clone(all)
 	if next == nil {
-		next = make(map[string]Retired)
+		next = make(map[string]Tombstone)
 	}
 	next[id] = r
-	if len(next) <= RetiredLimit {
+	if len(next) <= MaxTombstones {
 		return next
 	}
 	oldest := id
--- a/internal/agreed/apply_group.go
+++ b/internal/agreed/apply_group.go
@@ -69,13 +69,13 @@
 func sealed(g Group, reason string) Group {
 	g.Term++
 	g.Phase = PhaseSealed
-	g.Candidate, g.Chooser, g.Attempt = "", 0, 0
+	g.Candidate, g.ChooserTerm, g.Attempt = "", 0, 0
 	g.Reason = reason
 	return g
 }
 
 // chooseGroup records the candidate of a sealed term.
-func chooseGroup(s *State, index uint64, c *ChooseGroup) (*State, Outcome) {
+func chooseGroup(s *State, index uint64, c *ChooseCandidate) (*State, Outcome) {
 	g, ok := s.Groups[c.Service]
 	if !ok {
 		return nil, refuse(result.UnknownService, "no service %q", c.Service)
@@ -86,10 +86,10 @@
 	if !slices.Contains(g.Members, c.Candidate) {
 		return nil, refuse(result.GroupConflict, "endpoint %q is not a member of service %q", c.Candidate, c.Service)
 	}
-	if g.Candidate == c.Candidate && g.Chooser == c.Chooser && g.Attempt >= c.Attempt {
+	if g.Candidate == c.Candidate && g.ChooserTerm == c.ChooserTerm && g.Attempt >= c.Attempt {
 		return nil, Outcome{}
 	}
-	g.Candidate, g.Chooser, g.Attempt = c.Candidate, c.Chooser, c.Attempt
+	g.Candidate, g.ChooserTerm, g.Attempt = c.Candidate, c.ChooserTerm, c.Attempt
 	return s.withGroup(g, index), Outcome{}
 }
 
@@ -119,7 +119,7 @@
 	g.Primary = c.Primary
 	g.Timeline = c.Timeline
 	g.Phase = PhaseActive
-	g.Candidate, g.Chooser, g.Attempt = "", 0, 0
+	g.Candidate, g.ChooserTerm, g.Attempt = "", 0, 0
 	g.Reason = ""
 	return s.withGroup(g, index), Outcome{}
 }
--- a/internal/agreed/apply_host.go
+++ b/internal/agreed/apply_host.go
@@ -27,7 +27,7 @@
 	next.Hosts = maps.Clone(s.Hosts)
 	next.Hosts[h.ID] = h
 	if known.Entry && known.Incarnation != h.Incarnation {
-		next.Departed = index
+		next.EntryRemoved = index
 	}
 	if known.Control != h.Control {
 		next.OwnersEpoch++
@@ -46,7 +46,7 @@
 	next.Hosts = maps.Clone(s.Hosts)
 	delete(next.Hosts, c.ID)
 	if known.Entry {
-		next.Departed = index
+		next.EntryRemoved = index
 	}
 	if known.Control {
 		next.OwnersEpoch++
--- a/internal/agreed/apply_note.go
+++ b/internal/agreed/apply_note.go
@@ -8,9 +8,9 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// HistoryLimit is the number of accepted notes that the state remembers. A
+// MaxHistory is the number of accepted notes that the state remembers. A
 // note sent again is recognised as long as it is among them.
-const HistoryLimit = 1024
+const MaxHistory = 1024
 
 // applyNote accepts the next note. A note with the number and digest of an
 // accepted one gets the first answer again.
@@ -62,10 +62,10 @@
 }
 
 // appendHistory returns a copy of history with the stamp added, shortened to
-// HistoryLimit.
+// MaxHistory.
 func appendHistory(history []note.Stamp, stamps ...note.Stamp) []note.Stamp {
 	longer := append(slices.Clone(history), stamps...)
-	return longer[max(0, len(longer)-HistoryLimit):]
+	return longer[max(0, len(longer)-MaxHistory):]
 }
 
 // matchGroups gives each service of the catalog a group, and removes groups
--- a/internal/agreed/apply_test.go
+++ b/internal/agreed/apply_test.go
@@ -56,7 +56,7 @@
 }
 
 func choose(term uint64, id string) Command {
-	return Command{ChooseGroup: &ChooseGroup{Service: "log", Term: term, Candidate: id}}
+	return Command{ChooseCandidate: &ChooseCandidate{Service: "log", Term: term, Candidate: id}}
 }
 
 func activate(term uint64, id string) Command {
@@ -98,10 +98,10 @@
 
 func TestHistoryIsBounded(t *testing.T) {
 	s := New()
-	for n := range uint64(HistoryLimit + 10) {
+	for n := range uint64(MaxHistory + 10) {
 		s = run(t, s, step{noteWith(n+1, "x"), 0})
 	}
-	if len(s.History) != HistoryLimit {
+	if len(s.History) != MaxHistory {
 		t.Fatalf("history of %d", len(s.History))
 	}
 	run(t, s, step{noteWith(1, "x"), result.NoteOutOfOrder}, step{noteWith(20, "x"), 0})
--- a/internal/agreed/command.go
+++ b/internal/agreed/command.go
@@ -12,18 +12,18 @@
 
 // Command is one entry of the consensus log. Exactly one field is set.
 type Command struct {
-	ApplyNote      *ApplyNote      `cbor:"1,keyasint,omitempty"`
-	RegisterHost   *RegisterHost   `cbor:"2,keyasint,omitempty"`
-	RemoveHost     *RemoveHost     `cbor:"3,keyasint,omitempty"`
-	PutEndpoint    *PutEndpoint    `cbor:"4,keyasint,omitempty"`
-	RemoveEndpoint *RemoveEndpoint `cbor:"5,keyasint,omitempty"`
-	SealGroup      *SealGroup      `cbor:"6,keyasint,omitempty"`
-	ChooseGroup    *ChooseGroup    `cbor:"7,keyasint,omitempty"`
-	ActivateGroup  *ActivateGroup  `cbor:"8,keyasint,omitempty"`
-	NameFleet      *NameFleet      `cbor:"9,keyasint,omitempty"`
-	PutCatalog     *PutCatalog     `cbor:"10,keyasint,omitempty"`
-	SetDomain      *SetDomain      `cbor:"11,keyasint,omitempty"`
-	RetireEndpoint *RetireEndpoint `cbor:"12,keyasint,omitempty"`
+	ApplyNote       *ApplyNote       `cbor:"1,keyasint,omitempty"`
+	RegisterHost    *RegisterHost    `cbor:"2,keyasint,omitempty"`
+	RemoveHost      *RemoveHost      `cbor:"3,keyasint,omitempty"`
+	PutEndpoint     *PutEndpoint     `cbor:"4,keyasint,omitempty"`
+	RemoveEndpoint  *RemoveEndpoint  `cbor:"5,keyasint,omitempty"`
+	SealGroup       *SealGroup       `cbor:"6,keyasint,omitempty"`
+	ChooseCandidate *ChooseCandidate `cbor:"7,keyasint,omitempty"`
+	ActivateGroup   *ActivateGroup   `cbor:"8,keyasint,omitempty"`
+	NameFleet       *NameFleet       `cbor:"9,keyasint,omitempty"`
+	PutCatalog      *PutCatalog      `cbor:"10,keyasint,omitempty"`
+	SetDomain       *SetDomain       `cbor:"11,keyasint,omitempty"`
+	RetireEndpoint  *RetireEndpoint  `cbor:"12,keyasint,omitempty"`
 }
 
 // PutCatalog replaces the whole catalog, but for the failure domains, when its
@@ -42,8 +42,8 @@
 // primary leaves is sealed.
 type RetireEndpoint struct {
 	ID string `cbor:"1,keyasint"`
-	// Born names the process that left; zero means the present one.
-	Born uint64 `cbor:"2,keyasint,omitempty"`
+	// StartedMS names the process that left; zero means the present one.
+	StartedMS uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // ApplyNote puts a release note in force.
@@ -86,14 +86,14 @@
 	Reason string `cbor:"3,keyasint,omitempty"`
 }
 
-// ChooseGroup records the endpoint to promote in a sealed term.
-type ChooseGroup struct {
+// ChooseCandidate records the endpoint to promote in a sealed term.
+type ChooseCandidate struct {
 	Service   string `cbor:"1,keyasint"`
 	Term      uint64 `cbor:"2,keyasint"`
 	Candidate string `cbor:"3,keyasint"`
-	// Chooser and Attempt tell choices apart; see Group.
-	Chooser uint64 `cbor:"4,keyasint,omitempty"`
-	Attempt uint64 `cbor:"5,keyasint,omitempty"`
+	// ChooserTerm and Attempt tell choices apart; see Group.
+	ChooserTerm uint64 `cbor:"4,keyasint,omitempty"`
+	Attempt     uint64 `cbor:"5,keyasint,omitempty"`
 }
 
 // ActivateGroup puts the primary of a sealed or forming group in force.
--- a/internal/agreed/delta.go
+++ b/internal/agreed/delta.go
@@ -29,28 +29,28 @@
 	Hosts      *Changes[Host]           `cbor:"9,keyasint,omitempty"`
 	Endpoints  *Changes[Endpoint]       `cbor:"10,keyasint,omitempty"`
 	Groups     *Changes[Group]          `cbor:"11,keyasint,omitempty"`
-	// Departed is the field of the state after the change.
-	Departed uint64 `cbor:"12,keyasint,omitempty"`
+	// EntryRemoved is the field of the state after the change.
+	EntryRemoved uint64 `cbor:"12,keyasint,omitempty"`
 	// HostsChanged is the revision of the last change of the hosts.
 	HostsChanged uint64 `cbor:"13,keyasint,omitempty"`
 	// OwnersEpoch numbers the set of control hosts after the change.
 	OwnersEpoch uint64 `cbor:"14,keyasint,omitempty"`
 	// Catalog is set when a whole catalog was put in force: what is not in a map
 	// of its own.
-	Catalog *CatalogHead         `cbor:"15,keyasint,omitempty"`
+	Catalog *CatalogHeader       `cbor:"15,keyasint,omitempty"`
 	Routes  *Changes[note.Route] `cbor:"16,keyasint,omitempty"`
-	Retired *Changes[Retired]    `cbor:"17,keyasint,omitempty"`
+	Retired *Changes[Tombstone]  `cbor:"17,keyasint,omitempty"`
 }
 
-// CatalogHead is the part of a catalog that is not in maps.
-type CatalogHead struct {
+// CatalogHeader is the part of a catalog that is not in maps.
+type CatalogHeader struct {
 	Stamp           note.Stamp `cbor:"1,keyasint"`
 	IdleTransaction int64      `cbor:"2,keyasint,omitempty"`
 	Document        uint64     `cbor:"3,keyasint,omitempty"`
 }
 
-func headOf(s *State) CatalogHead {
-	return CatalogHead{Stamp: s.Catalog.Stamp, IdleTransaction: s.Catalog.IdleTransaction, Document: s.Document.Number}
+func headOf(s *State) CatalogHeader {
+	return CatalogHeader{Stamp: s.Catalog.Stamp, IdleTransaction: s.Catalog.IdleTransaction, Document: s.Document.Number}
 }
 
 // ErrGap is returned by Patch when the delta does not start at the state.
@@ -59,17 +59,17 @@
 // Diff returns the delta from one state to a later one.
 func Diff(from, to *State) Delta {
 	d := Delta{
-		From:       from.Revision,
-		To:         to.Revision,
-		Fleet:      to.Fleet,
-		Workspaces: diffMap(from.Catalog.Workspaces, to.Catalog.Workspaces),
-		Keys:       diffMap(from.Catalog.Keys, to.Catalog.Keys),
-		Services:   diffMap(from.Catalog.Services, to.Catalog.Services),
-		Domains:    diffMap(from.Catalog.Domains, to.Catalog.Domains),
-		Hosts:      diffMap(from.Hosts, to.Hosts),
-		Endpoints:  diffMap(from.Endpoints, to.Endpoints),
-		Groups:     diffMap(from.Groups, to.Groups),
-		Departed:   to.Departed,
+		From:         from.Revision,
+		To:           to.Revision,
+		Fleet:        to.Fleet,
+		Workspaces:   diffMap(from.Catalog.Workspaces, to.Catalog.Workspaces),
+		Keys:         diffMap(from.Catalog.Keys, to.Catalog.Keys),
+		Services:     diffMap(from.Catalog.Services, to.Catalog.Services),
+		Domains:      diffMap(from.Catalog.Domains, to.Catalog.Domains),
+		Hosts:        diffMap(from.Hosts, to.Hosts),
+		Endpoints:    diffMap(from.Endpoints, to.Endpoints),
+		Groups:       diffMap(from.Groups, to.Groups),
+		EntryRemoved: to.EntryRemoved,
 
 		HostsChanged: to.HostsChanged,
 		OwnersEpoch:  to.OwnersEpoch,
@@ -119,7 +119,7 @@
 	next := copyOf(s)
 	next.Revision = d.To
 	next.Fleet = d.Fleet
-	next.Departed = d.Departed
+	next.EntryRemoved = d.EntryRemoved
 	if len(d.Stamps) > 0 {
 		next.History = appendHistory(s.History, d.Stamps...)
 		next.Catalog.Stamp = d.Stamps[len(d.Stamps)-1]
--- a/internal/agreed/departed_test.go
+++ b/internal/agreed/departed_test.go
@@ -26,15 +26,15 @@
 	for i, step := range steps {
 		before := s
 		s, _ = Apply(s, uint64(i+1), step.command)
-		if s.Departed != step.want {
-			t.Fatalf("step %d: departed %d, want %d", i+1, s.Departed, step.want)
+		if s.EntryRemoved != step.want {
+			t.Fatalf("step %d: departed %d, want %d", i+1, s.EntryRemoved, step.want)
 		}
 		if s == before {
 			continue
 		}
 		patched, err := Patch(before, Diff(before, s))
-		if err != nil || patched.Departed != step.want {
-			t.Fatalf("step %d: the delta leads to %d, %v", i+1, patched.Departed, err)
+		if err != nil || patched.EntryRemoved != step.want {
+			t.Fatalf("step %d: the delta leads to %d, %v", i+1, patched.EntryRemoved, err)
 		}
 	}
 }
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -18,7 +18,7 @@
 }
 
 func announce(id, addr string, born, seq uint64) Command {
-	return Command{PutEndpoint: &PutEndpoint{Endpoint: Endpoint{ID: id, Service: "logs", Addr: addr, Domain: "a", Born: born, Seq: seq}}}
+	return Command{PutEndpoint: &PutEndpoint{Endpoint: Endpoint{ID: id, Service: "logs", Addr: addr, Domain: "a", StartedMS: born, Seq: seq}}}
 }
 
 // run applies commands and returns the last state with all outcomes.
@@ -61,7 +61,7 @@
 }
 
 func TestLateAnnouncementsReviveNothing(t *testing.T) {
-	leave := Command{RetireEndpoint: &RetireEndpoint{ID: "e1", Born: 10}}
+	leave := Command{RetireEndpoint: &RetireEndpoint{ID: "e1", StartedMS: 10}}
 	s, out := runDocument(t, putDocument(1, "logs"),
 		announce("e1", "x:1", 10, 5), leave,
 		announce("e1", "x:1", 10, 6), // after it left
@@ -77,7 +77,7 @@
 			t.Errorf("command %d: %+v", i, o)
 		}
 	}
-	if len(s.Endpoints) != 2 || s.Endpoints["e2"].Addr != "y:1" || s.Endpoints["e1"].Born != 30 {
+	if len(s.Endpoints) != 2 || s.Endpoints["e2"].Addr != "y:1" || s.Endpoints["e1"].StartedMS != 30 {
 		t.Errorf("endpoints %+v", s.Endpoints)
 	}
 }
@@ -101,7 +101,7 @@
 
 func TestAnotherAttemptGetsAnotherFence(t *testing.T) {
 	choose := func(chooser, attempt uint64) Command {
-		return Command{ChooseGroup: &ChooseGroup{Service: "logs", Term: 2, Candidate: "e2", Chooser: chooser, Attempt: attempt}}
+		return Command{ChooseCandidate: &ChooseCandidate{Service: "logs", Term: 2, Candidate: "e2", ChooserTerm: chooser, Attempt: attempt}}
 	}
 	commands := []Command{
 		putDocument(1, "logs"), announce("e1", "x:1", 10, 5), announce("e2", "y:1", 10, 5),
@@ -123,11 +123,11 @@
 }
 
 func TestRetiredEndpointsAreBounded(t *testing.T) {
-	var all map[string]Retired
-	for i := range uint64(2 * RetiredLimit) {
-		all = retire(all, string(rune('a'+i)), Retired{Born: i, At: i})
+	var all map[string]Tombstone
+	for i := range uint64(2 * MaxTombstones) {
+		all = retire(all, string(rune('a'+i)), Tombstone{StartedMS: i, At: i})
 	}
-	if len(all) != RetiredLimit {
+	if len(all) != MaxTombstones {
 		t.Errorf("%d entries", len(all))
 	}
 }
--- a/internal/agreed/types.go
+++ b/internal/agreed/types.go
@@ -27,9 +27,9 @@
 	Service string `json:"service" cbor:"2,keyasint"`
 	Addr    string `json:"addr" cbor:"3,keyasint"`
 	Domain  string `json:"domain" cbor:"4,keyasint"`
-	// Born orders the processes that use one identity or one address, as the
+	// StartedMS orders the processes that use one identity or one address, as the
 	// Unix time of the process's start in milliseconds; zero when not told.
-	Born uint64 `json:"born,omitempty" cbor:"5,keyasint,omitempty"`
+	StartedMS uint64 `json:"born,omitempty" cbor:"5,keyasint,omitempty"`
 	// Seq numbers the announcement that last changed the record.
 	Seq uint64 `json:"seq,omitempty" cbor:"6,keyasint,omitempty"`
 	// Slots is the number of statements that the endpoint runs at once; zero
@@ -45,10 +45,10 @@
 	return e == o
 }
 
-// Retired remembers an endpoint that left, so that a late announcement of it
+// Tombstone remembers an endpoint that left, so that a late announcement of it
 // is recognised.
-type Retired struct {
-	Born uint64 `json:"born" cbor:"1,keyasint"`
+type Tombstone struct {
+	StartedMS uint64 `json:"born" cbor:"1,keyasint"`
 	// At is the revision at which it left.
 	At uint64 `json:"at" cbor:"2,keyasint"`
 }
@@ -90,11 +90,11 @@
 	// before the choice. The choose command sets it; seal and activate clear it.
 	// A group activates only with its candidate as the primary.
 	Candidate string `json:"candidate,omitempty" cbor:"9,keyasint,omitempty"`
-	// Chooser is the control leader's consensus term in which the candidate was
+	// ChooserTerm is the control leader's consensus term in which the candidate was
 	// chosen, and Attempt numbers the choices of a sealed term. The revision in
 	// Changed is the fence of the promotion that the chooser may order.
-	Chooser uint64 `json:"chooser,omitempty" cbor:"10,keyasint,omitempty"`
-	Attempt uint64 `json:"attempt,omitempty" cbor:"11,keyasint,omitempty"`
+	ChooserTerm uint64 `json:"chooser,omitempty" cbor:"10,keyasint,omitempty"`
+	Attempt     uint64 `json:"attempt,omitempty" cbor:"11,keyasint,omitempty"`
 	// Reason tells why the group is not active.
 	Reason string `json:"reason,omitempty" cbor:"8,keyasint,omitempty"`
 }
@@ -110,9 +110,9 @@
 	Hosts     map[string]Host     `json:"hosts" cbor:"5,keyasint"`
 	Endpoints map[string]Endpoint `json:"endpoints" cbor:"6,keyasint"`
 	Groups    map[string]Group    `json:"groups" cbor:"7,keyasint"`
-	// Departed is the revision at which an entry host's process was last
+	// EntryRemoved is the revision at which an entry host's process was last
 	// removed or replaced. What only that process knew is lost.
-	Departed uint64 `json:"departed,omitempty" cbor:"8,keyasint,omitempty"`
+	EntryRemoved uint64 `json:"departed,omitempty" cbor:"8,keyasint,omitempty"`
 	// HostsChanged is the revision of the last change of Hosts.
 	HostsChanged uint64 `json:"hosts_changed,omitempty" cbor:"9,keyasint,omitempty"`
 	// OwnersEpoch grows by one with each change of the set of control hosts,
@@ -121,5 +121,5 @@
 	// Document is the source of the catalog, empty when release notes made it.
 	Document Document `json:"document,omitzero" cbor:"11,keyasint,omitzero"`
 	// Retired are endpoints that left, by identity.
-	Retired map[string]Retired `json:"retired,omitempty" cbor:"12,keyasint,omitempty"`
+	Retired map[string]Tombstone `json:"retired,omitempty" cbor:"12,keyasint,omitempty"`
 }
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -46,9 +46,9 @@
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Answer names the primary that the fleet has agreed on. A primary that finds
+// Response names the primary that the fleet has agreed on. A primary that finds
 // another one named is deposed and must follow it.
-type Answer struct {
+type Response struct {
 	Term        uint64       `json:"term"`
 	Phase       agreed.Phase `json:"phase,omitempty"`
 	Primary     string       `json:"primary"`
@@ -141,14 +141,14 @@
 }
 
 // answer tells the endpoint about its group as this host knows it.
-func (h *Handler) answer(e agreed.Endpoint) Answer {
+func (h *Handler) answer(e agreed.Endpoint) Response {
 	s := h.view.Current().State
 	if s == nil {
-		return Answer{}
+		return Response{}
 	}
 	g := s.Groups[e.Service]
 	_, member := s.Endpoints[e.ID]
-	return Answer{
+	return Response{
 		Term:        g.Term,
 		Phase:       g.Phase,
 		Primary:     g.Primary,
--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -192,7 +192,7 @@
 		Service:  fmt.Sprintf("spare-%d", i/3),
 		Endpoint: fmt.Sprintf("spare-%d", i),
 		Domain:   "osan", Watcher: "light-0",
-		Seen: failover.Condition{Reachable: true, Timeline: 1, Position: uint64(i)},
+		Condition: failover.Condition{Reachable: true, Timeline: 1, Position: uint64(i)},
 	}
 }
 
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -59,7 +59,7 @@
 }
 
 func (h *Host) nextChange() (consensus.Change, bool) {
-	if h.opts.Open {
+	if h.opts.OpenMembership {
 		return h.node.NextOpenChange()
 	}
 	wanted := make([]consensus.Wanted, 0, len(h.opts.Controls))
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -18,8 +18,8 @@
 	promoteTimeout = 3 * time.Second
 )
 
-// Databases reads the condition of endpoints and promotes them.
-type Databases interface {
+// EndpointManager reads the condition of endpoints and promotes them.
+type EndpointManager interface {
 	// Probe reads the condition of an endpoint after the call.
 	Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition
 	// Promote orders an endpoint to become the primary. It is harmless on a
@@ -131,8 +131,8 @@
 		case failover.Seal:
 			d.propose(now, e.Service, agreed.Command{SealGroup: &agreed.SealGroup{Service: e.Service, Term: e.Term, Reason: e.Reason}})
 		case failover.Choose:
-			d.propose(now, e.Service, agreed.Command{ChooseGroup: &agreed.ChooseGroup{
-				Service: e.Service, Term: e.Term, Candidate: e.Candidate, Chooser: e.Chooser, Attempt: e.Attempt,
+			d.propose(now, e.Service, agreed.Command{ChooseCandidate: &agreed.ChooseCandidate{
+				Service: e.Service, Term: e.Term, Candidate: e.Candidate, ChooserTerm: e.Chooser, Attempt: e.Attempt,
 			}})
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
@@ -156,7 +156,7 @@
 }
 
 func (d *failoverDriver) reacher() reacher {
-	return reacher{node: d.host.opts.Peer, databases: d.host.opts.Databases, state: d.host.state, fenced: d.host.opts.Fenced}
+	return reacher{node: d.host.opts.Peer, databases: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
 // ask probes endpoints, each at most once at a time.
@@ -249,7 +249,7 @@
 	}
 	o := e.observation
 	h.failover.run(now, h.failover.fleet.Step(now, o.Service, failover.Observation{
-		Watcher: o.Watcher, Domain: o.Domain, Endpoint: o.Endpoint, Condition: o.Seen,
+		Watcher: o.Watcher, Domain: o.Domain, Endpoint: o.Endpoint, Condition: o.Condition,
 	}))
 }
 
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -42,7 +42,7 @@
 }
 
 // databases returns what the control role of a host probes endpoints with.
-func (f *fleet) databases(name string) control.Databases {
+func (f *fleet) databases(name string) control.EndpointManager {
 	if f.cutOff[name] {
 		return unreachable{}
 	}
@@ -129,14 +129,14 @@
 		h.control = control.New(control.Options{
 			Fleet: "fleet", DataDir: filepath.Join(f.dir, name), Bootstrap: true, Controls: f.controls,
 			Peer: h.peer, Lease: f.leases, Logger: logger().With("host", name), CompactEvery: 200, Registry: h.registry,
-			Databases: f.databases(name),
+			EndpointManager: f.databases(name),
 		})
 	}
 	h.subscriber = control.NewSubscriber(control.SubscriberOptions{
 		Fleet: "fleet", Domain: h.domain, Entry: true, Control: isControl, Controls: f.controls,
 		Peer: h.peer, Lease: f.leases, Logger: logger().With("host", name), View: h.view, Registry: h.registry,
 	})
-	control.ServeDatabases(h.peer, h.view, watch.NewProber())
+	control.ServeEndpointRequests(h.peer, h.view, watch.NewProber())
 	h.watcher = watch.NewWatcher(name, h.domain, h.view, h.subscriber.Observe)
 	if err := h.peer.Listen(); err != nil {
 		f.t.Fatal(err)
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -28,15 +28,15 @@
 	// Bootstrap founds a new fleet from the voters among Controls.
 	Bootstrap bool
 	Controls  []config.ControlHost
-	// Open takes in every control host that asks; Controls are then the seeds,
+	// OpenMembership takes in every control host that asks; Controls are then the seeds,
 	// and the identity of a host is its peer address.
-	Open     bool
-	Peer     *peer.Node
-	Lease    lease.Config
-	Logger   *log.Logger
-	Registry prometheus.Registerer
-	// Databases probes and promotes endpoints; nil disables failover.
-	Databases Databases
+	OpenMembership bool
+	Peer           *peer.Node
+	Lease          lease.Config
+	Logger         *log.Logger
+	Registry       prometheus.Registerer
+	// EndpointManager probes and promotes endpoints; nil disables failover.
+	EndpointManager EndpointManager
 	// Fenced: orders to promote may be carried out late, and fail by their fence.
 	Fenced bool
 	// CompactEvery is the number of applied entries between two snapshots;
@@ -247,7 +247,7 @@
 			founder = founder || c.Host == cfg.Host
 		}
 	}
-	if h.opts.Open && !founder {
+	if h.opts.OpenMembership && !founder {
 		cfg.Founders = nil // a host beside the seeds waits to be let in
 	}
 	return cfg
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -129,7 +129,7 @@
 	if h.state.HostsChanged == 0 {
 		h.broker.Found()
 	}
-	if h.opts.Databases != nil {
+	if h.opts.EndpointManager != nil {
 		h.failover = newFailoverDriver(h)
 	}
 }
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -45,10 +45,10 @@
 
 // Observation is a watcher's report as sent to the leader.
 type Observation struct {
-	Service  string             `cbor:"1,keyasint"`
-	Endpoint string             `cbor:"2,keyasint"`
-	Domain   string             `cbor:"3,keyasint"`
-	Seen     failover.Condition `cbor:"4,keyasint"`
+	Service   string             `cbor:"1,keyasint"`
+	Endpoint  string             `cbor:"2,keyasint"`
+	Domain    string             `cbor:"3,keyasint"`
+	Condition failover.Condition `cbor:"4,keyasint"`
 	// Watcher is the observing host.
 	Watcher string `cbor:"5,keyasint"`
 }
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -172,7 +172,7 @@
 
 // controlAddr returns the address of a control host from the settings.
 func (h *Host) controlAddr(host string) string {
-	if h.opts.Open {
+	if h.opts.OpenMembership {
 		return host
 	}
 	for _, c := range h.opts.Controls {
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -137,7 +137,7 @@
 }
 
 func (e hostSeedsEvent) handle(h *Host, _ time.Time) {
-	if h.opts.Open {
+	if h.opts.OpenMembership {
 		h.node.SetPeers(e.hosts)
 	}
 }
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -55,7 +55,7 @@
 	if state == nil {
 		return result.New(result.NoQuorum, "the host has no state yet")
 	}
-	if state.Known(e) || state.Admits(e).Code != 0 {
+	if state.HasEndpoint(e) || state.CheckStale(e).Code != 0 {
 		return nil
 	}
 	if _, known := state.Catalog.Services[e.Service]; !known && state.Catalog.Stamp.Number == 0 {
@@ -70,13 +70,13 @@
 		return nil
 	}
 	r.host.log.Info("endpoint_agreed", "endpoint", e.ID, "service", e.Service, "addr", e.Addr, "domain", e.Domain,
-		"born", e.Born, "seq", e.Seq, "leaving", e.Leaving, "revision", out.Revision)
+		"born", e.StartedMS, "seq", e.Seq, "leaving", e.Leaving, "revision", out.Revision)
 	return nil
 }
 
 // Retire takes an endpoint out that has left.
 func (r *Registry) Retire(ctx context.Context, id string, born uint64) error {
-	out, err := r.host.Propose(ctx, agreed.Command{RetireEndpoint: &agreed.RetireEndpoint{ID: id, Born: born}})
+	out, err := r.host.Propose(ctx, agreed.Command{RetireEndpoint: &agreed.RetireEndpoint{ID: id, StartedMS: born}})
 	if err != nil {
 		return err
 	}
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -28,10 +28,10 @@
 	Fence uint64 `cbor:"2,keyasint,omitempty"`
 }
 
-// ServeDatabases lets the control leader probe and promote endpoints through
+// ServeEndpointRequests lets the control leader probe and promote endpoints through
 // this host, for the case that it does not reach them by itself. Call it before
 // the node runs.
-func ServeDatabases(node *peer.Node, source view.Source, databases Databases) {
+func ServeEndpointRequests(node *peer.Node, source view.Source, databases EndpointManager) {
 	peer.OnCall(node, peer.KindPosition, func(ctx context.Context, _ peer.Identity, r endpointRequest) (failover.Condition, error) {
 		state, e, err := findEndpoint(source, r.Endpoint)
 		if err != nil {
@@ -68,7 +68,7 @@
 // reacher probes and promotes endpoints, by itself or through other hosts.
 type reacher struct {
 	node      *peer.Node
-	databases Databases
+	databases EndpointManager
 	state     *agreed.State
 	// fenced orders are given by the leader alone, once.
 	fenced bool
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -42,13 +42,13 @@
 	Entry    bool
 	Control  bool
 	Controls []config.ControlHost
-	// Open follows the control hosts of the agreed state beside Controls, which
+	// OpenMembership follows the control hosts of the agreed state beside Controls, which
 	// are then seeds.
-	Open     bool
-	Peer     *peer.Node
-	Lease    lease.Config
-	Logger   *log.Logger
-	Registry prometheus.Registerer
+	OpenMembership bool
+	Peer           *peer.Node
+	Lease          lease.Config
+	Logger         *log.Logger
+	Registry       prometheus.Registerer
 	// View receives the agreed state with the lease.
 	View *view.Box
 }
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -59,7 +59,7 @@
 
 // goHome turns once to a control host of the own failure domain.
 func (s *Subscriber) goHome(now time.Time) {
-	if !s.opts.Open || s.homed {
+	if !s.opts.OpenMembership || s.homed {
 		return
 	}
 	if c, ok := s.nearest(); ok {
@@ -91,7 +91,7 @@
 
 // SetSeeds replaces the seeds of an open fleet, as after a reload of settings.
 func (s *Subscriber) SetSeeds(seeds []config.ControlHost) {
-	if s.opts.Open && len(seeds) > 0 {
+	if s.opts.OpenMembership && len(seeds) > 0 {
 		s.post(seedsEvent{seeds: seeds})
 	}
 }
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -12,7 +12,7 @@
 // learn notes the control hosts that the host may follow: those of the
 // settings, and in an open fleet those of the agreed state before them.
 func (s *Subscriber) learn(state *agreed.State) {
-	if !s.opts.Open {
+	if !s.opts.OpenMembership {
 		s.known = s.opts.Controls
 		return
 	}
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -182,7 +182,7 @@
 
 // sameProcess reports whether two records tell of one process.
 func sameProcess(a, b agreed.Endpoint) bool {
-	return a.ID == b.ID && a.Addr == b.Addr && a.Service == b.Service && a.Born == b.Born
+	return a.ID == b.ID && a.Addr == b.Addr && a.Service == b.Service && a.StartedMS == b.StartedMS
 }
 
 // endpoint returns the endpoint of a record, which it begins to use.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,7 +45,7 @@
 type Options struct {
 	Settings  *config.Settings
 	Dialer    core.Dialer
-	Databases control.Databases
+	Databases control.EndpointManager
 	// Fenced: orders to promote are checked by their fences.
 	Fenced bool
 	// Grace is the time that a stop may take.
@@ -125,15 +125,15 @@
 	seeds := config.SeedHosts(d.opts.Settings.Seeds)
 	if c := d.opts.Settings.Control; c != nil {
 		d.control = control.New(control.Options{
-			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, Open: true, Controls: seeds,
+			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, OpenMembership: true, Controls: seeds,
 			Peer: d.peers, Lease: timing, Logger: d.log, Registry: d.registry,
-			Databases: d.opts.Databases, Fenced: d.opts.Fenced,
+			EndpointManager: d.opts.Databases, Fenced: d.opts.Fenced,
 		})
 		d.owner = limits.NewOwner(d.peers, d.view, d.shares(), d.log)
 	}
-	control.ServeDatabases(d.peers, d.view, d.opts.Databases)
+	control.ServeEndpointRequests(d.peers, d.view, d.opts.Databases)
 	d.subscriber = control.NewSubscriber(control.SubscriberOptions{
-		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, Open: true, Controls: seeds,
+		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, OpenMembership: true, Controls: seeds,
 		Entry: d.opts.Settings.Entry != nil, Control: d.opts.Settings.Control != nil,
 		Peer: d.peers, Lease: timing, Logger: d.log, View: d.view, Registry: d.registry,
 	})
@@ -158,7 +158,7 @@
 		seen.Timeline = v.State.Groups[e.Service].Timeline
 	}
 	d.subscriber.Observe(control.Observation{
-		Service: e.Service, Endpoint: e.Endpoint, Domain: d.opts.Settings.Domain, Watcher: d.opts.Settings.Host, Seen: seen,
+		Service: e.Service, Endpoint: e.Endpoint, Domain: d.opts.Settings.Domain, Watcher: d.opts.Settings.Host, Condition: seen,
 	})
 }
 
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -64,7 +64,7 @@
 		for i, node := range f.nodes {
 			s.Hosts[hostName(i)] = agreed.Host{ID: hostName(i), Entry: true, Incarnation: 1, PeerAddr: node.Addr()}
 		}
-		s.Departed = s.Revision
+		s.EntryRemoved = s.Revision
 	})
 	servers := []*Server{f.server}
 	for i := 1; i < size; i++ {
--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -155,7 +155,7 @@
 	if group.Phase == agreed.PhaseActive {
 		t.term = group.Term
 	}
-	out := pos.View{Departed: v.State.Departed, Settled: v.Settled, Term: t.term}
+	out := pos.View{Departed: v.State.EntryRemoved, Settled: v.Settled, Term: t.term}
 	for id, host := range v.State.Hosts {
 		if host.Entry && id != t.shared.self {
 			out.Peers = append(out.Peers, pos.Peer{Host: id, Incarnation: host.Incarnation})
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -89,7 +89,7 @@
 			p.step(Answer{Term: e.Term, Endpoint: id, Condition: c})
 		}
 	case Choose:
-		p.commit(func(g *agreed.Group) { g.Candidate, g.Chooser, g.Attempt = e.Candidate, e.Chooser, e.Attempt })
+		p.commit(func(g *agreed.Group) { g.Candidate, g.ChooserTerm, g.Attempt = e.Candidate, e.Chooser, e.Attempt })
 	case Activate:
 		p.commit(func(g *agreed.Group) { g.Phase, g.Primary = agreed.PhaseActive, e.Primary })
 		p.active = e.Primary
--- a/internal/failover/machine_test.go
+++ b/internal/failover/machine_test.go
@@ -67,7 +67,7 @@
 
 // commit takes the proposed choice into the view.
 func (r *rig) commit(c Choose) {
-	r.view.Group.Candidate, r.view.Group.Chooser = c.Candidate, c.Chooser
+	r.view.Group.Candidate, r.view.Group.ChooserTerm = c.Candidate, c.Chooser
 	r.view.Group.Attempt++
 	r.view.Group.Changed++
 	r.send(r.view)
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -269,7 +269,7 @@
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term {
 			return
 		}
-		g.Candidate, g.Chooser, g.Attempt = c.Candidate, c.Chooser, c.Attempt
+		g.Candidate, g.ChooserTerm, g.Attempt = c.Candidate, c.Chooser, c.Attempt
 	case Activate:
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term || c.Primary != g.Candidate {
 			return
--- a/internal/failover/sealed.go
+++ b/internal/failover/sealed.go
@@ -142,7 +142,7 @@
 		return
 	}
 	m.report("sealed: promoting " + g.Candidate)
-	if g.Chooser != m.cfg.Chooser || m.orderFailed(now) {
+	if g.ChooserTerm != m.cfg.Chooser || m.orderFailed(now) {
 		m.proposeCandidate(now, g.Candidate)
 		return
 	}
@@ -158,7 +158,7 @@
 // latest choice, which is this leader's.
 func (m *Machine) ownOrderHolds() bool {
 	g := m.view.Group
-	return !m.cfg.Fenced || g.Chooser == m.cfg.Chooser && m.accepted == g.Changed
+	return !m.cfg.Fenced || g.ChooserTerm == m.cfg.Chooser && m.accepted == g.Changed
 }
 
 // orderFailed reports whether another order is due: the last one got no answer,
--- a/internal/watch/prober.go
+++ b/internal/watch/prober.go
@@ -44,7 +44,7 @@
 	return &Prober{endpoints: make(map[string]*probe)}
 }
 
-// Probe implements control.Databases. An endpoint that does not answer before
+// Probe implements control.EndpointManager. An endpoint that does not answer before
 // ctx ends is not reachable.
 func (p *Prober) Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.ask(ctx, service, e, readCondition)
@@ -71,7 +71,7 @@
 	return c
 }
 
-// Promote implements control.Databases. It does nothing on a primary.
+// Promote implements control.EndpointManager. It does nothing on a primary.
 func (p *Prober) Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error) {
 	err := p.with(ctx, o.Service, o.Endpoint, func(conn *pgback.Conn) error {
 		rows, err := conn.Query(ctx, queryCondition)
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -200,10 +200,10 @@
 	}
 	*last = reported{at: now, condition: condition}
 	w.report(control.Observation{
-		Service:  target.service.Name,
-		Endpoint: target.endpoint.ID,
-		Domain:   w.domain,
-		Seen:     condition,
-		Watcher:  w.host,
+		Service:   target.service.Name,
+		Endpoint:  target.endpoint.ID,
+		Domain:    w.domain,
+		Condition: condition,
+		Watcher:   w.host,
 	})
 }
