--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -151,7 +151,7 @@
 	t         *testing.T
 	endpoints *fakeEndpoints
 	server    *Server
-	view      *view.Box
+	view      *view.Publisher
 	state     *agreed.State
 	// taken and refunded count rate tokens.
 	taken, refunded atomic.Int64
@@ -168,7 +168,7 @@
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	r := &fixture{t: t, endpoints: &fakeEndpoints{}, view: view.NewBox(), state: agreed.New()}
+	r := &fixture{t: t, endpoints: &fakeEndpoints{}, view: view.NewPublisher(), state: agreed.New()}
 	r.state.Revision = 1
 	r.state.Catalog.Stamp.Number = 1
 	r.state.Catalog.Services["logs"] = note.Service{Name: "logs", Ack: note.AckReplicas}
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -64,7 +64,7 @@
 	primaryPositions *freshness
 
 	mu        sync.Mutex
-	baselines *pacing.Usual
+	baselines *pacing.Baseline
 	endpoints map[string]*endpoint
 	sessions  map[*Session]struct{}
 
@@ -80,7 +80,7 @@
 // to stop it.
 func NewServer(opts Options) *Server {
 	s := &Server{
-		opts: opts, metrics: newMetrics(opts.Registerer), primaryPositions: newFreshness(), baselines: pacing.NewUsual(),
+		opts: opts, metrics: newMetrics(opts.Registerer), primaryPositions: newFreshness(), baselines: pacing.NewBaseline(),
 		endpoints: make(map[string]*endpoint), sessions: make(map[*Session]struct{}),
 	}
 	s.gate = gate.New(admit.PolicyFair, s.slots, s.hasIdleConnection)
@@ -191,7 +191,7 @@
 
 // sameProcess reports whether two records describe the same endpoint process.
 func sameProcess(a, b agreed.Endpoint) bool {
-	return a.ID == b.ID && a.Addr == b.Addr && a.Service == b.Service && a.Born == b.Born
+	return a.ID == b.ID && a.Addr == b.Addr && a.Service == b.Service && a.StartedMS == b.StartedMS
 }
 
 // endpoint returns the endpoint for a record and creates it on first use. It returns
@@ -257,8 +257,8 @@
 	for _, e := range s.endpointsInUse() {
 		u := limits.Usage{
 			Service: e.record.Service, Endpoint: e.record.ID,
-			Connections: e.pool.Stats().Open, WantedConnections: e.pool.TakePeak(),
-			OwnSlots: true,
+			Connections: e.pool.Stats().Open, ConnectionDemand: e.pool.TakePeak(),
+			NoSlotLease: true,
 		}
 		all = append(all, u)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -45,7 +45,7 @@
 type Options struct {
 	Settings  *config.Settings
 	Dialer    core.Dialer
-	Databases control.Databases
+	Databases control.EndpointManager
 	// Fenced: orders to promote are checked by their fences.
 	Fenced bool
 	// Grace is the time that a stop may take.
@@ -69,7 +69,7 @@
 	log        *log.Logger
 	registry   *prometheus.Registry
 	peers      *peer.Node
-	view       *view.Box
+	view       *view.Publisher
 	subscriber *control.Subscriber
 	control    *control.Host
 	owner      *limits.Owner
@@ -83,7 +83,7 @@
 // New builds a host and opens its peer listener.
 func New(opts Options) (*Daemon, error) {
 	d := &Daemon{
-		opts: opts, log: opts.Logger, registry: prometheus.NewRegistry(), view: view.NewBox(),
+		opts: opts, log: opts.Logger, registry: prometheus.NewRegistry(), view: view.NewPublisher(),
 		replaced: make(chan struct{}),
 	}
 	d.peers = peer.NewNode(peer.Options{
@@ -106,7 +106,7 @@
 func timing() lease.Config {
 	cfg := lease.DefaultConfig()
 	cfg.Duration, cfg.RenewInterval = 2*time.Second, 400*time.Millisecond
-	cfg.Exclusive = true // a host is named by the address that its process listens on
+	cfg.ExclusiveIdentity = true // a host is named by the address that its process listens on
 	return cfg
 }
 
@@ -115,7 +115,7 @@
 func (d *Daemon) shares() limits.Config {
 	cfg := limits.DefaultConfig()
 	cfg.Lease = timing()
-	cfg.FloorConnections, cfg.Probes, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
+	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
 	cfg.Tolerance = d.opts.Tolerance
 	return cfg
 }
@@ -125,15 +125,15 @@
 	seeds := config.SeedHosts(d.opts.Settings.Seeds)
 	if c := d.opts.Settings.Control; c != nil {
 		d.control = control.New(control.Options{
-			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, Open: true, Controls: seeds,
+			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, OpenMembership: true, Controls: seeds,
 			Peer: d.peers, Lease: timing, Logger: d.log, Registry: d.registry,
-			Databases: d.opts.Databases, Fenced: d.opts.Fenced,
+			EndpointManager: d.opts.Databases, Fenced: d.opts.Fenced,
 		})
 		d.owner = limits.NewOwner(d.peers, d.view, d.shares(), d.log)
 	}
-	control.ServeDatabases(d.peers, d.view, d.opts.Databases)
+	control.ServeEndpointRequests(d.peers, d.view, d.opts.Databases)
 	d.subscriber = control.NewSubscriber(control.SubscriberOptions{
-		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, Open: true, Controls: seeds,
+		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, OpenMembership: true, Controls: seeds,
 		Entry: d.opts.Settings.Entry != nil, Control: d.opts.Settings.Control != nil,
 		Peer: d.peers, Lease: timing, Logger: d.log, View: d.view, Registry: d.registry,
 	})
@@ -158,7 +158,7 @@
 		seen.Timeline = v.State.Groups[e.Service].Timeline
 	}
 	d.subscriber.Observe(control.Observation{
-		Service: e.Service, Endpoint: e.Endpoint, Domain: d.opts.Settings.Domain, Watcher: d.opts.Settings.Host, Seen: seen,
+		Service: e.Service, Endpoint: e.Endpoint, Domain: d.opts.Settings.Domain, Watcher: d.opts.Settings.Host, Condition: seen,
 	})
 }
 
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -206,7 +206,7 @@
 	case Choose:
 		m.checkChoice(ef)
 		m.commands = append(m.commands, ef)
-	case AskPositions:
+	case QueryPositions:
 		for _, id := range ef.Endpoints {
 			m.answerLater(ef.Term, m.endpoint(id))
 		}
@@ -269,7 +269,7 @@
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term {
 			return
 		}
-		g.Candidate, g.Chooser, g.Attempt = c.Candidate, c.Chooser, c.Attempt
+		g.Candidate, g.ChooserTerm, g.Attempt = c.Candidate, c.Chooser, c.Attempt
 	case Activate:
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term || c.Primary != g.Candidate {
 			return
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -38,7 +38,7 @@
 
 type testHost struct {
 	peers  *peer.Node
-	view   *view.Box
+	view   *view.Publisher
 	holder *Holder
 	stop   context.CancelFunc
 	done   sync.WaitGroup
@@ -71,7 +71,7 @@
 
 func (f *fleet) add(id string, control bool) {
 	logger := log.New(io.Discard)
-	h := &testHost{view: view.NewBox()}
+	h := &testHost{view: view.NewPublisher()}
 	h.peers = peer.NewNode(peer.Options{
 		Host: id, Fleet: "test", Secret: "0123456789abcdef", Incarnation: 1,
 		Listen: "127.0.0.1:0", Registry: prometheus.NewRegistry(), Logger: logger,
@@ -265,13 +265,13 @@
 // TestHeadroomIsLeftWhereItCanBe adds up what all hosts may use beside it.
 func TestHeadroomIsLeftWhereItCanBe(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.FloorConnections, cfg.Probes, cfg.Headroom = 1, 2, 1
+	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom = 1, 2, 1
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: cfg, entryHosts: hosts, domains: min(hosts, 4)}
 			used := size.floor(connections)*hosts + size.sharedConnections(connections)
-			left := max(connections-cfg.Probes, 1) - used
-			if left < 0 || left == 0 && connections-cfg.Probes >= 2*hosts {
+			left := max(connections-cfg.ProbeConnections, 1) - used
+			if left < 0 || left == 0 && connections-cfg.ProbeConnections >= 2*hosts {
 				t.Errorf("%d connections, %d hosts: %d left", connections, hosts, left)
 			}
 		}
--- a/internal/watch/prober.go
+++ b/internal/watch/prober.go
@@ -44,14 +44,14 @@
 	return &Prober{endpoints: make(map[string]*probe)}
 }
 
-// Probe implements control.Databases. An endpoint that does not answer before
+// Probe implements control.EndpointManager. An endpoint that does not answer before
 // ctx ends is not reachable.
 func (p *Prober) Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.ask(ctx, service, e, readCondition)
 }
 
 // Glance is like Probe but leaves the position out, which saves a round trip.
-func (p *Prober) Glance(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
+func (p *Prober) ProbeRole(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.ask(ctx, service, e, readRole)
 }
 
@@ -71,7 +71,7 @@
 	return c
 }
 
-// Promote implements control.Databases. It does nothing on a primary.
+// Promote implements control.EndpointManager. It does nothing on a primary.
 func (p *Prober) Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error) {
 	err := p.with(ctx, o.Service, o.Endpoint, func(conn *pgback.Conn) error {
 		rows, err := conn.Query(ctx, queryCondition)
@@ -92,7 +92,7 @@
 }
 
 // Forget closes the connections to endpoints for which keep is false.
-func (p *Prober) Forget(keep func(endpoint string) bool) {
+func (p *Prober) CloseExcept(keep func(endpoint string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	for id, e := range p.endpoints {
