--- a/internal/clock/clock.go
+++ b/internal/clock/clock.go
@@ -1,6 +1,6 @@
-// Package clock reads the time by which leases are measured. It grows steadily,
-// never jumps with the time of day, and counts the time that the machine was
-// suspended, which Go's monotonic clock does not.
+// Package clock reads the clock that measures leases, CLOCK_BOOTTIME. It is
+// monotonic, unaffected by changes of the wall clock, and includes the time for
+// which the machine was suspended, which Go's monotonic clock does not.
 package clock
 
 import (
@@ -9,8 +9,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Now returns the time since the start of the machine as a time.Time without a
-// meaning as a date. Times of Now may be compared with each other only.
+// Now returns the time since the boot of the machine as a time.Time, which is not a
+// date. It may be compared only with other results of Now.
 func Now() time.Time {
 	var ts unix.Timespec
 	if err := unix.ClockGettime(unix.CLOCK_BOOTTIME, &ts); err != nil {
@@ -20,9 +20,9 @@
 	return time.Unix(ts.Unix())
 }
 
-// Since returns the time elapsed since a time of Now.
+// Since returns the time elapsed since t, a result of Now.
 func Since(t time.Time) time.Duration { return Now().Sub(t) }
 
-// Deadline converts a deadline of a context, which counts Go's monotonic clock,
-// to the scale of Now.
+// Deadline converts the deadline of a context, which uses Go's monotonic clock, to
+// the time scale of Now.
 func Deadline(t time.Time) time.Time { return Now().Add(time.Until(t)) }
--- a/internal/codec/codec.go
+++ b/internal/codec/codec.go
@@ -1,5 +1,5 @@
-// Package codec holds the CBOR settings that messages between hosts and the
-// replicated state share.
+// Package codec provides the CBOR encoder and decoder settings shared by the
+// messages between hosts and the replicated state.
 package codec
 
 import "github.com/fxamacker/cbor/v2"
@@ -7,7 +7,9 @@
 // maxNesting bounds the nesting of decoded items, in levels.
 const maxNesting = 16
 
-// Deterministic returns an encoder whose output depends on the value alone.
+// Deterministic returns an encoder with the core deterministic encoding of RFC 8949:
+// equal values have equal encodings. Times are encoded as RFC 3339 text with
+// nanoseconds.
 func Deterministic() cbor.EncMode {
 	opts := cbor.CoreDetEncOptions()
 	opts.Time = cbor.TimeRFC3339Nano
@@ -18,8 +20,9 @@
 	return mode
 }
 
-// Strict returns a decoder that refuses duplicate keys, indefinite lengths, and
-// arrays and maps of more than maxElements items.
+// Strict returns a decoder that rejects duplicate map keys, items of indefinite
+// length, items nested more than maxNesting levels deep, and arrays and maps of more
+// than maxElements elements.
 func Strict(maxElements int) cbor.DecMode {
 	mode, err := cbor.DecOptions{
 		DupMapKey:        cbor.DupMapKeyEnforcedAPF,
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -16,12 +16,12 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// TestRandomDamageIsDetected overwrites random bytes of a data file. The
-// folder must be refused as corrupt, or hold exactly what was saved when the
-// damage hit unused space.
+// Random bytes of a data file are overwritten. Reading the folder must fail with
+// StoreCorrupt, or return exactly the saved state when only unused space was
+// damaged.
 func TestRandomDamageIsDetected(t *testing.T) {
 	_, file := newFilledFolder(t)
-	sound, err := os.ReadFile(file)
+	intact, err := os.ReadFile(file)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -33,27 +33,27 @@
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		dir := t.TempDir()
-		damage(rt, filepath.Join(dir, FileName), sound, seed)
+		damage(rt, filepath.Join(dir, FileName), intact, seed)
 		got, _, err := readFolder(dir)
 		switch {
 		case result.CodeOf(err) == result.StoreCorrupt:
 			refused++
 		case err != nil:
-			rt.Fatalf("damage gives another error: %v", err)
+			rt.Fatalf("error with another result code: %v", err)
 		case !reflect.DeepEqual(got, want):
-			rt.Fatal("damaged data was believed")
+			rt.Fatal("damaged data was read without an error")
 		}
 	})
 	if refused == 0 {
-		t.Fatal("no damage was noticed")
+		t.Fatal("no damage was detected")
 	}
 }
 
-// damage writes a copy of a file in which a few bytes are random. Both meta
-// pages are left alone: when the newer is damaged, bbolt uses the older.
-func damage(t *rapid.T, file string, sound []byte, seed uint64) {
+// damage writes a copy of a file with up to 64 random bytes. It leaves both meta
+// pages intact: when the newer one is damaged, bbolt uses the older one.
+func damage(t *rapid.T, file string, intact []byte, seed uint64) {
 	rng := rand.New(rand.NewPCG(seed, 5))
-	data := append([]byte(nil), sound...)
+	data := append([]byte(nil), intact...)
 	metaPages := 2 * os.Getpagesize()
 	at := metaPages + rng.IntN(len(data)-metaPages-64)
 	for i := range 1 + rng.IntN(64) {
@@ -66,8 +66,8 @@
 
 const writerEnv = "STORE_TEST_WRITER_DIR"
 
-// TestKilledProcessKeepsSavedEntries kills a process while it saves entries.
-// What it reported as saved must be there.
+// A process is killed while it saves entries. Every entry that it reported as
+// saved must be in the data folder.
 func TestKilledProcessKeepsSavedEntries(t *testing.T) {
 	if dir := os.Getenv(writerEnv); dir != "" {
 		writeForever(t, dir)
@@ -78,7 +78,7 @@
 		saved := killWriter(t, dir, 100)
 		st := mustLoadAndClose(t, dir)
 		if n := len(st.Entries); n == 0 || st.Entries[n-1].Index < saved {
-			t.Fatalf("%d entries after %d were reported as saved", n, saved)
+			t.Fatalf("%d entries, but %d were reported as saved", n, saved)
 		}
 	}
 }
--- a/internal/store/file.go
+++ b/internal/store/file.go
@@ -35,15 +35,15 @@
 	return db, err
 }
 
-// release gives up a file that bbolt left open. A mapping of the file keeps the
-// lock alive after Close, so the lock is released first.
+// unlockAndClose closes a file that bbolt left open. A memory mapping of the file
+// keeps the lock held after Close, so the lock is released first.
 func unlockAndClose(file *os.File) {
 	_ = syscall.Flock(int(file.Fd()), syscall.LOCK_UN)
 	_ = file.Close()
 }
 
-// guard runs f and turns panics, and faults on a mapped file that is shorter
-// than its pages say, into a StoreCorrupt error.
+// recoverCorruption runs f and converts a panic into a StoreCorrupt error. This
+// includes a memory fault on a mapped file that is shorter than its pages require.
 func recoverCorruption(path string, f func() error) (err error) {
 	old := debug.SetPanicOnFault(true)
 	defer debug.SetPanicOnFault(old)
@@ -55,7 +55,8 @@
 	return f()
 }
 
-// classify gives the errors of bbolt and of the file system a result code.
+// translateError adds a result code to known errors of bbolt and of the file
+// system.
 func translateError(path string, err error) error {
 	switch {
 	case err == nil:
@@ -65,16 +66,16 @@
 	case isDiskFull(err):
 		return result.New(result.DiskFull, "%s: %v", path, err)
 	case errors.Is(err, bolterrors.ErrTimeout):
-		return result.New(result.StoreInUse, "%s: held by another process", path)
+		return result.New(result.StoreInUse, "%s: locked by another process", path)
 	case errors.Is(err, bolterrors.ErrInvalid), errors.Is(err, bolterrors.ErrChecksum),
 		errors.Is(err, bolterrors.ErrVersionMismatch), errors.Is(err, bolterrors.ErrInvalidMapping):
 		return corrupt("%s: %v", path, err)
 	}
-	return errors.Wrap(err, "data file")
+	return errors.Wrap(err, "access data file")
 }
 
-// isFull reports whether the file could not grow. bbolt keeps only the text of
-// an error that it meets while growing the file.
+// isDiskFull reports whether the file could not grow. bbolt keeps only the text of
+// an error from growing the file, so the text is compared as well.
 func isDiskFull(err error) bool {
 	for _, full := range []error{syscall.ENOSPC, syscall.EDQUOT, syscall.EFBIG, bolterrors.ErrMaxSizeReached} {
 		if errors.Is(err, full) || strings.HasSuffix(err.Error(), full.Error()) {
@@ -84,20 +85,21 @@
 	return false
 }
 
-// checkFile checks that the file holds all its pages, that these form a tree,
-// that every record is sound, and at last what bbolt checks itself. It does so
-// in a goroutine of its own, where a fault on a damaged page cannot be caught.
+// checkFile checks that the file contains all its pages, that these form a tree
+// and that every record is valid, and then runs the check of bbolt. bbolt's check
+// must come last: it runs in a goroutine of its own, where a memory fault on a
+// damaged page cannot be recovered.
 func checkFile(tx *bolt.Tx) error {
 	info, err := os.Stat(tx.DB().Path())
 	if err != nil {
-		return errors.Wrap(err, "data file")
+		return errors.Wrap(err, "stat data file")
 	}
 	if info.Size() < tx.Size() {
-		return corrupt("the data file has %d bytes of %d", info.Size(), tx.Size())
+		return corrupt("the data file is truncated: it has %d of %d bytes", info.Size(), tx.Size())
 	}
 	data, err := os.ReadFile(tx.DB().Path())
 	if err != nil {
-		return errors.Wrap(err, "data file")
+		return errors.Wrap(err, "read data file")
 	}
 	if err := checkTree(data); err != nil {
 		return err
@@ -114,6 +116,7 @@
 	return first
 }
 
+// checkRecords decodes every record. An empty file is valid.
 func checkRecords(tx *bolt.Tx) error {
 	if tx.Bucket(metaBucket) == nil {
 		return nil
@@ -125,4 +128,5 @@
 	return loadState(tx, &st)
 }
 
+// hex formats an identity as 16 hexadecimal digits.
 func hex(id uint64) string { return fmt.Sprintf("%016x", id) }
--- a/internal/store/inspect.go
+++ b/internal/store/inspect.go
@@ -12,7 +12,7 @@
 	"github.com/galenabridge/galenabridge/internal/consensus"
 )
 
-// Report summarises a data folder that was found to be sound.
+// Report summarises a data folder that passed all checks.
 type Report struct {
 	Format   uint64             `json:"format"`
 	Disk     string             `json:"disk"`
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// dumpedEntry is the form of a log entry in a dump.
+// dumpedEntry is the JSON form of a log entry in a dump.
 type dumpedEntry struct {
 	Index   uint64             `json:"index"`
 	Term    uint64             `json:"term"`
@@ -74,13 +74,15 @@
 	return dumpedEntry{Index: e.Index, Term: e.Term, Kind: kinds[e.Kind], Data: e.Data, Members: e.Members}
 }
 
+// readFolder checks and loads a data folder that it opens read-only. It sets all
+// fields of the report that do not depend on the consensus state.
 func readFolder(dir string) (consensus.Stored, Report, error) {
 	var st consensus.Stored
 	var report Report
 	path := filepath.Join(dir, FileName)
 	info, err := os.Stat(path)
 	if err != nil {
-		return st, report, errors.Wrap(err, "data file")
+		return st, report, errors.Wrap(err, "stat data file")
 	}
 	report.Bytes = info.Size()
 	db, err := openFile(path, &bolt.Options{ReadOnly: true, Timeout: defaultLockTimeout, PreLoadFreelist: true})
@@ -108,6 +110,8 @@
 	return loadState(tx, st)
 }
 
+// setSummary sets the fields of the report that depend on the consensus state.
+// Members is the latest membership in the log, committed or not.
 func (r *Report) setSummary(st consensus.Stored) {
 	r.Fleet, r.Term, r.Commit = hex(st.Hard.Fleet), st.Hard.Term, st.Hard.Commit
 	r.Snapshot = st.Snapshot.Index
--- a/internal/store/node_test.go
+++ b/internal/store/node_test.go
@@ -8,7 +8,7 @@
 	"github.com/galenabridge/galenabridge/internal/consensus"
 )
 
-// counter is a state machine that adds up the commands applied to it.
+// counter is a state machine that sums the commands applied to it.
 type counter struct {
 	sum   uint64
 	index uint64
@@ -54,6 +54,7 @@
 	}
 }
 
+// lead ticks the node until it is the leader.
 func lead(t *testing.T, s *Store, node *consensus.Node, c *counter) {
 	t.Helper()
 	for node.Status().Role != consensus.Leader {
@@ -62,8 +63,9 @@
 	}
 }
 
-// TestNodeRestartRestoresState restarts a node from its folder after 1,000
-// changes and several snapshots.
+// A node restarts from its folder after 1,000 commands and several snapshots. It
+// must reach the state from before the restart, and compaction must have removed
+// the older entries.
 func TestNodeRestartRestoresState(t *testing.T) {
 	const changes, snapshotEvery = 1000, 150
 	dir := t.TempDir()
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -16,39 +16,45 @@
 	flagLeaf     = 0x02
 	flagFreelist = 0x10
 	freelistItem = 8 // bytes
-	// largeFreelist is the count of a freelist whose first item is its count.
+	// freelistCountInItem in the count field marks a freelist whose first item is
+	// its count.
 	freelistCountInItem = 0xFFFF
 	elementBucket       = 0x01
 )
 
-// pageWalk checks that the pages of a file form a tree and that their elements
-// lie inside them. bbolt takes both for granted: on a damaged file it may read
-// outside the file in a goroutine of its own, or never end.
+// pageChecker checks that the pages of a file form a tree and that the elements of
+// each page lie inside it. bbolt assumes both: on a damaged file it may read
+// outside the file in a goroutine of its own, or loop for ever.
 type pageChecker struct {
 	data     []byte
 	pageSize uint64
 	visited  map[uint64]bool
 }
 
+// checkTree checks the freelist and all pages that are reachable from the root of
+// the newest meta page.
 func checkTree(data []byte) error {
-	w := pageChecker{data: data, visited: map[uint64]bool{}}
-	root, freelist, ok := w.newestMeta()
+	c := pageChecker{data: data, visited: map[uint64]bool{}}
+	root, freelist, ok := c.newestMeta()
 	if !ok {
 		return corrupt("no meta page is valid")
 	}
-	if err := w.checkFreelist(freelist); err != nil {
+	if err := c.checkFreelist(freelist); err != nil {
 		return err
 	}
-	return w.checkPage(root)
+	return c.checkPage(root)
 }
 
-// meta returns the root and freelist pages named by the newest valid meta page.
-func (w *pageChecker) newestMeta() (root, freelist uint64, ok bool) {
+// newestMeta returns the root and freelist page numbers of the newest meta page
+// with a valid checksum, and sets the page size. A meta record holds the page size
+// at offset 8, the root at 16, the freelist at 32, the transaction number at 48 and
+// the checksum at 56.
+func (c *pageChecker) newestMeta() (root, freelist uint64, ok bool) {
 	var newest uint64
 	found := false
-	size := uint64(binary.NativeEndian.Uint32(w.data[pageHeader+8:]))
+	size := uint64(binary.NativeEndian.Uint32(c.data[pageHeader+8:]))
 	for _, at := range []uint64{0, size} {
-		meta := w.bytes(at+pageHeader, metaSize)
+		meta := c.bytes(at+pageHeader, metaSize)
 		if meta == nil {
 			continue
 		}
@@ -60,46 +66,48 @@
 		}
 		root, newest, found = binary.NativeEndian.Uint64(meta[16:]), txid, true
 		freelist = binary.NativeEndian.Uint64(meta[32:])
-		w.pageSize = uint64(binary.NativeEndian.Uint32(meta[8:]))
+		c.pageSize = uint64(binary.NativeEndian.Uint32(meta[8:]))
 	}
-	return root, freelist, found && w.pageSize > 0
+	return root, freelist, found && c.pageSize > 0
 }
 
-// bytes returns n bytes of the file, or nil when they are outside of it.
-func (w *pageChecker) bytes(at, n uint64) []byte {
-	if at > uint64(len(w.data)) || n > uint64(len(w.data))-at {
+// bytes returns n bytes of the file from an offset on, or nil when they are not
+// all inside the file.
+func (c *pageChecker) bytes(at, n uint64) []byte {
+	if at > uint64(len(c.data)) || n > uint64(len(c.data))-at {
 		return nil
 	}
-	return w.data[at : at+n]
+	return c.data[at : at+n]
 }
 
-// take returns the bytes of a page that was not visited before.
-func (w *pageChecker) visit(id uint64) ([]byte, error) {
-	if id >= uint64(len(w.data))/w.pageSize || w.visited[id] {
+// visit marks a page as visited and returns its bytes, overflow pages included. It
+// fails for a page that was visited before or is outside of the file.
+func (c *pageChecker) visit(id uint64) ([]byte, error) {
+	if id >= uint64(len(c.data))/c.pageSize || c.visited[id] {
 		return nil, corrupt("page %d is outside of the file or used twice", id)
 	}
-	w.visited[id] = true
-	header := w.bytes(id*w.pageSize, pageHeader)
+	c.visited[id] = true
+	header := c.bytes(id*c.pageSize, pageHeader)
 	overflow := uint64(binary.NativeEndian.Uint32(header[12:]))
-	page := w.bytes(id*w.pageSize, (overflow+1)*w.pageSize)
+	page := c.bytes(id*c.pageSize, (overflow+1)*c.pageSize)
 	if page == nil || binary.NativeEndian.Uint64(header) != id {
 		return nil, corrupt("page %d has a damaged header", id)
 	}
 	return page, nil
 }
 
-// page checks a page and the pages below it.
-func (w *pageChecker) checkPage(id uint64) error {
-	page, err := w.visit(id)
+// checkPage checks a page and the pages below it.
+func (c *pageChecker) checkPage(id uint64) error {
+	page, err := c.visit(id)
 	if err != nil {
 		return err
 	}
-	return w.checkElements(id, page)
+	return c.checkElements(id, page)
 }
 
-// freelist checks the bounds of the list of free pages.
-func (w *pageChecker) checkFreelist(id uint64) error {
-	page, err := w.visit(id)
+// checkFreelist checks the type and the length of the list of free pages.
+func (c *pageChecker) checkFreelist(id uint64) error {
+	page, err := c.visit(id)
 	if err != nil {
 		return err
 	}
@@ -114,8 +122,8 @@
 	return nil
 }
 
-// elements checks the elements of a page, or of a bucket inside a page.
-func (w *pageChecker) checkElements(id uint64, page []byte) error {
+// checkElements checks the elements of a page, or of a bucket inside a page.
+func (c *pageChecker) checkElements(id uint64, page []byte) error {
 	flags := binary.NativeEndian.Uint16(page[8:])
 	count := uint64(binary.NativeEndian.Uint16(page[10:]))
 	if flags != flagBranch && flags != flagLeaf || pageHeader+count*elementSize > uint64(len(page)) {
@@ -125,9 +133,9 @@
 		at := pageHeader + i*elementSize
 		var err error
 		if flags == flagBranch {
-			err = w.checkBranch(id, page[at:])
+			err = c.checkBranch(id, page[at:])
 		} else {
-			err = w.checkLeaf(id, page[at:])
+			err = c.checkLeaf(id, page[at:])
 		}
 		if err != nil {
 			return err
@@ -136,17 +144,18 @@
 	return nil
 }
 
-// branch checks a branch element, given the page from the element on.
-func (w *pageChecker) checkBranch(id uint64, e []byte) error {
+// checkBranch checks a branch element, given the bytes of the page from the element
+// on.
+func (c *pageChecker) checkBranch(id uint64, e []byte) error {
 	position, key := uint64(binary.NativeEndian.Uint32(e)), uint64(binary.NativeEndian.Uint32(e[4:]))
 	if position+key > uint64(len(e)) {
 		return corrupt("page %d has a key outside of it", id)
 	}
-	return w.checkPage(binary.NativeEndian.Uint64(e[8:]))
+	return c.checkPage(binary.NativeEndian.Uint64(e[8:]))
 }
 
-// leaf checks a leaf element, and the bucket that it may hold.
-func (w *pageChecker) checkLeaf(id uint64, e []byte) error {
+// checkLeaf checks a leaf element, and the bucket that it may contain.
+func (c *pageChecker) checkLeaf(id uint64, e []byte) error {
 	flags, position := binary.NativeEndian.Uint32(e), uint64(binary.NativeEndian.Uint32(e[4:]))
 	key, value := uint64(binary.NativeEndian.Uint32(e[8:])), uint64(binary.NativeEndian.Uint32(e[12:]))
 	if position+key+value > uint64(len(e)) {
@@ -160,10 +169,10 @@
 		return corrupt("page %d has a bucket of %d bytes", id, value)
 	}
 	if root := binary.NativeEndian.Uint64(bucket); root != 0 {
-		return w.checkPage(root)
+		return c.checkPage(root)
 	}
 	if value < bucketHeader+pageHeader {
 		return corrupt("page %d has a bucket of %d bytes", id, value)
 	}
-	return w.checkElements(id, bucket[bucketHeader:])
+	return c.checkElements(id, bucket[bucketHeader:])
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -24,7 +24,7 @@
 	snapshotKey = []byte("snapshot")
 )
 
-// identity is the record of the data folder itself.
+// identity is the record that identifies the data folder. Disk is never zero.
 type identity struct {
 	Format uint64 `cbor:"1,keyasint"`
 	Disk   uint64 `cbor:"2,keyasint"`
@@ -39,6 +39,8 @@
 	return identity{Format: FormatVersion, Disk: binary.BigEndian.Uint64(b[:]) | 1}, nil
 }
 
+// loadIdentity returns the identity of the data folder, or a new one when the file
+// is empty.
 func loadIdentity(tx *bolt.Tx) (identity, error) {
 	bucket := tx.Bucket(metaBucket)
 	if bucket == nil {
@@ -78,7 +80,7 @@
 // checksumSize is the length of the checksum before each record, in bytes.
 const checksumSize = 8
 
-// checksum covers the key too, so that a record under a wrong key is noticed.
+// checksum covers the key as well, so that a record under a wrong key is detected.
 func checksum(key, payload []byte) uint64 {
 	h := xxhash.New()
 	_, _ = h.Write(key) // never fails
@@ -86,6 +88,7 @@
 	return h.Sum64()
 }
 
+// put stores a record: the checksum in big-endian order, then the value in CBOR.
 func put(bucket *bolt.Bucket, key []byte, value any) error {
 	payload, err := cbor.Marshal(value)
 	if err != nil {
@@ -96,6 +99,7 @@
 	return bucket.Put(key, append(record, payload...))
 }
 
+// get decodes the record under a key, and returns false when there is none.
 func get(bucket *bolt.Bucket, key []byte, value any) (bool, error) {
 	record := bucket.Get(key)
 	if record == nil {
@@ -106,7 +110,7 @@
 
 func decode(key, record []byte, value any) error {
 	if len(record) < checksumSize {
-		return corrupt("record %q has %d bytes", key, len(record))
+		return corrupt("record %q is too short: %d bytes", key, len(record))
 	}
 	payload := record[checksumSize:]
 	if binary.BigEndian.Uint64(record) != checksum(key, payload) {
@@ -118,6 +122,8 @@
 	return nil
 }
 
+// indexKey returns the key of a log entry. Its big-endian order keeps the entries
+// of the bucket in the order of their indexes.
 func indexKey(index uint64) []byte {
 	return binary.BigEndian.AppendUint64(nil, index)
 }
@@ -143,6 +149,8 @@
 	})
 }
 
+// saveDurable applies d to the buckets. Entries replace all stored entries from the
+// first of them on.
 func saveDurable(tx *bolt.Tx, d consensus.Durable) error {
 	state, log := tx.Bucket(stateBucket), tx.Bucket(logBucket)
 	if d.Hard != nil {
--- a/internal/store/restart_test.go
+++ b/internal/store/restart_test.go
@@ -8,10 +8,10 @@
 	"github.com/galenabridge/galenabridge/internal/consensus"
 )
 
-// changeBytes is the size of a change of the agreed state in the benchmark.
+// changeBytes is the size of one log entry's data in the benchmarks.
 const changeBytes = 512
 
-// BenchmarkSave measures one synced change.
+// BenchmarkSave measures saving one entry, sync included.
 func BenchmarkSave(b *testing.B) {
 	s := mustOpen(b, b.TempDir())
 	data := bytes.Repeat([]byte("x"), changeBytes)
@@ -22,8 +22,8 @@
 	}
 }
 
-// BenchmarkRestart measures opening, checking and loading a data folder after a
-// number of changes without a snapshot.
+// BenchmarkRestart measures opening, checking and loading a data folder with a
+// number of entries and no snapshot.
 func BenchmarkRestart(b *testing.B) {
 	for _, changes := range []uint64{1000, 10000} {
 		b.Run(fmt.Sprint(changes), func(b *testing.B) {
--- a/internal/store/store.go
+++ b/internal/store/store.go
@@ -1,7 +1,7 @@
 // Package store keeps the durable state of a control host in one data folder:
 // the identity of the folder, the hard state of consensus, its log and its
 // latest snapshot. Each Save is one transaction that is synced before it
-// returns. Every record carries a checksum.
+// returns. Every record is stored with a checksum.
 package store
 
 import (
@@ -37,16 +37,16 @@
 	LockTimeout time.Duration
 }
 
-// Store is an open data folder. One goroutine uses it.
+// Store is an open data folder. It is not safe for concurrent use.
 type Store struct {
 	db   *bolt.DB
 	path string
 	id   identity
 }
 
-// Open opens the data folder, creating it when missing, and counts a start. It
-// fails with result code StoreInUse, StoreVersion, StoreCorrupt or DiskFull
-// when the folder cannot be used.
+// Open opens the data folder, creates it when missing, and increments its count
+// of starts. When the folder cannot be used, it returns an error with result code
+// StoreInUse, StoreVersion, StoreCorrupt or DiskFull.
 func Open(dir string, opts Options) (*Store, error) {
 	if err := os.MkdirAll(dir, folderMode); err != nil {
 		return nil, errors.Wrap(err, "create data folder")
@@ -76,7 +76,8 @@
 	return opts.LockTimeout
 }
 
-// begin checks an existing file, or initialises a new one, and counts a start.
+// checkAndCountStart checks an existing file, or initialises a new one, and
+// increments its count of starts.
 func (s *Store) checkAndCountStart() error {
 	err := recoverCorruption(s.path, func() error { return s.db.View(checkFile) })
 	if err != nil {
@@ -93,7 +94,7 @@
 	})
 }
 
-// Load returns what the data folder holds.
+// Load returns the content of the data folder.
 func (s *Store) Load() (consensus.Stored, error) {
 	st := consensus.Stored{Disk: s.id.Disk, Boots: s.id.Boots}
 	err := recoverCorruption(s.path, func() error {
@@ -102,7 +103,7 @@
 	return st, err
 }
 
-// Save stores d in one transaction and syncs it. When it fails with result code
+// Save stores d in one transaction and syncs it. After an error with result code
 // DiskFull nothing of d is stored, and Load and later calls of Save still work.
 func (s *Store) Save(d consensus.Durable) error {
 	if d.Empty() {
@@ -111,8 +112,8 @@
 	return s.update(func(tx *bolt.Tx) error { return saveDurable(tx, d) })
 }
 
-// Reset empties the data folder and gives it a new identity, for a host that
-// must join the group anew.
+// Reset empties the data folder and assigns it a new identity, for a host that
+// must join the group again.
 func (s *Store) Reset() error {
 	id, err := newIdentity()
 	if err != nil {
@@ -135,7 +136,7 @@
 func (s *Store) Size() (int64, error) {
 	info, err := os.Stat(s.path)
 	if err != nil {
-		return 0, errors.Wrap(err, "data file")
+		return 0, errors.Wrap(err, "stat data file")
 	}
 	return info.Size(), nil
 }
@@ -153,7 +154,7 @@
 func syncFolder(dir string) error {
 	f, err := os.Open(dir)
 	if err != nil {
-		return errors.Wrap(err, "data folder")
+		return errors.Wrap(err, "open data folder")
 	}
 	err = f.Sync()
 	return errors.Wrap(firstError(err, f.Close()), "sync data folder")
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -122,7 +122,8 @@
 	checkFull(t, s, saved)
 }
 
-// fillUp saves entries until the disk is full and returns the last index saved.
+// fillUp saves entries until Save returns DiskFull, and returns the last index
+// saved.
 func fillUp(t *testing.T, s *Store) uint64 {
 	t.Helper()
 	for i := uint64(1); i < 10000; i++ {
@@ -135,17 +136,17 @@
 			t.Fatalf("entry %d: %v", i, err)
 		}
 	}
-	t.Fatal("the disk was never full")
+	t.Fatal("Save never returned DiskFull")
 	return 0
 }
 
-// checkFull checks that a full store still reads, and writes again once a
-// snapshot has freed space.
+// checkFull checks that a full store can still be read, and can be written again
+// once a snapshot has freed space.
 func checkFull(t *testing.T, s *Store, saved uint64) {
 	t.Helper()
 	st := mustLoad(t, s)
 	if n := uint64(len(st.Entries)); n != saved {
-		t.Fatalf("%d entries after %d were saved", n, saved)
+		t.Fatalf("%d entries, but %d were saved", n, saved)
 	}
 	snap := consensus.Snapshot{Index: saved, Term: 1}
 	mustSave(t, s, consensus.Durable{Snapshot: &snap, First: saved + 1})
@@ -154,8 +155,9 @@
 
 const limitEnv = "STORE_TEST_FILE_LIMIT_DIR"
 
-// TestFileSizeLimit runs itself in a process whose files may not grow past a
-// limit, so that writes of the operating system fail.
+// The test runs itself in a process with a limit on the file size, so that the
+// operating system rejects writes past it. Save must return DiskFull and leave the
+// store usable.
 func TestFileSizeLimit(t *testing.T) {
 	if dir := os.Getenv(limitEnv); dir != "" {
 		s := mustOpen(t, dir)
@@ -180,7 +182,8 @@
 	return fillUp(t, s)
 }
 
-// filled writes a data folder and returns its file.
+// newFilledFolder creates a data folder with 300 entries, and returns the folder
+// and its file.
 func newFilledFolder(t *testing.T) (dir, file string) {
 	t.Helper()
 	dir = t.TempDir()
@@ -209,7 +212,8 @@
 	}
 }
 
-// TestChangedRecordIsRefused damages each record of the log in turn.
+// The data of one log entry is changed in the file without its checksum. The
+// folder must be refused as corrupt.
 func TestChangedRecordIsRefused(t *testing.T) {
 	for _, text := range []string{"command 7 of", "command 150 of", "command 300 of"} {
 		dir, file := newFilledFolder(t)
