--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -42,16 +42,16 @@
 	if n.ticks%joinRequestInterval == 0 {
 		n.sendJoinRequests()
 	}
-	if n.hard.Fleet != 0 || n.bootstrap.groupExists || len(n.cfg.InitialVoters) == 0 {
+	if n.hard.Fleet != 0 || n.bootstrap.groupExists || len(n.cfg.Founders) == 0 {
 		return
 	}
-	if slices.Min(n.cfg.InitialVoters) == n.cfg.Host && n.initialVotersReady() {
+	if slices.Min(n.cfg.Founders) == n.cfg.Host && n.initialVotersReady() {
 		n.bootstrapGroup()
 	}
 }
 
 func (n *Node) sendJoinRequests() {
-	hosts := append(slices.Clone(n.cfg.Peers), n.cfg.InitialVoters...)
+	hosts := append(slices.Clone(n.cfg.Peers), n.cfg.Founders...)
 	if n.bootstrap.leader != "" {
 		hosts = append(hosts, n.bootstrap.leader)
 	}
@@ -69,7 +69,7 @@
 // initialVotersReady reports whether every other initial voter has sent a join
 // request within two request intervals.
 func (n *Node) initialVotersReady() bool {
-	for _, host := range n.cfg.InitialVoters {
+	for _, host := range n.cfg.Founders {
 		request, ok := n.bootstrap.readyPeers[host]
 		if host != n.cfg.Host && (!ok || n.ticks-request.tick > 2*joinRequestInterval) {
 			return false
@@ -82,7 +82,7 @@
 // empty snapshot at index 1, and this node starts a pre-vote at once.
 func (n *Node) bootstrapGroup() {
 	members := []Member{{Host: n.cfg.Host, Disk: n.disk, Voter: true}}
-	for _, host := range n.cfg.InitialVoters {
+	for _, host := range n.cfg.Founders {
 		if host != n.cfg.Host {
 			members = append(members, Member{Host: host, Disk: n.bootstrap.readyPeers[host].disk, Voter: true})
 		}
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -103,10 +103,10 @@
 
 func (c *cluster) add(host string, initialVoters []string) *process {
 	p := &process{cfg: Config{
-		Host: host, Peers: slices.Clone(c.hosts), InitialVoters: initialVoters,
+		Host: host, Peers: slices.Clone(c.hosts), Founders: initialVoters,
 		Rand:          rand.New(rand.NewPCG(c.rng.Uint64(), 2)),
 		ElectionTicks: c.electionTicks, HeartbeatTicks: max(1, c.electionTicks/5),
-		TrailingEntries: 4, ChunkBytes: 64, MaxInflight: 4, MaxAppendBytes: 200,
+		Trailing: 4, ChunkBytes: 64, MaxInflight: 4, MaxAppendBytes: 200,
 	}}
 	p.disk = c.newDisk()
 	c.procs[host] = p
@@ -170,7 +170,7 @@
 		}
 		p.confirmed = append(p.confirmed, rd.Confirmed...)
 		p.dropped = append(p.dropped, rd.Dropped...)
-		p.joinRequests = rd.JoinRequests
+		p.joinRequests = rd.Joining
 		p.node.Advance(rd)
 		c.checker.observe(c, p, rd)
 		c.maybeCompact(p)
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -15,10 +15,10 @@
 	// Peers are the other control hosts. The node sends them join requests while
 	// it belongs to no group.
 	Peers []string
-	// InitialVoters are the hosts, this one included, that form a new group as
-	// its voters once all of them are up with empty data folders. When empty,
-	// the node can only join an existing group.
-	InitialVoters []string
+	// Founders are the hosts, this one included, that form a new group as its
+	// voters once all of them are up with empty data folders. When empty, the
+	// node can only join an existing group.
+	Founders []string
 	// Rand randomises election timeouts and the identity of a new group.
 	// Required.
 	Rand *rand.Rand
@@ -36,9 +36,9 @@
 	MaxInflight int
 	// ChunkBytes bounds the snapshot data of one message.
 	ChunkBytes int
-	// TrailingEntries is the number of applied entries kept after a snapshot, so
-	// that followers that lag by less need no snapshot.
-	TrailingEntries uint64
+	// Trailing is the number of applied entries kept after a snapshot, so that
+	// followers that lag by less need no snapshot.
+	Trailing uint64
 }
 
 func (c Config) withDefaults() Config {
@@ -50,8 +50,8 @@
 	setDefault(&c.MaxAppendBytes, DefaultMaxAppendBytes)
 	setDefault(&c.MaxInflight, DefaultMaxInflight)
 	setDefault(&c.ChunkBytes, DefaultChunkBytes)
-	if c.TrailingEntries == 0 {
-		c.TrailingEntries = DefaultTrailingEntries
+	if c.Trailing == 0 {
+		c.Trailing = DefaultTrailing
 	}
 	return c
 }
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -16,13 +16,13 @@
 func (n *Node) Ready() Ready {
 	n.beginRoundIfQueued()
 	rd := Ready{
-		Durable:      n.durable(),
-		Messages:     n.msgs,
-		Committed:    n.log.slice(n.log.applied+1, n.log.commit),
-		Confirmed:    n.confirmed,
-		Dropped:      n.dropped,
-		JoinRequests: n.joinRequests,
-		Rejoin:       n.rejoin,
+		Durable:   n.durable(),
+		Messages:  n.msgs,
+		Committed: n.log.slice(n.log.applied+1, n.log.commit),
+		Confirmed: n.confirmed,
+		Dropped:   n.dropped,
+		Joining:   n.joinRequests,
+		Rejoin:    n.rejoin,
 	}
 	if n.log.installPending {
 		snap := n.log.snap
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -132,8 +132,8 @@
 	// Dropped lists the ConfirmQuorum calls that failed because the node is no
 	// longer the leader.
 	Dropped []uint64
-	// JoinRequests lists the nodes that asked this leader to join the group.
-	JoinRequests []Member
+	// Joining lists the nodes that asked this leader to join the group.
+	Joining []Member
 	// Rejoin is set once the data folder is known to be an older copy of itself,
 	// to lack synced entries, or to be removed from the group. The node then
 	// ignores ticks and messages: the driver must start a new node from an empty
@@ -190,11 +190,11 @@
 
 // Defaults of Config.
 const (
-	DefaultTickInterval    = 20 * time.Millisecond
-	DefaultElectionTicks   = 15 // 300 ms, randomised up to 600 ms
-	DefaultHeartbeatTicks  = 3  // 60 ms
-	DefaultMaxAppendBytes  = 256 << 10
-	DefaultMaxInflight     = 32 // append messages per follower
-	DefaultChunkBytes      = 256 << 10
-	DefaultTrailingEntries = 1024 // entries
+	DefaultTickInterval   = 20 * time.Millisecond
+	DefaultElectionTicks  = 15 // 300 ms, randomised up to 600 ms
+	DefaultHeartbeatTicks = 3  // 60 ms
+	DefaultMaxAppendBytes = 256 << 10
+	DefaultMaxInflight    = 32 // append messages per follower
+	DefaultChunkBytes     = 256 << 10
+	DefaultTrailing       = 1024 // entries
 )
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -243,12 +243,12 @@
 			cfg.Peers = append(cfg.Peers, c.Host)
 		}
 		if c.Voter && h.opts.Bootstrap {
-			cfg.InitialVoters = append(cfg.InitialVoters, c.Host)
+			cfg.Founders = append(cfg.Founders, c.Host)
 			founder = founder || c.Host == cfg.Host
 		}
 	}
 	if h.opts.Open && !founder {
-		cfg.InitialVoters = nil // a host beside the seeds waits to be let in
+		cfg.Founders = nil // a host beside the seeds waits to be let in
 	}
 	return cfg
 }
--- a/internal/store/node_test.go
+++ b/internal/store/node_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	st := mustLoad(t, s)
 	node, err := consensus.New(consensus.Config{
-		Host: "a", InitialVoters: []string{"a"}, Rand: rand.New(rand.NewPCG(1, 1)), TrailingEntries: 8,
+		Host: "a", Founders: []string{"a"}, Rand: rand.New(rand.NewPCG(1, 1)), Trailing: 8,
 	}, st)
 	if err != nil {
 		t.Fatal(err)
