--- a/bridge/host.go
+++ b/bridge/host.go
@@ -55,7 +55,7 @@
 	log        *log.Logger
 	registry   *prometheus.Registry
 	peers      *peer.Node
-	view       *view.Box
+	view       *view.Publisher
 	subscriber *control.Subscriber
 	control    *control.Host
 	owner      *limits.Owner
@@ -80,7 +80,7 @@
 		timing:   lease.DefaultConfig(),
 		log:      opts.Logger.With("host", opts.Settings.Host),
 		registry: prometheus.NewRegistry(),
-		view:     view.NewBox(),
+		view:     view.NewPublisher(),
 	}
 	h.registry.MustRegister(
 		collectors.NewGoCollector(),
@@ -134,19 +134,19 @@
 func (h *Host) buildControl() {
 	if c := h.settings.Control; c != nil {
 		h.control = control.New(control.Options{
-			Fleet:     h.settings.Fleet,
-			DataDir:   c.DataDir,
-			Bootstrap: c.Bootstrap,
-			Controls:  h.settings.Controls,
-			Peer:      h.peers,
-			Lease:     h.timing,
-			Logger:    h.log,
-			Databases: watch.NewProber(),
-			Registry:  h.registry,
+			Fleet:           h.settings.Fleet,
+			DataDir:         c.DataDir,
+			Bootstrap:       c.Bootstrap,
+			Controls:        h.settings.Controls,
+			Peer:            h.peers,
+			Lease:           h.timing,
+			Logger:          h.log,
+			EndpointManager: watch.NewProber(),
+			Registry:        h.registry,
 		})
 		h.owner = limits.NewOwner(h.peers, h.view, limits.DefaultConfig(), h.log)
 	}
-	control.ServeDatabases(h.peers, h.view, watch.NewProber())
+	control.ServeEndpointRequests(h.peers, h.view, watch.NewProber())
 	h.subscriber = control.NewSubscriber(control.SubscriberOptions{
 		Fleet:    h.settings.Fleet,
 		Domain:   h.settings.Domain,
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -77,7 +77,7 @@
 
 func (p *latePlatform) apply(effect Effect) {
 	switch e := effect.(type) {
-	case AskPositions:
+	case QueryPositions:
 		for _, id := range e.Endpoints {
 			if id == "a" && p.leads == "a" {
 				continue // the lost primary
@@ -89,7 +89,7 @@
 			p.step(Answer{Term: e.Term, Endpoint: id, Condition: c})
 		}
 	case Choose:
-		p.commit(func(g *agreed.Group) { g.Candidate, g.Chooser, g.Attempt = e.Candidate, e.Chooser, e.Attempt })
+		p.commit(func(g *agreed.Group) { g.Candidate, g.ChooserTerm, g.Attempt = e.Candidate, e.Chooser, e.Attempt })
 	case Activate:
 		p.commit(func(g *agreed.Group) { g.Phase, g.Primary = agreed.PhaseActive, e.Primary })
 		p.active = e.Primary
@@ -178,7 +178,7 @@
 	r.answer("b", replica(100))
 	expectNone[Choose](r) // another may hold more
 	r.answer("c", replica(120))
-	r.pass(DefaultConfig().BestGrace)
+	r.pass(DefaultConfig().PositionGrace)
 	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
@@ -188,7 +188,7 @@
 	r.sealed()
 	r.send(Settled{Revision: 11})
 	r.answer("b", replica(100))
-	r.pass(DefaultConfig().BestGrace)
+	r.pass(DefaultConfig().PositionGrace)
 	expect(r, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
 }
 
@@ -204,7 +204,7 @@
 	expectNone[Choose](r) // c may hold an acknowledged commit that b lacks
 	r.answer("b", replica(100))
 	r.answer("c", replica(120))
-	r.pass(DefaultConfig().BestGrace)
+	r.pass(DefaultConfig().PositionGrace)
 	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
--- a/internal/failover/sim_test.go
+++ b/internal/failover/sim_test.go
@@ -193,7 +193,7 @@
 	case Seal:
 		s.group.Term, s.group.Phase = e.Term+1, agreed.PhaseSealed
 	case Choose:
-		s.group.Candidate, s.group.Chooser, s.group.Attempt = e.Candidate, e.Chooser, e.Attempt
+		s.group.Candidate, s.group.ChooserTerm, s.group.Attempt = e.Candidate, e.Chooser, e.Attempt
 	case Activate:
 		s.group.Phase, s.group.Primary, s.group.Candidate = agreed.PhaseActive, e.Primary, ""
 	}
@@ -203,7 +203,7 @@
 	switch e := effect.(type) {
 	case Seal, Choose, Activate:
 		s.later(simCommand, commitEvent{command: e})
-	case AskPositions:
+	case QueryPositions:
 		for _, id := range e.Endpoints {
 			if id == "a" {
 				continue
