--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -181,7 +181,7 @@
 // present returns the registered processes that may hold leases. Where a host has
 // one process at a time, those of which a newer process was met may not.
 func (h *Host) present() []lease.ID {
-	if !h.opts.Lease.ExclusiveIdentity {
+	if !h.opts.Lease.Exclusive {
 		return h.registered
 	}
 	ids := make([]lease.ID, 0, len(h.registered))
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -106,7 +106,7 @@
 func timing() lease.Config {
 	cfg := lease.DefaultConfig()
 	cfg.Duration, cfg.RenewInterval = 2*time.Second, 400*time.Millisecond
-	cfg.ExclusiveIdentity = true // a host is named by the address that its process listens on
+	cfg.Exclusive = true // a host is named by the address that its process listens on
 	return cfg
 }
 
--- a/internal/failover/active.go
+++ b/internal/failover/active.go
@@ -7,12 +7,13 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// watch seals the term of an active group when its primary is lost or has to
-// leave its place.
-func (m *Machine) watch(now time.Time) {
+// advanceActive seals the term of an active group when its primary is lost or must
+// be replaced by a planned switchover. A lost primary is sealed at once; a planned
+// switchover waits for a successor, SwitchoverRetry and DrainTime.
+func (m *Machine) advanceActive(now time.Time) {
 	g := m.view.Group
 	if m.view.Leaving {
-		m.report("service is leaving: no failover")
+		m.setStatus("service is being taken out of use: no failover")
 		return
 	}
 	if m.suspected(now, g.Primary) {
@@ -21,102 +22,106 @@
 	}
 	cause, due := m.switchoverCause()
 	if !due {
-		m.dueAt = time.Time{}
-		m.report("")
+		m.switchoverDueAt = time.Time{}
+		m.setStatus("")
 		return
 	}
-	if m.dueAt.IsZero() {
-		m.dueAt = now
+	if m.switchoverDueAt.IsZero() {
+		m.switchoverDueAt = now
 	}
 	if !m.hasSuccessor(now) {
-		m.report(cause + "; no other member in use can be reached")
+		m.setStatus(cause + "; no other member in use is reachable")
 		return
 	}
-	if !m.switched.IsZero() && now.Sub(m.switched) < m.cfg.SwitchoverRetry {
-		m.report(cause + "; waiting before the next switchover")
+	if !m.lastSwitchoverAt.IsZero() && now.Sub(m.lastSwitchoverAt) < m.cfg.SwitchoverRetry {
+		m.setStatus(cause + "; waiting before the next switchover")
 		return
 	}
-	if m.view.Ack != note.AckReplicas && now.Sub(m.dueAt) < m.cfg.DrainTime {
-		m.report(cause + "; waiting for requests in progress")
+	if m.view.Ack != note.AckReplicas && now.Sub(m.switchoverDueAt) < m.cfg.DrainTime {
+		m.setStatus(cause + "; waiting for requests in progress")
 		return
 	}
-	if !now.Before(m.busyUntil) {
-		m.switched = now
+	if !now.Before(m.pendingUntil) {
+		m.lastSwitchoverAt = now
 	}
 	m.seal(now, "switchover: "+cause)
 }
 
+// seal proposes the end of the current term.
 func (m *Machine) seal(now time.Time, reason string) {
-	m.report(reason)
+	m.setStatus(reason)
 	m.propose(now, Seal{Service: m.view.Group.Service, Term: m.view.Group.Term, Reason: reason})
 }
 
-// switchoverCause tells why the primary has to be moved, if it has to.
+// switchoverCause returns the reason for a planned switchover of the primary, if
+// one is due.
 func (m *Machine) switchoverCause() (string, bool) {
 	primary, ok := m.member(m.view.Group.Primary)
 	switch {
 	case !ok:
 		return "", false
 	case primary.DomainOut:
-		return fmt.Sprintf("failure domain %s of primary %s is out", primary.Domain, primary.Endpoint), true
+		return fmt.Sprintf("failure domain %s of primary %s is out of use", primary.Domain, primary.Endpoint), true
 	case primary.Leaving:
-		return fmt.Sprintf("primary %s is leaving", primary.Endpoint), true
+		return fmt.Sprintf("primary %s is being taken out of use", primary.Endpoint), true
 	default:
 		return "", false
 	}
 }
 
-// hasSuccessor reports whether a majority of members is well and one of them
-// could take over from the primary.
+// hasSuccessor reports whether a majority of members is healthy and one of them,
+// in use and not the primary, could take over.
 func (m *Machine) hasSuccessor(now time.Time) bool {
 	if m.view.Ack == note.AckReplicas {
-		return m.hasReplicaInUse(now)
+		return m.hasUsableReplica(now)
 	}
-	well, successor := 0, false
+	healthy, successor := 0, false
 	for _, member := range m.view.Members {
-		if !m.seenWell(now, member.Endpoint) {
+		if !m.seenHealthy(now, member.Endpoint) {
 			continue
 		}
-		well++
-		if member.Endpoint != m.view.Group.Primary && !member.unwanted() {
+		healthy++
+		if member.Endpoint != m.view.Group.Primary && !member.outOfUse() {
 			successor = true
 		}
 	}
-	return successor && well >= m.majority()
+	return successor && healthy >= m.majority()
 }
 
-// hasReplicaInUse reports whether a member that nobody suspects could take over.
-// Members of such a group are not probed while nothing is wrong.
-func (m *Machine) hasReplicaInUse(now time.Time) bool {
+// hasUsableReplica reports whether a replica in use that is not suspected could take
+// over. It requires no reports of healthy members, since members of a group with
+// note.AckReplicas are not probed while nothing is wrong.
+func (m *Machine) hasUsableReplica(now time.Time) bool {
 	for _, member := range m.view.Members {
-		if member.Endpoint != m.view.Group.Primary && !member.unwanted() && !m.suspected(now, member.Endpoint) {
+		if member.Endpoint != m.view.Group.Primary && !member.outOfUse() && !m.suspected(now, member.Endpoint) {
 			return true
 		}
 	}
 	return false
 }
 
-// form activates a new group once its members show one primary.
-func (m *Machine) form(now time.Time) {
-	m.ask(now)
-	answered, primary, several := m.formers(now)
+// advanceForming activates a new group once a majority of its endpoints answers and
+// exactly one is out of recovery on the highest timeline.
+func (m *Machine) advanceForming(now time.Time) {
+	m.queryPositions(now)
+	answered, primary, ambiguous := m.formingMembers(now)
 	if answered < m.majority() {
 		m.majorityAt = time.Time{}
-		m.report(fmt.Sprintf("forming: %d of %d endpoints answer", answered, m.view.Size))
+		m.setStatus(fmt.Sprintf("forming: %d of %d endpoints answer", answered, m.view.Size))
 		return
 	}
 	if m.majorityAt.IsZero() {
 		m.majorityAt = now
 	}
 	switch {
-	case several:
-		m.report("forming: more than one endpoint is out of recovery on the highest timeline")
+	case ambiguous:
+		m.setStatus("forming: more than one endpoint is out of recovery on the highest timeline")
 	case primary == "":
-		m.report("forming: no endpoint is out of recovery")
+		m.setStatus("forming: no endpoint is out of recovery")
 	case answered < m.view.Size && now.Sub(m.majorityAt) < m.cfg.FormGrace:
-		m.report("forming: waiting for the last endpoints")
+		m.setStatus("forming: waiting for the remaining endpoints")
 	default:
-		m.report("")
+		m.setStatus("")
 		m.propose(now, Activate{
 			Service:  m.view.Group.Service,
 			Term:     max(m.view.Group.Term, 1),
@@ -126,9 +131,9 @@
 	}
 }
 
-// formers counts the members that answer and finds the one out of recovery on
-// the highest timeline.
-func (m *Machine) formers(now time.Time) (answered int, primary string, several bool) {
+// formingMembers counts the members that answer and returns the one out of recovery
+// on the highest timeline. The result is ambiguous when there is more than one.
+func (m *Machine) formingMembers(now time.Time) (answered int, primary string, ambiguous bool) {
 	var highest uint32
 	for _, member := range m.view.Members {
 		c, ok := m.answer(now, member.Endpoint)
@@ -141,10 +146,10 @@
 		}
 		switch {
 		case primary == "" || c.Timeline > highest:
-			primary, highest, several = member.Endpoint, c.Timeline, false
+			primary, highest, ambiguous = member.Endpoint, c.Timeline, false
 		case c.Timeline == highest:
-			several = true
+			ambiguous = true
 		}
 	}
-	return answered, primary, several
+	return answered, primary, ambiguous
 }
--- a/internal/failover/bench_test.go
+++ b/internal/failover/bench_test.go
@@ -9,7 +9,8 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// targetState is the agreed state at the size of the target.
+// targetState returns an agreed state of 2000 entry hosts in 11 failure domains and
+// 2200 groups of three endpoints.
 func targetState() *agreed.State {
 	s := &agreed.State{
 		Catalog:   note.Catalog{Services: map[string]note.Service{}, Domains: map[string]note.Domain{}},
@@ -35,7 +36,7 @@
 	return s
 }
 
-// BenchmarkFleetTick is the cost of one tick over all groups of the target.
+// BenchmarkFleetTick measures one tick over all groups of targetState.
 func BenchmarkFleetTick(b *testing.B) {
 	f := NewMachineSet(DefaultConfig())
 	now := time.Unix(0, 0)
@@ -47,7 +48,7 @@
 	}
 }
 
-// BenchmarkFleetSetState is the cost of one change of the agreed state.
+// BenchmarkFleetSetState measures one change of the agreed state.
 func BenchmarkFleetSetState(b *testing.B) {
 	f := NewMachineSet(DefaultConfig())
 	s := targetState()
@@ -57,7 +58,7 @@
 	}
 }
 
-// BenchmarkObservation is the cost of one report of a watcher.
+// BenchmarkObservation measures one report of a watcher.
 func BenchmarkObservation(b *testing.B) {
 	f := NewMachineSet(DefaultConfig())
 	now := time.Unix(0, 0)
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -8,14 +8,14 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// contender is a member whose position counts in the choice of a primary.
+// contender is a member whose answer counts in the choice of a candidate.
 type contender struct {
 	member    Member
 	condition Condition
 	suspected bool
 }
 
-// compare orders contenders by what they hold: timeline first, then position.
+// compare orders contenders by the log that they hold: timeline first, then position.
 func (c contender) compare(d contender) int {
 	if n := cmp.Compare(c.condition.Timeline, d.condition.Timeline); n != 0 {
 		return n
@@ -23,11 +23,10 @@
 	return cmp.Compare(c.condition.Position, d.condition.Position)
 }
 
-// majority returns the number of members whose positions prove that no
-// acknowledged commit is missing from the highest one. With endpoints that
-// acknowledge by themselves these are enough replicas to meet every set of
-// SyncReplicas; without synchronous replicas nothing can be proved, and one
-// will do.
+// majority returns the number of members whose positions prove that the highest of
+// them includes every acknowledged commit. Under note.AckReplicas that is enough
+// members to intersect every set of SyncReplicas; without synchronous replicas there
+// is no such proof, and one member is enough.
 func (m *Machine) majority() int {
 	if m.view.Ack == note.AckReplicas {
 		if m.view.SyncReplicas == 0 {
@@ -39,13 +38,13 @@
 }
 
 // contenders returns the members whose latest answer counts: replicas, the
-// primary of the sealed term on its own timeline, and the recorded candidate.
+// primary of the former term on the group's timeline, and the recorded candidate.
 // Any other endpoint out of recovery has a history that was never agreed.
 func (m *Machine) contenders(now time.Time) []contender {
 	var found []contender
 	for _, member := range m.view.Members {
 		a, ok := m.answer(now, member.Endpoint)
-		if !ok || !m.counts(member.Endpoint, a) {
+		if !ok || !m.countsForChoice(member.Endpoint, a) {
 			continue
 		}
 		found = append(found, contender{
@@ -57,13 +56,14 @@
 	return found
 }
 
-func (m *Machine) counts(endpoint string, c Condition) bool {
+// countsForChoice reports whether an answer of the endpoint counts in the choice.
+func (m *Machine) countsForChoice(endpoint string, c Condition) bool {
 	g := m.view.Group
 	switch {
 	case c.InRecovery:
 		return true
 	case m.cfg.Fenced && c.Timeline > g.Timeline:
-		return true // a late order of this term has promoted it
+		return true // promoted by an order of this term that was executed late
 	case endpoint == g.Candidate:
 		return true
 	case endpoint == g.Primary:
@@ -73,7 +73,7 @@
 	}
 }
 
-// answer returns the endpoint's condition when it answered lately.
+// answer returns the endpoint's condition if it answered within AnswerTTL.
 func (m *Machine) answer(now time.Time, endpoint string) (Condition, bool) {
 	a, ok := m.answers[endpoint]
 	if !ok || !a.condition.Reachable || now.Sub(a.at) > m.cfg.AnswerTTL {
@@ -82,14 +82,15 @@
 	return a.condition, true
 }
 
-// safe returns the contenders that hold every write that a majority may have
-// acknowledged: those at least as far as a majority of the group, themselves
-// included. Any other majority shares a member with that one.
-func (m *Machine) safe(all []contender) []contender {
+// holdingAcknowledged returns the contenders that hold every write that a majority
+// may have acknowledged: those at least as far as a majority of the group, themselves
+// included. Any two majorities share a member. Under note.AckReplicas only the
+// contenders with the highest position qualify.
+func (m *Machine) holdingAcknowledged(all []contender) []contender {
 	var found []contender
 	if m.view.Ack == note.AckReplicas {
 		best := slices.MaxFunc(all, contender.compare)
-		return without(all, func(c contender) bool { return c.compare(best) < 0 })
+		return exclude(all, func(c contender) bool { return c.compare(best) < 0 })
 	}
 	for _, c := range all {
 		covered := 0
@@ -105,27 +106,27 @@
 	return found
 }
 
-// mayImprove reports whether to wait for members that have not answered: each
-// may hold commits that no other has. Nobody waits for a member that is
-// suspected.
-func (m *Machine) mayImprove(now time.Time, all []contender) bool {
-	if m.view.Ack != note.AckReplicas || now.Sub(m.majorityAt) >= m.cfg.PositionGrace {
+// awaitsPositions reports whether the choice must wait for members that have not
+// answered. Under note.AckReplicas each may hold commits that no other member has.
+// The choice does not wait for suspected members.
+func (m *Machine) awaitsPositions(now time.Time, all []contender) bool {
+	if m.view.Ack != note.AckReplicas || now.Sub(m.majorityAt) >= m.cfg.BestGrace {
 		return false
 	}
 	return slices.ContainsFunc(m.view.Members, func(member Member) bool {
-		heard := slices.ContainsFunc(all, func(c contender) bool { return c.member.Endpoint == member.Endpoint })
-		return !heard && !m.suspected(now, member.Endpoint)
+		answered := slices.ContainsFunc(all, func(c contender) bool { return c.member.Endpoint == member.Endpoint })
+		return !answered && !m.suspected(now, member.Endpoint)
 	})
 }
 
-// prefer orders contenders: not suspected first, then those in use, then the
-// highest position; ties go to the lower id. All of them hold what was
-// acknowledged, so that only a tail without acknowledgement is weighed here.
-func prefer(a, b contender) int {
+// comparePreference orders contenders, best first: not suspected, in use, highest
+// position, lowest id. All of them hold every acknowledged write, so a lower position
+// gives up only writes that were not acknowledged.
+func comparePreference(a, b contender) int {
 	if n := compareBool(a.suspected, b.suspected); n != 0 {
 		return n
 	}
-	if n := compareBool(a.member.unwanted(), b.member.unwanted()); n != 0 {
+	if n := compareBool(a.member.outOfUse(), b.member.outOfUse()); n != 0 {
 		return n
 	}
 	if n := b.compare(a); n != 0 {
@@ -146,10 +147,11 @@
 	}
 }
 
-// unwanted reports whether new work should keep off the member.
-func (m Member) unwanted() bool { return m.DomainOut || m.Leaving }
+// outOfUse reports whether the member, or its failure domain, is being taken out of
+// use, so that it should not become the primary.
+func (m Member) outOfUse() bool { return m.DomainOut || m.Leaving }
 
-// without returns the contenders other than those that match.
-func without(all []contender, match func(contender) bool) []contender {
+// exclude returns a copy of the contenders without those that match.
+func exclude(all []contender, match func(contender) bool) []contender {
 	return slices.DeleteFunc(slices.Clone(all), match)
 }
--- a/internal/failover/electorate.go
+++ b/internal/failover/electorate.go
@@ -6,20 +6,22 @@
 	"github.com/galenabridge/galenabridge/internal/rendezvous"
 )
 
-// soleDomainWatchers is the number of watchers of an endpoint when all entry
-// hosts stand in one failure domain.
-const soleDomainWatchers = 3
+// singleDomainWatchers is the number of watchers of an endpoint when all entry
+// hosts are in one failure domain.
+const singleDomainWatchers = 3
 
 // Watcher is an entry host that may probe endpoints.
 type Watcher struct {
 	Host   string
 	Domain string
-	// Region is the region of the failure domain, empty when it is not known.
+	// Region is the region of the failure domain, empty when it is not set.
 	Region string
 }
 
-// Electorate knows the entry hosts whose observations count, and how many of
-// them make a majority. It is immutable.
+// Electorate selects the watchers of each endpoint from the entry hosts, and
+// determines whose observations count and how many voters make a majority. It is
+// immutable, and equal for equal sets of watchers, so that hosts and the control
+// leader select the same ones.
 type Electorate struct {
 	domains []string
 	regions map[string]string // by failure domain
@@ -52,39 +54,40 @@
 	}
 	ranked := rendezvous.Top(e.domains, endpoint, len(e.domains))
 	var chosen []string
-	taken := make(map[string]int) // by region
+	perRegion := make(map[string]int)
 	for round := 0; len(chosen) < MaxWatcherDomains; round++ {
 		for _, domain := range ranked {
 			region := e.regions[domain]
-			if taken[region] != round || slices.Contains(chosen, domain) || len(chosen) == MaxWatcherDomains {
+			if perRegion[region] != round || slices.Contains(chosen, domain) || len(chosen) == MaxWatcherDomains {
 				continue
 			}
-			taken[region]++
+			perRegion[region]++
 			chosen = append(chosen, domain)
 		}
-		evenOut(taken, round+1)
+		levelCounts(perRegion, round+1)
 	}
 	return chosen
 }
 
-// evenOut lets regions without a further failure domain pass a round.
-func evenOut(taken map[string]int, round int) {
-	for region, n := range taken {
-		taken[region] = max(n, round)
+// levelCounts raises the counts of regions that had no further failure domain in a
+// round, so that they do not block the next one.
+func levelCounts(perRegion map[string]int, round int) {
+	for region, n := range perRegion {
+		perRegion[region] = max(n, round)
 	}
 }
 
 // perDomain is the number of watchers in one failure domain.
 func (e *Electorate) perDomain() int {
 	if len(e.domains) == 1 {
-		return soleDomainWatchers
+		return singleDomainWatchers
 	}
 	return 1
 }
 
-// Watchers returns the hosts that probe the endpoint, by rendezvous hashing
-// one per watching failure domain, or up to three when there is only one
-// domain.
+// Watchers returns the hosts that probe the endpoint, chosen by rendezvous hashing:
+// one per watching failure domain, or up to singleDomainWatchers when there is only
+// one domain.
 func (e *Electorate) Watchers(endpoint string) []Watcher {
 	var chosen []Watcher
 	for _, domain := range e.domainsOf(endpoint) {
@@ -106,8 +109,9 @@
 	return slices.Contains(rendezvous.Top(e.hosts[domain], endpoint, e.perDomain()), host)
 }
 
-// voter returns the name under which a watcher of the endpoint votes: its
-// failure domain, or the host itself when there is only one domain.
+// voter returns the identity under which a watcher of the endpoint votes: its
+// failure domain, or the host itself when there is only one domain. It reports
+// false for a host whose observations of the endpoint do not count.
 func (e *Electorate) voter(host, domain, endpoint string) (string, bool) {
 	if !slices.Contains(e.domainsOf(endpoint), domain) {
 		return "", false
@@ -118,11 +122,12 @@
 	return host, slices.Contains(e.hosts[domain], host)
 }
 
-// majority returns the number of voters that must agree on a suspicion.
+// majority returns the number of the endpoint's voters that must agree before it is
+// suspected or regarded as healthy.
 func (e *Electorate) majority(endpoint string) int {
 	if len(e.domains) != 1 {
 		return len(e.domainsOf(endpoint))/2 + 1
 	}
-	n := min(len(e.hosts[e.domains[0]]), soleDomainWatchers)
+	n := min(len(e.hosts[e.domains[0]]), singleDomainWatchers)
 	return n/2 + 1
 }
--- a/internal/failover/electorate_test.go
+++ b/internal/failover/electorate_test.go
@@ -5,9 +5,10 @@
 	"testing"
 )
 
-// TestALostRegionLeavesAMajority chooses watchers in a fleet of eleven failure
-// domains in four regions.
-func TestALostRegionLeavesAMajority(t *testing.T) {
+// TestElectorateKeepsMajorityWithoutOneRegion guards against watchers that are
+// concentrated in one region, whose loss would leave no majority. It selects watchers
+// from eleven failure domains in four regions.
+func TestElectorateKeepsMajorityWithoutOneRegion(t *testing.T) {
 	var watchers []Watcher
 	for d := range 11 {
 		for h := range 4 {
@@ -31,7 +32,7 @@
 			perRegion[w.Region]++
 			used[w.Domain] = true
 			if !e.Watches(w.Host, w.Domain, endpoint) {
-				t.Errorf("%s does not know that it watches %s", w.Host, endpoint)
+				t.Errorf("Watches is false for %s, a watcher of %s", w.Host, endpoint)
 			}
 			if _, ok := e.voter(w.Host, w.Domain, endpoint); !ok {
 				t.Errorf("the vote of %s on %s does not count", w.Host, endpoint)
@@ -48,9 +49,9 @@
 	}
 }
 
-// TestADomainThatWasNotChosenHasNoVote sends observations of all domains but
-// the chosen ones.
-func TestADomainThatWasNotChosenHasNoVote(t *testing.T) {
+// TestElectorateIgnoresDomainsNotSelected checks that only hosts in the failure
+// domains selected for an endpoint have a vote on it.
+func TestElectorateIgnoresDomainsNotSelected(t *testing.T) {
 	var watchers []Watcher
 	for d := range 11 {
 		watchers = append(watchers, Watcher{Host: fmt.Sprintf("h%d", d), Domain: fmt.Sprintf("d%d", d)})
--- a/internal/failover/machine.go
+++ b/internal/failover/machine.go
@@ -8,55 +8,61 @@
 	"github.com/galenabridge/galenabridge/internal/agreed"
 )
 
-// timedCondition is an endpoint's answer with the time of its arrival.
+// timedCondition is the condition in an endpoint's answer and its time of arrival.
 type timedCondition struct {
 	condition Condition
 	at        time.Time
 }
 
-// Machine decides the failover of one group. It is not safe for concurrent
-// use. A new control leader starts with a new Machine, sends it the View and
-// lets it continue.
+// Machine decides the failover of one group. It is not safe for concurrent use.
+//
+// All decisions that must survive a change of the control leader are in the agreed
+// state; the fields below may be lost at any time. A new leader starts with a new
+// Machine, sends it the View and continues at the recorded step.
+//
+// It emits no effects before its first View.
 type Machine struct {
 	cfg     Config
 	view    View
-	known   bool
+	hasView bool
 	settled uint64
 	reports map[reportKey]report
 	answers map[string]timedCondition
 
-	// busyUntil is the time until which a proposed command is awaited.
-	busyUntil time.Time
-	asked     time.Time
-	// majorityAt is when a majority first answered in this term.
+	// pendingUntil is the time until which no other command is proposed: the result
+	// of the last one is pending, or it has failed and is about to be repeated.
+	pendingUntil time.Time
+	queriedAt    time.Time
+	// majorityAt is when a majority began to answer, zero while none does.
 	majorityAt time.Time
-	// candidateAt is when this machine first saw the candidate recorded.
+	// candidateAt is when the current attempt of the recorded candidate began for
+	// this machine; its timeouts run from then.
 	candidateAt time.Time
-	// promoted is when Promote was last emitted, under the fence ordered;
-	// accepted is the fence of the last order that was accepted, unanswered that
-	// of one that got no answer.
-	promoted   time.Time
-	ordered    uint64
-	accepted   uint64
-	unanswered uint64
-	// avoid lists candidates of this term that failed to be promoted.
-	avoid map[string]bool
-	// dueAt is since when the primary has had to leave its place, switched when a
-	// planned switchover was last begun.
-	dueAt    time.Time
-	switched time.Time
-	reason   string
+	// promoteSentAt is when Promote was last emitted, sentFence its fence.
+	// acceptedFence is that of the last order that was accepted, unansweredFence
+	// that of the last order without an answer.
+	promoteSentAt   time.Time
+	sentFence       uint64
+	acceptedFence   uint64
+	unansweredFence uint64
+	// failedCandidates are the candidates of this term whose promotion failed.
+	failedCandidates map[string]bool
+	// switchoverDueAt is when the planned switchover of the primary became due, zero
+	// when none is; lastSwitchoverAt is when one was last begun.
+	switchoverDueAt  time.Time
+	lastSwitchoverAt time.Time
+	reason           string
 
 	effects []Effect
 }
 
-// New returns a Machine that waits for its first View.
+// New returns a Machine that emits no effects before its first View.
 func New(cfg Config) *Machine {
 	return &Machine{
-		cfg:     cfg,
-		reports: make(map[reportKey]report),
-		answers: make(map[string]timedCondition),
-		avoid:   make(map[string]bool),
+		cfg:              cfg,
+		reports:          make(map[reportKey]report),
+		answers:          make(map[string]timedCondition),
+		failedCandidates: make(map[string]bool),
 	}
 }
 
@@ -67,18 +73,18 @@
 	case View:
 		m.setView(now, ev)
 	case Observation:
-		m.observe(now, ev)
+		m.handleObservation(now, ev)
 	case Answer:
-		m.receive(now, ev)
+		m.handleAnswer(now, ev)
 	case Settled:
 		m.settled = max(m.settled, ev.Revision)
 	case PromotionResult:
-		m.promotionDone(ev)
+		m.handlePromotionResult(ev)
 	case CommandResult:
-		m.commandDone(now, ev)
+		m.handleCommandResult(now, ev)
 	case Tick:
 	}
-	if m.known {
+	if m.hasView {
 		m.advance(now)
 	}
 	return m.effects
@@ -86,11 +92,11 @@
 
 func (m *Machine) setView(now time.Time, v View) {
 	old := m.view.Group
-	first := !m.known
+	first := !m.hasView
 	if !slices.Equal(old.Members, v.Group.Members) {
-		m.forgetOthers(v.Group.Members)
+		m.dropNonMembers(v.Group.Members)
 	}
-	m.view, m.known = v, true
+	m.view, m.hasView = v, true
 	if first || old.Term != v.Group.Term || old.Phase != v.Group.Phase {
 		m.enterPhase()
 	}
@@ -98,84 +104,92 @@
 		m.candidateAt = now
 	}
 	if first || old.Changed != v.Group.Changed {
-		m.busyUntil = time.Time{}
+		m.pendingUntil = time.Time{}
 	}
 }
 
-// forgetOthers drops what is known of endpoints that are not members.
-func (m *Machine) forgetOthers(members []string) {
+// dropNonMembers discards reports on and answers of endpoints that are not members.
+func (m *Machine) dropNonMembers(members []string) {
 	maps.DeleteFunc(m.reports, func(k reportKey, _ report) bool { return !slices.Contains(members, k.endpoint) })
 	maps.DeleteFunc(m.answers, func(id string, _ timedCondition) bool { return !slices.Contains(members, id) })
 }
 
-// enterPhase forgets what belonged to the former term or phase. Observations
-// survive a seal: they tell which endpoints are still suspected.
+// enterPhase discards the state of the former term or phase. Reports are kept over
+// a seal, since the choice depends on which endpoints are still suspected; they are
+// dropped on activation, since they were judged against the former primary.
 func (m *Machine) enterPhase() {
 	clear(m.answers)
-	clear(m.avoid)
-	m.busyUntil = time.Time{}
-	m.asked = time.Time{}
+	clear(m.failedCandidates)
+	m.pendingUntil = time.Time{}
+	m.queriedAt = time.Time{}
 	m.majorityAt = time.Time{}
-	m.dueAt = time.Time{}
+	m.switchoverDueAt = time.Time{}
 	if m.view.Group.Phase == agreed.PhaseActive {
 		clear(m.reports)
 	}
 }
 
-func (m *Machine) receive(now time.Time, a Answer) {
-	if !m.known || a.Term != m.view.Group.Term {
+// handleAnswer stores an answer in the current term. Answers of earlier terms are
+// ignored: their positions may have been read before the seal was settled.
+func (m *Machine) handleAnswer(now time.Time, a Answer) {
+	if !m.hasView || a.Term != m.view.Group.Term {
 		return
 	}
 	m.answers[a.Endpoint] = timedCondition{condition: a.Condition, at: now}
 }
 
-func (m *Machine) promotionDone(r PromotionResult) {
+// handlePromotionResult stores the outcome of the order for the latest recorded
+// choice. Outcomes of earlier orders are ignored.
+func (m *Machine) handlePromotionResult(r PromotionResult) {
 	g := m.view.Group
 	if r.Term != g.Term || r.Endpoint != g.Candidate || r.Fence != g.Changed {
 		return
 	}
 	switch r.Outcome {
 	case OrderAccepted:
-		m.accepted = r.Fence
+		m.acceptedFence = r.Fence
 	case OrderUnknown:
-		m.unanswered = r.Fence
+		m.unansweredFence = r.Fence
 	case OrderRefused:
-		m.avoid[r.Endpoint] = true
+		m.failedCandidates[r.Endpoint] = true
 	}
 }
 
-func (m *Machine) commandDone(now time.Time, r CommandResult) {
+// handleCommandResult allows a failed command to be proposed again after
+// AskInterval. A committed one is confirmed by the next View.
+func (m *Machine) handleCommandResult(now time.Time, r CommandResult) {
 	if !r.Committed {
-		m.busyUntil = now.Add(m.cfg.QueryInterval)
+		m.pendingUntil = now.Add(m.cfg.AskInterval)
 	}
 }
 
+// advance performs the next step of the group's phase.
 func (m *Machine) advance(now time.Time) {
 	switch m.view.Group.Phase {
 	case agreed.PhaseForming:
-		m.form(now)
+		m.advanceForming(now)
 	case agreed.PhaseActive:
-		m.watch(now)
+		m.advanceActive(now)
 	case agreed.PhaseSealed:
-		m.resolve(now)
+		m.advanceSealed(now)
 	}
 }
 
-// propose emits a command unless an earlier one is still awaited.
+// propose emits a command unless the result of an earlier one is pending.
 func (m *Machine) propose(now time.Time, command Effect) {
-	if now.Before(m.busyUntil) {
+	if now.Before(m.pendingUntil) {
 		return
 	}
-	m.busyUntil = now.Add(m.cfg.ProposeTimeout)
+	m.pendingUntil = now.Add(m.cfg.ProposeTimeout)
 	m.effects = append(m.effects, command)
 }
 
-// ask requests the positions of all members once per AskInterval.
-func (m *Machine) ask(now time.Time) {
-	if !m.asked.IsZero() && now.Sub(m.asked) < m.cfg.QueryInterval {
+// queryPositions requests the positions of all members once per AskInterval.
+func (m *Machine) queryPositions(now time.Time) {
+	if !m.queriedAt.IsZero() && now.Sub(m.queriedAt) < m.cfg.AskInterval {
 		return
 	}
-	m.asked = now
+	m.queriedAt = now
 	endpoints := make([]string, len(m.view.Members))
 	for i, member := range m.view.Members {
 		endpoints[i] = member.Endpoint
@@ -187,8 +201,8 @@
 	})
 }
 
-// report emits the reason when it differs from the last one.
-func (m *Machine) report(reason string) {
+// setStatus emits a Status when the reason differs from the last one.
+func (m *Machine) setStatus(reason string) {
 	if reason == m.reason {
 		return
 	}
--- a/internal/failover/machine_test.go
+++ b/internal/failover/machine_test.go
@@ -9,8 +9,8 @@
 	"github.com/galenabridge/galenabridge/internal/agreed"
 )
 
-// rig drives one Machine by hand.
-type rig struct {
+// harness drives one Machine with single events and collects its effects.
+type harness struct {
 	t       *testing.T
 	m       *Machine
 	now     time.Time
@@ -20,10 +20,10 @@
 
 var threeDomains = []Watcher{{Host: "h1", Domain: "d1"}, {Host: "h2", Domain: "d2"}, {Host: "h3", Domain: "d3"}}
 
-func newRig(t *testing.T, watchers []Watcher) *rig {
+func newHarness(t *testing.T, watchers []Watcher) *harness {
 	t.Helper()
-	r := &rig{t: t, m: New(DefaultConfig()), now: time.Unix(0, 0)}
-	r.view = View{
+	h := &harness{t: t, m: New(DefaultConfig()), now: time.Unix(0, 0)}
+	h.view = View{
 		Group: agreed.Group{
 			Service: "s", Members: []string{"a", "b", "c"}, Term: 1, Primary: "a",
 			Phase: agreed.PhaseActive, Timeline: 1, Changed: 10,
@@ -32,51 +32,54 @@
 		Members:    []Member{{Endpoint: "a", Domain: "d1"}, {Endpoint: "b", Domain: "d2"}, {Endpoint: "c", Domain: "d3"}},
 		Electorate: NewElectorate(watchers),
 	}
-	r.send(r.view)
-	return r
+	h.send(h.view)
+	return h
 }
 
-func (r *rig) send(ev Event) { r.effects = append(r.effects, r.m.Step(r.now, ev)...) }
+func (h *harness) send(ev Event) { h.effects = append(h.effects, h.m.Step(h.now, ev)...) }
 
-func (r *rig) pass(d time.Duration) {
-	r.now = r.now.Add(d)
-	r.send(Tick{})
+// advance moves the time on and sends a Tick.
+func (h *harness) advance(d time.Duration) {
+	h.now = h.now.Add(d)
+	h.send(Tick{})
 }
 
-func (r *rig) see(w Watcher, endpoint string, c Condition) {
-	r.send(Observation{Watcher: w.Host, Domain: w.Domain, Endpoint: endpoint, Condition: c})
+func (h *harness) observe(w Watcher, endpoint string, c Condition) {
+	h.send(Observation{Watcher: w.Host, Domain: w.Domain, Endpoint: endpoint, Condition: c})
 }
 
-// seeFor repeats an observation by the watchers for the given time.
-func (r *rig) seeFor(d time.Duration, c Condition, endpoint string, watchers ...Watcher) {
-	for end := r.now.Add(d); !r.now.After(end); r.pass(ProbeInterval) {
+// observeFor repeats an observation by the watchers for the given time, once per
+// ProbeInterval.
+func (h *harness) observeFor(d time.Duration, c Condition, endpoint string, watchers ...Watcher) {
+	for end := h.now.Add(d); !h.now.After(end); h.advance(ProbeInterval) {
 		for _, w := range watchers {
-			r.see(w, endpoint, c)
+			h.observe(w, endpoint, c)
 		}
 	}
 }
 
-func (r *rig) sealed() {
-	r.view.Group.Term, r.view.Group.Phase, r.view.Group.Changed = 2, agreed.PhaseSealed, 11
-	r.send(r.view)
+// seal sends a view in which the group is sealed in term 2 at revision 11.
+func (h *harness) seal() {
+	h.view.Group.Term, h.view.Group.Phase, h.view.Group.Changed = 2, agreed.PhaseSealed, 11
+	h.send(h.view)
 }
 
-func (r *rig) answer(endpoint string, c Condition) {
-	r.send(Answer{Term: r.view.Group.Term, Endpoint: endpoint, Condition: c})
+func (h *harness) answer(endpoint string, c Condition) {
+	h.send(Answer{Term: h.view.Group.Term, Endpoint: endpoint, Condition: c})
 }
 
-// commit takes the proposed choice into the view.
-func (r *rig) commit(c Choose) {
-	r.view.Group.Candidate, r.view.Group.Chooser = c.Candidate, c.Chooser
-	r.view.Group.Attempt++
-	r.view.Group.Changed++
-	r.send(r.view)
+// commit sends a view in which the proposed choice is recorded.
+func (h *harness) commit(c Choose) {
+	h.view.Group.Candidate, h.view.Group.Chooser = c.Candidate, c.Chooser
+	h.view.Group.Attempt++
+	h.view.Group.Changed++
+	h.send(h.view)
 }
 
 // last returns the latest effect of type E.
-func last[E Effect](r *rig) (E, bool) {
-	for i := len(r.effects) - 1; i >= 0; i-- {
-		if e, ok := r.effects[i].(E); ok {
+func last[E Effect](h *harness) (E, bool) {
+	for i := len(h.effects) - 1; i >= 0; i-- {
+		if e, ok := h.effects[i].(E); ok {
 			return e, true
 		}
 	}
@@ -84,17 +87,17 @@
 	return none, false
 }
 
-func expect[E Effect](r *rig, want E) {
-	r.t.Helper()
-	if got, ok := last[E](r); !ok || !reflect.DeepEqual(got, want) {
-		r.t.Fatalf("got %+v, want %+v; status %q", got, want, r.m.reason)
+func expect[E Effect](h *harness, want E) {
+	h.t.Helper()
+	if got, ok := last[E](h); !ok || !reflect.DeepEqual(got, want) {
+		h.t.Fatalf("got %+v, want %+v; status %q", got, want, h.m.reason)
 	}
 }
 
-func expectNone[E Effect](r *rig) {
-	r.t.Helper()
-	if got, ok := last[E](r); ok {
-		r.t.Fatalf("unexpected %+v", got)
+func expectNone[E Effect](h *harness) {
+	h.t.Helper()
+	if got, ok := last[E](h); ok {
+		h.t.Fatalf("unexpected %+v", got)
 	}
 }
 
@@ -108,243 +111,244 @@
 
 var down = Condition{}
 
-func TestOneHostIsNotEnough(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.seeFor(5*time.Second, down, "a", threeDomains[0])
-	expectNone[Seal](r)
+func TestSealNeedsMajorityOfDomains(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.observeFor(5*time.Second, down, "a", threeDomains[0])
+	expectNone[Seal](h)
 }
 
-func TestOneHostOfASoleDomainIsNotEnough(t *testing.T) {
+func TestSealNeedsMajorityOfHostsInSingleDomain(t *testing.T) {
 	hosts := []Watcher{{Host: "h1", Domain: "d1"}, {Host: "h2", Domain: "d1"}}
-	r := newRig(t, hosts)
-	r.seeFor(5*time.Second, down, "a", hosts[0])
-	expectNone[Seal](r)
-	r.seeFor(2*time.Second, down, "a", hosts...)
-	if _, ok := last[Seal](r); !ok {
-		t.Fatal("two of two hosts did not lead to a seal")
+	h := newHarness(t, hosts)
+	h.observeFor(5*time.Second, down, "a", hosts[0])
+	expectNone[Seal](h)
+	h.observeFor(2*time.Second, down, "a", hosts...)
+	if _, ok := last[Seal](h); !ok {
+		t.Fatal("the reports of two of two hosts did not cause a seal")
 	}
 }
 
-func TestTheOnlyHostIsEnough(t *testing.T) {
-	r := newRig(t, threeDomains[:1])
-	r.seeFor(time.Second, down, "a", threeDomains[0])
-	if _, ok := last[Seal](r); !ok {
-		t.Fatal("the only host did not lead to a seal")
+func TestSealBySingleHost(t *testing.T) {
+	h := newHarness(t, threeDomains[:1])
+	h.observeFor(time.Second, down, "a", threeDomains[0])
+	if _, ok := last[Seal](h); !ok {
+		t.Fatal("the reports of the only host did not cause a seal")
 	}
 }
 
-func TestSuspicionNeedsItsTimeWithoutABreak(t *testing.T) {
-	r := newRig(t, threeDomains)
+func TestSuspicionNeedsUnbrokenLoss(t *testing.T) {
+	h := newHarness(t, threeDomains)
 	for range 10 {
-		r.seeFor(2*ProbeInterval-1, down, "a", threeDomains[:2]...)
-		r.seeFor(0, primary(1, 5), "a", threeDomains[:2]...)
+		h.observeFor(2*ProbeInterval-1, down, "a", threeDomains[:2]...)
+		h.observeFor(0, primary(1, 5), "a", threeDomains[:2]...)
 	}
-	expectNone[Seal](r)
+	expectNone[Seal](h)
 }
 
-func TestPrimaryInRecoveryOrOnOldTimelineIsSealed(t *testing.T) {
+func TestSealPrimaryInRecoveryOrOnOtherTimeline(t *testing.T) {
 	for name, c := range map[string]Condition{"recovery": replica(9), "timeline": primary(7, 9)} {
 		t.Run(name, func(t *testing.T) {
-			r := newRig(t, threeDomains)
-			r.seeFor(time.Second, c, "a", threeDomains[1:]...)
-			if s, ok := last[Seal](r); !ok || s.Term != 1 {
+			h := newHarness(t, threeDomains)
+			h.observeFor(time.Second, c, "a", threeDomains[1:]...)
+			if s, ok := last[Seal](h); !ok || s.Term != 1 {
 				t.Fatalf("no seal of term 1: %+v", s)
 			}
 		})
 	}
 }
 
-func TestNoPositionsBeforeTheSealIsSettled(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.sealed()
-	r.send(Settled{Revision: 10})
-	r.pass(10 * time.Second)
-	expectNone[QueryPositions](r)
-	r.send(Settled{Revision: 11})
-	expect(r, QueryPositions{Service: "s", Term: 2, Endpoints: []string{"a", "b", "c"}})
-}
-
-func TestFailoverChoosesPromotesVerifiesActivates(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("b", replica(100))
-	expectNone[Choose](r)
-	r.answer("c", replica(120))
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
-	expectNone[Promote](r)
-	r.commit(Choose{Candidate: "c"})
-	expect(r, Promote{Service: "s", Term: 2, Endpoint: "c", Fence: 12})
-	r.send(PromotionResult{Term: 2, Endpoint: "c", Fence: 12, Outcome: OrderAccepted})
-	r.answer("c", replica(120))
-	expectNone[Activate](r)
-	r.answer("c", primary(2, 121))
-	expect(r, Activate{Service: "s", Term: 2, Primary: "c", Timeline: 2})
-}
-
-func TestTwoOfThreeGoneWaitsAndSaysSo(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.sealed()
-	r.send(Settled{Revision: 11})
+func TestQueryPositionsOnlyAfterSealIsSettled(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.seal()
+	h.send(Settled{Revision: 10})
+	h.advance(10 * time.Second)
+	expectNone[QueryPositions](h)
+	h.send(Settled{Revision: 11})
+	expect(h, QueryPositions{Service: "s", Term: 2, Endpoints: []string{"a", "b", "c"}})
+}
+
+func TestFailoverSequence(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("b", replica(100))
+	expectNone[Choose](h)
+	h.answer("c", replica(120))
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
+	expectNone[Promote](h)
+	h.commit(Choose{Candidate: "c"})
+	expect(h, Promote{Service: "s", Term: 2, Endpoint: "c", Fence: 12})
+	h.send(PromotionResult{Term: 2, Endpoint: "c", Fence: 12, Outcome: OrderAccepted})
+	h.answer("c", replica(120))
+	expectNone[Activate](h)
+	h.answer("c", primary(2, 121))
+	expect(h, Activate{Service: "s", Term: 2, Primary: "c", Timeline: 2})
+}
+
+func TestChooseReportsMissingMajority(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.seal()
+	h.send(Settled{Revision: 11})
 	for range 100 {
-		r.answer("b", replica(100))
-		r.answer("c", down)
-		r.pass(100 * time.Millisecond)
+		h.answer("b", replica(100))
+		h.answer("c", down)
+		h.advance(100 * time.Millisecond)
 	}
-	expectNone[Choose](r)
-	if !strings.Contains(r.m.reason, "1 of 3 members answer, 2 are needed; no answer from a, c") {
-		t.Fatalf("status %q", r.m.reason)
+	expectNone[Choose](h)
+	if !strings.Contains(h.m.reason, "1 of 3 members answer, 2 are needed; no answer from a, c") {
+		t.Fatalf("status %q", h.m.reason)
 	}
 }
 
-func TestStrayPrimaryIsNotCounted(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Group.Timeline = 3
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("b", replica(100))
-	r.answer("c", primary(2, 900)) // a former primary that came back
-	r.answer("a", primary(2, 900)) // the primary restored to an old timeline
-	expectNone[Choose](r)
-	if !strings.Contains(r.m.reason, "must be rebuilt as replicas: a, c") {
-		t.Fatalf("status %q", r.m.reason)
+func TestChooseIgnoresDivergedPrimary(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Group.Timeline = 3
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("b", replica(100))
+	h.answer("c", primary(2, 900)) // a former primary of an older term
+	h.answer("a", primary(2, 900)) // the primary restored to an old timeline
+	expectNone[Choose](h)
+	if !strings.Contains(h.m.reason, "must be rebuilt as replicas: a, c") {
+		t.Fatalf("status %q", h.m.reason)
 	}
 }
 
-func TestFormerPrimaryMayBeChosenByPosition(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("a", primary(1, 130))
-	r.answer("b", replica(100))
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "a", Attempt: 1})
-	r.commit(Choose{Candidate: "a"})
-	r.answer("a", primary(1, 130))
-	expect(r, Activate{Service: "s", Term: 2, Primary: "a", Timeline: 1})
-}
-
-func TestSuspectedPrimaryIsPassedOverForAnAcknowledgedMajority(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.seeFor(time.Second, down, "a", threeDomains[1:]...)
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("a", primary(1, 130)) // only the control leader reaches it
-	r.answer("b", replica(100))
-	expectNone[Choose](r)
-	r.answer("c", replica(90))
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
-}
-
-func TestCandidateThatDiesIsReplaced(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("b", replica(100))
-	r.answer("c", replica(120))
-	r.commit(Choose{Candidate: "c"})
+func TestChooseFormerPrimaryByPosition(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("a", primary(1, 130))
+	h.answer("b", replica(100))
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "a", Attempt: 1})
+	h.commit(Choose{Candidate: "a"})
+	h.answer("a", primary(1, 130))
+	expect(h, Activate{Service: "s", Term: 2, Primary: "a", Timeline: 1})
+}
+
+func TestChooseCompleteReplicaOverSuspectedPrimary(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.observeFor(time.Second, down, "a", threeDomains[1:]...)
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("a", primary(1, 130)) // reachable only from the control leader
+	h.answer("b", replica(100))
+	expectNone[Choose](h)
+	h.answer("c", replica(90))
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
+}
+
+func TestChooseReplacesFailedCandidate(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("b", replica(100))
+	h.answer("c", replica(120))
+	h.commit(Choose{Candidate: "c"})
 	for range 20 {
-		r.answer("a", replica(125)) // restarted as a replica
-		r.answer("b", replica(100))
-		r.pass(100 * time.Millisecond)
+		h.answer("a", replica(125)) // restarted as a replica
+		h.answer("b", replica(100))
+		h.advance(100 * time.Millisecond)
 	}
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "a", Attempt: 2})
-	expectNone[Activate](r)
-}
-
-func TestNewLeaderContinuesWithTheRecordedCandidate(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Group.Candidate = "c"
-	r.sealed()
-	r.m = New(DefaultConfig()) // settled is unknown to the new leader
-	r.effects = nil
-	r.send(r.view)
-	expect(r, Promote{Service: "s", Term: 2, Endpoint: "c", Fence: 11})
-	r.answer("c", primary(2, 121))
-	expect(r, Activate{Service: "s", Term: 2, Primary: "c", Timeline: 2})
-}
-
-func TestFailedCommandIsProposedAgain(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.seeFor(time.Second, down, "a", threeDomains...)
-	r.effects = nil
-	r.send(CommandResult{Committed: false})
-	r.seeFor(2*ProbeInterval, down, "a", threeDomains...)
-	if _, ok := last[Seal](r); !ok {
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "a", Attempt: 2})
+	expectNone[Activate](h)
+}
+
+func TestNewLeaderPromotesRecordedCandidate(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Group.Candidate = "c"
+	h.seal()
+	h.m = New(DefaultConfig()) // the new leader has no settled revision yet
+	h.effects = nil
+	h.send(h.view)
+	expect(h, Promote{Service: "s", Term: 2, Endpoint: "c", Fence: 11})
+	h.answer("c", primary(2, 121))
+	expect(h, Activate{Service: "s", Term: 2, Primary: "c", Timeline: 2})
+}
+
+func TestProposeRepeatsFailedCommand(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.observeFor(time.Second, down, "a", threeDomains...)
+	h.effects = nil
+	h.send(CommandResult{Committed: false})
+	h.observeFor(2*ProbeInterval, down, "a", threeDomains...)
+	if _, ok := last[Seal](h); !ok {
 		t.Fatal("the seal was not proposed again")
 	}
 }
 
-func TestSwitchoverWaitsForTheLastPosition(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Members[0].DomainOut = true
-	r.send(r.view)
-	expectNone[Seal](r)
+func TestSwitchoverWaitsForLastPosition(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Members[0].DomainOut = true
+	h.send(h.view)
+	expectNone[Seal](h)
 	for _, e := range []string{"b", "c"} {
-		r.seeFor(0, replica(1), e, threeDomains...)
+		h.observeFor(0, replica(1), e, threeDomains...)
 	}
-	if s, ok := last[Seal](r); !ok || !strings.Contains(s.Reason, "switchover: failure domain d1") {
+	if s, ok := last[Seal](h); !ok || !strings.Contains(s.Reason, "switchover: failure domain d1") {
 		t.Fatalf("no seal for the switchover: %+v", s)
 	}
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("a", primary(1, 130))
-	r.answer("b", replica(129))
-	r.answer("c", replica(100))
-	expectNone[Choose](r)
-	r.answer("b", replica(130))
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
-}
-
-// TestSwitchoverWaitsForRequestsInProgress takes the primary's failure domain out
-// while its hosts have writes on their way.
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("a", primary(1, 130))
+	h.answer("b", replica(129))
+	h.answer("c", replica(100))
+	expectNone[Choose](h)
+	h.answer("b", replica(130))
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
+}
+
+// TestSwitchoverWaitsForRequestsInProgress guards against a planned switchover that
+// seals the term while hosts still have writes in progress, whose acknowledgements
+// would be lost. A lost primary must be sealed without that wait.
 func TestSwitchoverWaitsForRequestsInProgress(t *testing.T) {
-	r := newRig(t, threeDomains)
+	h := newHarness(t, threeDomains)
 	for _, e := range []string{"b", "c"} {
-		r.seeFor(0, replica(1), e, threeDomains...)
+		h.observeFor(0, replica(1), e, threeDomains...)
 	}
-	r.view.Members[0].DomainOut = true
-	r.send(r.view)
-	r.pass(DefaultConfig().DrainTime / 2)
-	expectNone[Seal](r)
-	r.pass(DefaultConfig().DrainTime)
-	if _, ok := last[Seal](r); !ok {
+	h.view.Members[0].DomainOut = true
+	h.send(h.view)
+	h.advance(DefaultConfig().DrainTime / 2)
+	expectNone[Seal](h)
+	h.advance(DefaultConfig().DrainTime)
+	if _, ok := last[Seal](h); !ok {
 		t.Error("no seal for the switchover")
 	}
-	r = newRig(t, threeDomains)
-	r.view.Members[0].DomainOut = true
-	r.seeFor(time.Second, down, "a", threeDomains...)
-	if s, ok := last[Seal](r); !ok || !strings.Contains(s.Reason, "lost") {
-		t.Errorf("a lost primary is not replaced at once: %+v", s)
+	h = newHarness(t, threeDomains)
+	h.view.Members[0].DomainOut = true
+	h.observeFor(time.Second, down, "a", threeDomains...)
+	if s, ok := last[Seal](h); !ok || !strings.Contains(s.Reason, "lost") {
+		t.Errorf("no immediate seal of a lost primary: %+v", s)
 	}
 }
 
 func TestSwitchoverWaitIsBounded(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Members[0].DomainOut = true
-	r.sealed()
-	r.send(Settled{Revision: 11})
+	h := newHarness(t, threeDomains)
+	h.view.Members[0].DomainOut = true
+	h.seal()
+	h.send(Settled{Revision: 11})
 	for range 40 {
-		r.answer("a", primary(1, 130))
-		r.answer("b", replica(129))
-		r.answer("c", replica(100))
-		r.pass(100 * time.Millisecond)
+		h.answer("a", primary(1, 130))
+		h.answer("b", replica(129))
+		h.answer("c", replica(100))
+		h.advance(100 * time.Millisecond)
 	}
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
 }
 
-func TestFormingNeedsOnePrimary(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Group = agreed.Group{Service: "s", Members: []string{"a", "b", "c"}, Phase: agreed.PhaseForming}
-	r.send(r.view)
-	r.answer("a", primary(4, 10))
-	r.answer("b", primary(4, 10))
-	r.answer("c", replica(10))
-	expectNone[Activate](r)
-	r.answer("b", replica(10))
-	expect(r, Activate{Service: "s", Term: 1, Primary: "a", Timeline: 4})
+func TestFormingNeedsSinglePrimary(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Group = agreed.Group{Service: "s", Members: []string{"a", "b", "c"}, Phase: agreed.PhaseForming}
+	h.send(h.view)
+	h.answer("a", primary(4, 10))
+	h.answer("b", primary(4, 10))
+	h.answer("c", replica(10))
+	expectNone[Activate](h)
+	h.answer("b", replica(10))
+	expect(h, Activate{Service: "s", Term: 1, Primary: "a", Timeline: 4})
 }
 
-func TestWatchersAreOnePerDomain(t *testing.T) {
+func TestElectorateSelectsOneWatcherPerDomain(t *testing.T) {
 	e := NewElectorate([]Watcher{{Host: "h1", Domain: "d1"}, {Host: "h2", Domain: "d1"}, {Host: "h3", Domain: "d2"}, {Host: "h4", Domain: "d2"}})
 	spread := map[string]bool{}
 	for _, endpoint := range []string{"a", "b", "c", "d", "e", "f", "g", "h"} {
@@ -359,73 +363,73 @@
 	}
 }
 
-func TestEndpointOnASecondHistoryIsNotCounted(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Group.Timeline = 2
-	r.sealed()
-	r.send(Settled{Revision: 11})
+func TestChooseIgnoresPromotionNeverActivated(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Group.Timeline = 2
+	h.seal()
+	h.send(Settled{Revision: 11})
 	b := replica(100)
 	b.Timeline = 2
-	r.answer("b", b)
-	r.answer("c", primary(2, 900)) // promoted once, but never activated
-	expectNone[Choose](r)
+	h.answer("b", b)
+	h.answer("c", primary(2, 900)) // promoted earlier, but never activated
+	expectNone[Choose](h)
 }
 
-func TestLaterTimelineGoesBeforePosition(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Group.Timeline = 2
-	r.sealed()
-	r.send(Settled{Revision: 11})
+func TestChooseComparesTimelineBeforePosition(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Group.Timeline = 2
+	h.seal()
+	h.send(Settled{Revision: 11})
 	c := replica(100)
 	c.Timeline = 2
-	r.answer("b", replica(500)) // a tail of timeline 1 that was never agreed
-	r.answer("c", c)
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
+	h.answer("b", replica(500)) // a tail of timeline 1 that was never agreed
+	h.answer("c", c)
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
-func TestAnswersOfAnotherTermAreIgnored(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.sealed()
-	r.send(Settled{Revision: 11})
+func TestAnswerOfOtherTermIsIgnored(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.seal()
+	h.send(Settled{Revision: 11})
 	for _, endpoint := range []string{"a", "b", "c"} {
-		r.send(Answer{Term: 1, Endpoint: endpoint, Condition: replica(100)})
+		h.send(Answer{Term: 1, Endpoint: endpoint, Condition: replica(100)})
 	}
-	expectNone[Choose](r)
-}
-
-func TestLostPrimaryInADomainThatIsOutIsReplacedAtOnce(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Members[0].DomainOut = true
-	r.view.Members[1].DomainOut = true
-	r.send(r.view)
-	r.seeFor(time.Second, down, "a", threeDomains...)
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("b", replica(130))
-	expectNone[Choose](r)
-	r.answer("c", replica(130))
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
-}
-
-func TestDomainInUseGoesBeforeAnUnacknowledgedTail(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.view.Members[1].DomainOut = true
-	r.sealed()
-	r.send(Settled{Revision: 11})
-	r.answer("a", replica(100)) // restarted as a replica
-	r.answer("b", replica(120))
-	expectNone[Choose](r)
-	r.answer("c", replica(110))
-	expect(r, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
-}
-
-func TestFormerMembersAreForgotten(t *testing.T) {
-	r := newRig(t, threeDomains)
-	r.seeFor(time.Second, replica(1), "c", threeDomains...)
-	r.view.Group.Members = []string{"a", "b"}
-	r.view.Members = r.view.Members[:2]
-	r.send(r.view)
-	for key := range r.m.reports {
-		t.Errorf("kept %+v", key)
+	expectNone[Choose](h)
+}
+
+func TestSealLostPrimaryInDomainOutOfUse(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Members[0].DomainOut = true
+	h.view.Members[1].DomainOut = true
+	h.send(h.view)
+	h.observeFor(time.Second, down, "a", threeDomains...)
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("b", replica(130))
+	expectNone[Choose](h)
+	h.answer("c", replica(130))
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
+}
+
+func TestChoosePrefersDomainInUseOverUnacknowledgedTail(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.view.Members[1].DomainOut = true
+	h.seal()
+	h.send(Settled{Revision: 11})
+	h.answer("a", replica(100)) // restarted as a replica
+	h.answer("b", replica(120))
+	expectNone[Choose](h)
+	h.answer("c", replica(110))
+	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
+}
+
+func TestViewDropsReportsOnFormerMembers(t *testing.T) {
+	h := newHarness(t, threeDomains)
+	h.observeFor(time.Second, replica(1), "c", threeDomains...)
+	h.view.Group.Members = []string{"a", "b"}
+	h.view.Members = h.view.Members[:2]
+	h.send(h.view)
+	for key := range h.m.reports {
+		t.Errorf("report of a former member was kept: %+v", key)
 	}
 }
--- a/internal/failover/fleet.go
+++ b/internal/failover/machineset.go
@@ -9,25 +9,26 @@
 	"github.com/galenabridge/galenabridge/internal/agreed"
 )
 
-// Fleet holds one Machine per group of the agreed state. It is not safe for
+// MachineSet holds one Machine per group of the agreed state. It is not safe for
 // concurrent use.
 type MachineSet struct {
 	cfg      Config
 	machines map[string]*Machine
 	state    *agreed.State
-	services []string // in order
+	services []string // sorted, so that effects have a fixed order
 	leaving  map[string]bool
 	settled  uint64
 }
 
-// NewFleet returns a Fleet without groups. A new control leader starts with a
-// new Fleet.
+// NewMachineSet returns a MachineSet without groups. A new control leader starts
+// with a new MachineSet.
 func NewMachineSet(cfg Config) *MachineSet {
 	return &MachineSet{cfg: cfg, machines: make(map[string]*Machine)}
 }
 
-// SetState sends the agreed state to all machines. The leaving set names
-// endpoints that asked to be taken out of use.
+// SetState sends the agreed state to all machines, starts those of new groups and
+// drops those of removed ones. The leaving set holds the endpoints that requested to
+// be taken out of use.
 func (f *MachineSet) SetState(now time.Time, s *agreed.State, leaving map[string]bool) []Effect {
 	f.state, f.leaving = s, leaving
 	f.services = slices.Sorted(maps.Keys(s.Groups))
@@ -50,8 +51,7 @@
 	return effects
 }
 
-// Step sends an event to the machine of a service. Unknown services are
-// ignored.
+// Step sends an event to the machine of a service. It ignores unknown services.
 func (f *MachineSet) Step(now time.Time, service string, event Event) []Effect {
 	m := f.machines[service]
 	if m == nil {
@@ -72,7 +72,7 @@
 	return effects
 }
 
-// Reason tells why a group is not active, or what it waits for.
+// Reason returns why a group is not active, or what it waits for.
 func (f *MachineSet) Reason(service string) string {
 	if m := f.machines[service]; m != nil {
 		return m.reason
@@ -104,7 +104,7 @@
 	return v
 }
 
-// EntryHosts returns the registered hosts that watch endpoints.
+// EntryHosts returns the registered entry hosts, which watch endpoints, by host id.
 func EntryHosts(s *agreed.State) []Watcher {
 	var watchers []Watcher
 	for _, h := range s.Hosts {
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -8,14 +8,15 @@
 	"github.com/galenabridge/galenabridge/internal/agreed"
 )
 
-// The model below runs a Machine against a group with asynchronous
-// replication, entry hosts with configuration leases and a control leader that
-// is replaced now and then. It checks the promises after every step.
+// The model runs a Machine against a group with asynchronous replication, entry hosts
+// with configuration leases and a control leader that is replaced at random. After
+// every step it checks that no acknowledged write is lost and that the rules of a
+// choice hold.
 
 const (
 	modelStep  = 50 * time.Millisecond
 	modelLease = 3 * time.Second
-	grantLease = modelLease + modelLease/100
+	grantLease = modelLease + modelLease/100 // as counted by the control leader
 )
 
 // record is one entry of an endpoint's log. The id is unique, so that two logs
@@ -26,12 +27,12 @@
 }
 
 type modelEndpoint struct {
-	id         string
-	alive      bool
-	inRecovery bool
-	upstream   string
-	log        []record
-	cut        map[string]bool // hosts, endpoints and "control" that cannot reach it
+	id              string
+	alive           bool
+	inRecovery      bool
+	upstream        string
+	log             []record
+	unreachableFrom map[string]bool // hosts, endpoints and "control"
 }
 
 func (e *modelEndpoint) timeline() uint32 { return e.log[len(e.log)-1].timeline }
@@ -47,7 +48,7 @@
 	revision   uint64
 	leaseEnd   time.Time
 	grantEnd   time.Time // as the control leader counts it
-	known      bool      // has renewed with this leader
+	renewed    bool      // with the current leader
 }
 
 type pendingWrite struct {
@@ -62,7 +63,7 @@
 type delayed struct {
 	due   time.Time
 	event Event
-	term  uint64 // of the leader that waits for it
+	term  uint64 // the leader that it is delivered to
 }
 
 type fault int
@@ -74,34 +75,34 @@
 )
 
 type model struct {
-	pick     func(n int) int
-	fault    fault
-	electors *Electorate
-	watchers map[string][]Watcher
-	// lenient leaves the rules of a choice unchecked, so that only the loss
-	// that follows from breaking them is seen.
-	lenient   bool
-	now       time.Time
-	revision  uint64
-	group     agreed.Group
-	machine   *Machine
-	leader    uint64
-	elected   time.Time
-	hosts     []*modelHost
-	endpoints []*modelEndpoint
-	events    []delayed
-	commands  []Effect
-	promotes  []string
-	pending   []*pendingWrite
-	acked     map[int]bool
-	primaries map[uint64]string
-	answered  map[string]bool
-	sealedAt  uint64
-	nextID    int
-	calm      bool
-	out       map[string]bool // failure domains
-	checked   [2]uint64       // revision and acknowledged writes at the last check
-	failure   string
+	pick       func(n int) int
+	fault      fault
+	electorate *Electorate
+	watchers   map[string][]Watcher
+	// skipChoiceRules leaves the rules of a choice unchecked, so that a broken one
+	// is detected only by the write that it loses.
+	skipChoiceRules bool
+	now             time.Time
+	revision        uint64
+	group           agreed.Group
+	machine         *Machine
+	leader          uint64
+	elected         time.Time
+	hosts           []*modelHost
+	endpoints       []*modelEndpoint
+	events          []delayed
+	commands        []Effect
+	promotes        []string
+	pending         []*pendingWrite
+	acked           map[int]bool
+	primaries       map[uint64]string
+	answered        map[string]bool
+	sealedAt        uint64
+	nextID          int
+	faultsEnded     bool
+	out             map[string]bool // failure domains
+	checked         [2]uint64       // revision and acknowledged writes at the last check
+	failure         string
 }
 
 func newModel(pick func(int) int, size int, f fault) *model {
@@ -110,7 +111,7 @@
 		acked: map[int]bool{}, primaries: map[uint64]string{}, out: map[string]bool{}, answered: map[string]bool{},
 	}
 	for i := range size {
-		e := &modelEndpoint{id: fmt.Sprintf("e%d", i), alive: true, inRecovery: i > 0, upstream: "e0", cut: map[string]bool{}}
+		e := &modelEndpoint{id: fmt.Sprintf("e%d", i), alive: true, inRecovery: i > 0, upstream: "e0", unreachableFrom: map[string]bool{}}
 		e.log = []record{{timeline: 1}}
 		m.endpoints = append(m.endpoints, e)
 		m.group.Members = append(m.group.Members, e.id)
@@ -118,29 +119,29 @@
 	for i := range 4 {
 		m.hosts = append(m.hosts, &modelHost{id: fmt.Sprintf("h%d", i), domain: fmt.Sprintf("d%d", i%3)})
 	}
-	m.appoint()
+	m.assignWatchers()
 	m.group.Service, m.group.Term, m.group.Primary = "s", 1, "e0"
 	m.group.Phase, m.group.Timeline, m.group.Changed = agreed.PhaseActive, 1, 1
 	m.primaries[1] = "e0"
-	m.elect()
+	m.replaceLeader()
 	return m
 }
 
-// appoint makes the hosts watchers of the endpoints.
-func (m *model) appoint() {
+// assignWatchers selects the watchers of each endpoint from the hosts.
+func (m *model) assignWatchers() {
 	var hosts []Watcher
 	for _, h := range m.hosts {
 		hosts = append(hosts, Watcher{Host: h.id, Domain: h.domain})
 	}
-	m.electors = NewElectorate(hosts)
+	m.electorate = NewElectorate(hosts)
 	m.watchers = map[string][]Watcher{}
 	for _, e := range m.endpoints {
-		m.watchers[e.id] = m.electors.Watchers(e.id)
+		m.watchers[e.id] = m.electorate.Watchers(e.id)
 	}
 }
 
-// takeOut puts a failure domain out of use, or back.
-func (m *model) takeOut(domain string, out bool) {
+// setDomainOut takes a failure domain out of use, or puts it back into use.
+func (m *model) setDomainOut(domain string, out bool) {
 	m.out[domain] = out
 	m.revision++
 	m.step(m.view())
@@ -167,21 +168,21 @@
 	return m.endpoints[i]
 }
 
-// elect replaces the control leader: everything it kept in memory is lost.
-func (m *model) elect() {
+// replaceLeader replaces the control leader, whose state in memory is lost.
+func (m *model) replaceLeader() {
 	m.machine = New(DefaultConfig())
 	m.leader++
 	m.elected = m.now
 	m.answered = map[string]bool{}
 	m.commands = nil
 	for _, h := range m.hosts {
-		h.known = false
+		h.renewed = false
 	}
 	m.step(m.view())
 }
 
 func (m *model) view() View {
-	v := View{Group: m.group, Size: len(m.endpoints), Electorate: m.electors}
+	v := View{Group: m.group, Size: len(m.endpoints), Electorate: m.electorate}
 	for i, e := range m.endpoints {
 		domain := fmt.Sprintf("d%d", i%3)
 		v.Members = append(v.Members, Member{Endpoint: e.id, Domain: domain, DomainOut: m.out[domain]})
@@ -189,7 +190,7 @@
 	return v
 }
 
-// step feeds the machine and takes its effects in.
+// step sends an event to the machine and applies its effects.
 func (m *model) step(ev Event) {
 	if a, ok := ev.(Answer); ok && a.Reachable && a.Term == m.group.Term {
 		m.answered[a.Endpoint] = true
@@ -208,7 +209,7 @@
 		m.commands = append(m.commands, ef)
 	case QueryPositions:
 		for _, id := range ef.Endpoints {
-			m.answerLater(ef.Term, m.endpoint(id))
+			m.scheduleAnswer(ef.Term, m.endpoint(id))
 		}
 	case Promote:
 		if m.group.Phase != agreed.PhaseSealed || m.group.Candidate != ef.Endpoint {
@@ -219,11 +220,12 @@
 	}
 }
 
-// checkChoice holds the rules of a choice against what really happened. The
-// candidate that is recorded in the term was chosen from a majority before, and may
-// be chosen again for another fence without one.
+// checkChoice checks the rules of a choice against the state of the model: a majority
+// has answered, and no host may act in the former term. The candidate recorded in the
+// term was chosen from a majority before, so it may be chosen again, for another
+// fence, without one.
 func (m *model) checkChoice(c Choose) {
-	if m.lenient {
+	if m.skipChoiceRules {
 		return
 	}
 	g := m.group
@@ -238,15 +240,15 @@
 	}
 }
 
-func (m *model) answerLater(term uint64, e *modelEndpoint) {
+func (m *model) scheduleAnswer(term uint64, e *modelEndpoint) {
 	a := Answer{Term: term, Endpoint: e.id}
-	if e.alive && !e.cut["control"] {
+	if e.alive && !e.unreachableFrom["control"] {
 		a.Condition = e.condition()
 	}
-	m.later(a)
+	m.schedule(a)
 }
 
-func (m *model) later(ev Event) {
+func (m *model) schedule(ev Event) {
 	wait := time.Duration(m.pick(4)) * modelStep
 	if m.pick(20) == 0 {
 		wait = time.Duration(m.pick(40)) * modelStep
--- a/internal/failover/modelrun_test.go
+++ b/internal/failover/modelrun_test.go
@@ -7,12 +7,12 @@
 	"github.com/galenabridge/galenabridge/internal/agreed"
 )
 
-// run drives the model for some steps and returns the first broken promise.
+// run advances the model by the given steps and returns the first violation.
 func (m *model) run(steps int) string {
 	for range steps {
 		m.now = m.now.Add(modelStep)
-		if !m.calm {
-			m.disturb()
+		if !m.faultsEnded {
+			m.injectRandomFault()
 		}
 		m.deliver()
 		m.executePromotions()
@@ -22,7 +22,7 @@
 		m.write()
 		m.acknowledge()
 		m.step(Settled{Revision: m.settled()})
-		m.plant()
+		m.applyMachineFault()
 		m.step(Tick{})
 		m.check()
 		if m.failure != "" {
@@ -32,22 +32,23 @@
 	return ""
 }
 
-// heal ends all faults and rebuilds endpoints with a history of their own.
-func (m *model) heal() {
-	m.calm = true
+// endFaults ends all faults. From then on endpoints with a diverged log are rebuilt.
+func (m *model) endFaults() {
+	m.faultsEnded = true
 	for _, e := range m.endpoints {
 		e.alive = true
-		clear(e.cut)
+		clear(e.unreachableFrom)
 	}
 	for _, h := range m.hosts {
 		h.isolated = false
 	}
 	for domain := range m.out {
-		m.takeOut(domain, false)
+		m.setDomainOut(domain, false)
 	}
 }
 
-func (m *model) disturb() {
+// injectRandomFault starts or ends one random fault in one of twenty steps.
+func (m *model) injectRandomFault() {
 	if m.pick(20) != 0 {
 		return
 	}
@@ -57,18 +58,18 @@
 		e.alive = false
 	case 1, 2, 3:
 		e.alive = true
-		clear(e.cut)
+		clear(e.unreachableFrom)
 	case 4:
 		for _, n := range []string{"control", "h0", "h1", "h2", "h3", "e0", "e1", "e2"} {
-			e.cut[n] = m.pick(2) == 0
+			e.unreachableFrom[n] = m.pick(2) == 0
 		}
 	case 5, 6:
-		clear(e.cut)
+		clear(e.unreachableFrom)
 	case 7:
 		h := m.hosts[m.pick(len(m.hosts))]
 		h.isolated = !h.isolated
 	case 8:
-		m.elect()
+		m.replaceLeader()
 	case 9, 10:
 		m.rebuild(e)
 	case 11:
@@ -77,27 +78,27 @@
 		m.isolatePrimary()
 	case 14:
 		domain := m.primaryDomain()
-		m.takeOut(domain, !m.out[domain])
+		m.setDomainOut(domain, !m.out[domain])
 	}
 }
 
-// isolatePrimary leaves the primary in touch with one host, which may be cut
-// off from the control leader as well, and with some of the replicas.
+// isolatePrimary makes the primary reachable from only one host, which may itself be
+// isolated from the control leader, and from some of the replicas.
 func (m *model) isolatePrimary() {
 	p := m.endpoint(m.group.Primary)
-	friend := m.hosts[m.pick(len(m.hosts))]
-	friend.isolated = m.pick(2) == 0
-	p.cut["control"] = true
+	connected := m.hosts[m.pick(len(m.hosts))]
+	connected.isolated = m.pick(2) == 0
+	p.unreachableFrom["control"] = true
 	for _, h := range m.hosts {
-		p.cut[h.id] = h != friend
+		p.unreachableFrom[h.id] = h != connected
 	}
 	for _, e := range m.endpoints {
-		p.cut[e.id] = m.pick(3) == 0
+		p.unreachableFrom[e.id] = m.pick(3) == 0
 	}
 }
 
-// rebuild turns an endpoint with a history of its own into a replica of the
-// agreed primary, as a rewind does.
+// rebuild turns an endpoint with a diverged log into a replica of the agreed primary,
+// as pg_rewind does.
 func (m *model) rebuild(e *modelEndpoint) {
 	p := m.endpoint(m.group.Primary)
 	if e == p || e.id == m.group.Candidate || !p.alive || !e.alive || p.inRecovery || p.timeline() != m.group.Timeline {
@@ -147,7 +148,7 @@
 		switch {
 		case m.pick(4) == 0:
 			rest = append(rest, id)
-		case e.alive && e.inRecovery && !e.cut["control"]:
+		case e.alive && e.inRecovery && !e.unreachableFrom["control"]:
 			e.inRecovery = false
 			m.nextID++
 			e.log = append(e.log, record{id: m.nextID, timeline: e.timeline() + 1})
@@ -163,18 +164,19 @@
 		}
 		h.group, h.revision = m.group, m.revision
 		h.leaseEnd, h.grantEnd = m.now.Add(modelLease), m.now.Add(grantLease)
-		h.known = true
+		h.renewed = true
 	}
 }
 
-// settled is what the control leader may claim by the lease rules.
+// settled returns the settled revision that the lease rules allow the control leader
+// to report.
 func (m *model) settled() uint64 {
 	least := m.revision
 	for _, h := range m.hosts {
 		switch {
-		case h.known && m.now.Before(h.grantEnd):
+		case h.renewed && m.now.Before(h.grantEnd):
 			least = min(least, h.revision)
-		case !h.known && m.now.Before(m.elected.Add(grantLease)):
+		case !h.renewed && m.now.Before(m.elected.Add(grantLease)):
 			return 0
 		}
 	}
@@ -185,11 +187,11 @@
 	for _, e := range m.endpoints {
 		for _, w := range m.watchers[e.id] {
 			o := Observation{Watcher: w.Host, Domain: w.Domain, Endpoint: e.id}
-			if e.alive && !e.cut[w.Host] {
+			if e.alive && !e.unreachableFrom[w.Host] {
 				o.Condition = e.condition()
 			}
 			if m.pick(5) == 0 {
-				m.later(o)
+				m.schedule(o)
 			}
 		}
 	}
@@ -201,24 +203,25 @@
 			r.upstream = m.group.Primary
 		}
 		up := m.endpoint(r.upstream)
-		if !r.alive || !r.inRecovery || !up.alive || up.inRecovery || up == r || r.cut[up.id] || up.cut[r.id] {
+		if !r.alive || !r.inRecovery || !up.alive || up.inRecovery || up == r || r.unreachableFrom[up.id] || up.unreachableFrom[r.id] {
 			continue
 		}
 		n := len(r.log)
 		if n > len(up.log) || r.log[n-1] != up.log[n-1] {
-			if up.id == m.group.Primary && m.calm {
+			if up.id == m.group.Primary && m.faultsEnded {
 				m.rebuild(r)
 			}
 			continue
 		}
 		r.log = append(r.log, up.log[n:min(len(up.log), n+m.pick(3))]...)
 	}
-	if m.calm {
-		m.rebuildStrays()
+	if m.faultsEnded {
+		m.rebuildDiverged()
 	}
 }
 
-func (m *model) rebuildStrays() {
+// rebuildDiverged rebuilds the endpoints out of recovery other than the primary.
+func (m *model) rebuildDiverged() {
 	for _, e := range m.endpoints {
 		if !e.inRecovery {
 			m.rebuild(e)
@@ -236,7 +239,7 @@
 		return
 	}
 	p := m.endpoint(h.group.Primary)
-	if !p.alive || p.inRecovery || p.cut[h.id] {
+	if !p.alive || p.inRecovery || p.unreachableFrom[h.id] {
 		return
 	}
 	m.nextID++
@@ -244,9 +247,9 @@
 	m.pending = append(m.pending, &pendingWrite{host: h, endpoint: p, id: m.nextID, index: len(p.log) - 1, term: h.group.Term})
 }
 
-// acknowledge follows the entry host: a majority must have the record, and the
-// host must still be allowed to act in the same term when it passes the answer
-// on.
+// acknowledge applies the rules of an entry host: a majority must hold the record,
+// and the host must still be allowed to act in the same term when it returns the
+// answer.
 func (m *model) acknowledge() {
 	var rest []*pendingWrite
 	for _, w := range m.pending {
@@ -256,7 +259,7 @@
 		case w.durable && m.pick(2) == 0:
 			m.acked[w.id] = true
 			continue
-		case w.endpoint.alive && !w.endpoint.cut[w.host.id]:
+		case w.endpoint.alive && !w.endpoint.unreachableFrom[w.host.id]:
 			w.durable = w.durable || m.holders(w) >= len(m.endpoints)/2+1
 		}
 		rest = append(rest, w)
@@ -264,8 +267,8 @@
 	m.pending = rest
 }
 
-// holders counts the primary and the replicas that stream from it and hold
-// the record.
+// holders counts the endpoints that hold the record: the primary that it was written
+// to and the replicas that stream from it.
 func (m *model) holders(w *pendingWrite) int {
 	n := 0
 	for _, e := range m.endpoints {
@@ -277,6 +280,7 @@
 	return n
 }
 
+// check verifies that an active primary holds every acknowledged record.
 func (m *model) check() {
 	seen := [2]uint64{m.revision, uint64(len(m.acked))}
 	if m.group.Phase != agreed.PhaseActive || seen == m.checked {
@@ -296,8 +300,9 @@
 	}
 }
 
-// plant lets the model behave as if the machine had a fault.
-func (m *model) plant() {
+// applyMachineFault manipulates the machine so that it behaves as with the model's
+// fault.
+func (m *model) applyMachineFault() {
 	if m.group.Phase != agreed.PhaseSealed || m.group.Candidate != "" {
 		return
 	}
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -11,10 +11,13 @@
 )
 
 const (
-	faultySteps = 400 // 20 s
-	calmSteps   = 400 // 20 s
+	faultySteps    = 400 // 20 s
+	faultFreeSteps = 400 // 20 s
 )
 
+// TestNoAcknowledgedWriteIsLost runs the model with random faults, then without, and
+// then takes the primary's failure domain out of use. No acknowledged write may be
+// lost, and the group must be active after each part without faults.
 func TestNoAcknowledgedWriteIsLost(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		size := rapid.SampledFrom([]int{3, 5}).Draw(t, "size")
@@ -23,16 +26,16 @@
 		if failure := m.run(faultySteps); failure != "" {
 			t.Fatal(failure)
 		}
-		m.heal()
-		if failure := m.run(calmSteps); failure != "" {
+		m.endFaults()
+		if failure := m.run(faultFreeSteps); failure != "" {
 			t.Fatal("after the faults: ", failure)
 		}
 		if m.group.Phase != agreed.PhaseActive {
-			t.Fatalf("group did not come back: %+v, %s", m.group, m.machine.reason)
+			t.Fatalf("the group did not become active: %+v, %s", m.group, m.machine.reason)
 		}
 		domain := m.primaryDomain()
-		m.takeOut(domain, true)
-		if failure := m.run(calmSteps); failure != "" {
+		m.setDomainOut(domain, true)
+		if failure := m.run(faultFreeSteps); failure != "" {
 			t.Fatal("after the switchover: ", failure)
 		}
 		if m.group.Phase != agreed.PhaseActive || m.primaryDomain() == domain {
@@ -41,24 +44,24 @@
 	})
 }
 
-// TestANewLeaderRepeatsARecordedChoice replaces the leader right after a choice.
-// The next one gives the recorded candidate another fence when one member has
-// answered it.
-func TestANewLeaderRepeatsARecordedChoice(t *testing.T) {
+// TestNewLeaderRepeatsRecordedChoice runs a schedule in which the leader is replaced
+// right after a choice, and the next one repeats the recorded choice for a fence of
+// its own while only one member has answered it. The model must allow that.
+func TestNewLeaderRepeatsRecordedChoice(t *testing.T) {
 	m := newModel(rand.New(rand.NewPCG(0x2ac9, 0)).IntN, 3, noFault)
 	if failure := m.run(faultySteps); failure != "" {
 		t.Fatal(failure)
 	}
 }
 
-// The model must notice a machine that breaks a rule, both by the rule itself
-// and by the lost write that follows from it.
-func TestModelNoticesFaults(t *testing.T) {
+// TestModelDetectsInjectedFaults checks that the model detects a machine that breaks
+// a rule, both by the rule itself and by the lost write that results from it.
+func TestModelDetectsInjectedFaults(t *testing.T) {
 	cases := []struct {
-		name    string
-		fault   fault
-		lenient bool
-		sign    string
+		name            string
+		fault           fault
+		skipChoiceRules bool
+		sign            string
 	}{
 		{"no majority, by the rule", promoteWithoutMajority, false, "candidate chosen from"},
 		{"no majority, by the loss", promoteWithoutMajority, true, "is not on primary"},
@@ -68,17 +71,17 @@
 	const schedules = 150
 	for _, c := range cases {
 		t.Run(c.name, func(t *testing.T) {
-			noticed := 0
+			detected := 0
 			for seed := range uint64(schedules) {
 				m := newModel(rand.New(rand.NewPCG(seed, 1)).IntN, 3, c.fault)
-				m.lenient = c.lenient
+				m.skipChoiceRules = c.skipChoiceRules
 				if strings.Contains(m.run(faultySteps), c.sign) {
-					noticed++
+					detected++
 				}
 			}
-			t.Logf("noticed in %d of %d schedules", noticed, schedules)
-			if noticed == 0 {
-				t.Fatalf("the model did not notice the fault in %d schedules", schedules)
+			t.Logf("detected in %d of %d schedules", detected, schedules)
+			if detected == 0 {
+				t.Fatalf("the model did not detect the fault in %d schedules", schedules)
 			}
 		})
 	}
--- a/internal/failover/sealed.go
+++ b/internal/failover/sealed.go
@@ -7,24 +7,27 @@
 	"time"
 )
 
-// resolve brings a sealed group back into use.
-func (m *Machine) resolve(now time.Time) {
+// advanceSealed chooses a candidate once the seal is settled, and promotes a
+// candidate that is recorded.
+func (m *Machine) advanceSealed(now time.Time) {
 	if m.view.Group.Candidate != "" {
-		m.promote(now)
+		m.advanceCandidate(now)
 		return
 	}
 	if m.settled < m.view.Group.Changed {
-		m.report(fmt.Sprintf("sealed: waiting until no host acts on a revision before %d", m.view.Group.Changed))
+		m.setStatus(fmt.Sprintf("sealed: waiting until no host may act on a revision before %d", m.view.Group.Changed))
 		return
 	}
-	m.ask(now)
+	m.queryPositions(now)
 	if c, ok := m.choose(now); ok {
 		m.proposeCandidate(now, c)
 	}
 }
 
+// proposeCandidate proposes to record a choice. Repeating it for the recorded
+// candidate gives the next order a new fence.
 func (m *Machine) proposeCandidate(now time.Time, endpoint string) {
-	m.report("sealed: choosing " + endpoint)
+	m.setStatus("sealed: choosing " + endpoint)
 	m.propose(now, Choose{
 		Service:   m.view.Group.Service,
 		Term:      m.view.Group.Term,
@@ -34,84 +37,85 @@
 	})
 }
 
-// choose returns the best candidate, or reports why there is none yet.
+// choose returns the best candidate, or sets the status to the reason why there is
+// none yet.
 func (m *Machine) choose(now time.Time) (string, bool) {
 	all := m.contenders(now)
 	if len(all) < m.majority() {
 		m.majorityAt = time.Time{}
-		m.report(m.noMajority(now, all))
+		m.setStatus(m.noMajorityReason(now, all))
 		return "", false
 	}
 	if m.majorityAt.IsZero() {
 		m.majorityAt = now
 	}
-	if m.mayImprove(now, all) {
-		m.report("sealed: waiting for the positions of the other members")
+	if m.awaitsPositions(now, all) {
+		m.setStatus("sealed: waiting for the positions of the other members")
 		return "", false
 	}
-	able := m.untried(m.safe(all))
+	eligible := m.untried(m.holdingAcknowledged(all))
 	if _, planned := m.switchoverCause(); planned && !m.suspected(now, m.view.Group.Primary) {
-		able = m.successors(now, all, able)
+		eligible = m.switchoverCandidates(now, all, eligible)
 	}
-	if len(able) == 0 {
-		m.report("sealed: no member that may be promoted holds all acknowledged writes yet")
+	if len(eligible) == 0 {
+		m.setStatus("sealed: no member that may be promoted holds all acknowledged writes yet")
 		return "", false
 	}
-	best := slices.MinFunc(able, prefer)
-	second := best.suspected || best.member.unwanted()
-	if second && len(all) < len(m.view.Members) && now.Sub(m.majorityAt) < m.cfg.FallbackGrace {
-		m.report("sealed: only an endpoint that is suspected or out of use qualifies; waiting for others")
+	best := slices.MinFunc(eligible, comparePreference)
+	fallback := best.suspected || best.member.outOfUse()
+	if fallback && len(all) < len(m.view.Members) && now.Sub(m.majorityAt) < m.cfg.SecondBestGrace {
+		m.setStatus("sealed: only an endpoint that is suspected or out of use qualifies; waiting for others")
 		return "", false
 	}
 	return best.member.Endpoint, true
 }
 
-// untried returns the contenders that have not failed in this term, or all of
-// them when each has failed once.
+// untried returns the contenders whose promotion has not failed in this term, or
+// all of them when each has failed.
 func (m *Machine) untried(all []contender) []contender {
-	fresh := without(all, func(c contender) bool { return m.avoid[c.member.Endpoint] })
-	if len(fresh) == 0 {
+	remaining := exclude(all, func(c contender) bool { return m.failedCandidates[c.member.Endpoint] })
+	if len(remaining) == 0 {
 		return all
 	}
-	return fresh
+	return remaining
 }
 
-// successors narrows the choice of a planned switchover. Until the wait is
-// over only a replica in use that holds the primary's last position will do;
-// afterwards any replica in use, then any member.
-func (m *Machine) successors(now time.Time, all, able []contender) []contender {
-	last := slices.IndexFunc(all, func(c contender) bool {
+// switchoverCandidates narrows the choice of a planned switchover. Until
+// CatchUpTimeout only a replica in use that holds the primary's last position
+// qualifies; afterwards any replica in use, then any eligible member.
+func (m *Machine) switchoverCandidates(now time.Time, all, eligible []contender) []contender {
+	primary := slices.IndexFunc(all, func(c contender) bool {
 		return c.member.Endpoint == m.view.Group.Primary
 	})
-	inUse := without(able, func(c contender) bool {
-		return c.member.unwanted() || c.member.Endpoint == m.view.Group.Primary
+	inUse := exclude(eligible, func(c contender) bool {
+		return c.member.outOfUse() || c.member.Endpoint == m.view.Group.Primary
 	})
-	caughtUp := without(inUse, func(c contender) bool {
-		return last >= 0 && c.compare(all[last]) < 0
+	caughtUp := exclude(inUse, func(c contender) bool {
+		return primary >= 0 && c.compare(all[primary]) < 0
 	})
 	waited := now.Sub(m.majorityAt) >= m.cfg.CatchUpTimeout
 	switch {
-	case len(caughtUp) > 0 && (last >= 0 || waited):
+	case len(caughtUp) > 0 && (primary >= 0 || waited):
 		return caughtUp
 	case !waited:
 		return nil
 	case len(inUse) > 0:
 		return inUse
 	default:
-		return able
+		return eligible
 	}
 }
 
-// noMajority explains which members are missing from the choice.
-func (m *Machine) noMajority(now time.Time, all []contender) string {
-	var silent, strays []string
+// noMajorityReason describes which members are missing from the choice, and why.
+func (m *Machine) noMajorityReason(now time.Time, all []contender) string {
+	var silent, diverged []string
 	for _, member := range m.view.Members {
 		c, ok := m.answer(now, member.Endpoint)
 		switch {
 		case !ok:
 			silent = append(silent, member.Endpoint)
-		case !m.counts(member.Endpoint, c):
-			strays = append(strays, member.Endpoint)
+		case !m.countsForChoice(member.Endpoint, c):
+			diverged = append(diverged, member.Endpoint)
 		}
 	}
 	reason := fmt.Sprintf("sealed: %d of %d members answer, %d are needed",
@@ -119,63 +123,65 @@
 	if len(silent) > 0 {
 		reason += "; no answer from " + strings.Join(silent, ", ")
 	}
-	if len(strays) > 0 {
-		reason += "; must be rebuilt as replicas: " + strings.Join(strays, ", ")
+	if len(diverged) > 0 {
+		reason += "; must be rebuilt as replicas: " + strings.Join(diverged, ", ")
 	}
 	return reason
 }
 
-// promote drives the recorded candidate, or chooses another when it fails.
-// The seal was settled before the first choice, so no further wait is due.
-func (m *Machine) promote(now time.Time) {
-	m.ask(now)
+// advanceCandidate promotes and activates the recorded candidate, or chooses another
+// one when it fails. The seal was settled before the first choice of the term, so it
+// does not wait for that again. Before each further order it repeats the choice,
+// since an order needs a fence of its own.
+func (m *Machine) advanceCandidate(now time.Time) {
+	m.queryPositions(now)
 	g := m.view.Group
 	c, answers := m.answer(now, g.Candidate)
-	if answers && m.mayActivate(c) && m.ownOrderHolds() {
-		m.report("sealed: activating " + g.Candidate)
+	if answers && m.canActivate(c) && m.ownOrderIsLatest() {
+		m.setStatus("sealed: activating " + g.Candidate)
 		m.propose(now, Activate{Service: g.Service, Term: g.Term, Primary: g.Candidate, Timeline: c.Timeline})
 		return
 	}
 	if m.candidateFailed(now) {
-		m.avoid[g.Candidate] = true
+		m.failedCandidates[g.Candidate] = true
 		m.replaceCandidate(now)
 		return
 	}
-	m.report("sealed: promoting " + g.Candidate)
-	if g.Chooser != m.cfg.Chooser || m.orderFailed(now) {
+	m.setStatus("sealed: promoting " + g.Candidate)
+	if g.Chooser != m.cfg.Chooser || m.orderExpired(now) {
 		m.proposeCandidate(now, g.Candidate)
 		return
 	}
-	if m.ordered == g.Changed {
+	if m.sentFence == g.Changed {
 		return
 	}
-	m.ordered, m.promoted = g.Changed, now
+	m.sentFence, m.promoteSentAt = g.Changed, now
 	m.effects = append(m.effects, Promote{Service: g.Service, Term: g.Term, Endpoint: g.Candidate, Fence: g.Changed})
 }
 
-// ownOrderHolds reports whether no order that was given in this term can still
-// be carried out for another endpoint: the platform has seen the fence of the
-// latest choice, which is this leader's.
-func (m *Machine) ownOrderHolds() bool {
+// ownOrderIsLatest reports whether no order of this term can still be executed for
+// another endpoint: the platform has accepted the fence of the latest choice, which
+// is this leader's, and rejects all lower ones. It is always true unless Fenced is set.
+func (m *Machine) ownOrderIsLatest() bool {
 	g := m.view.Group
-	return !m.cfg.Fenced || g.Chooser == m.cfg.Chooser && m.accepted == g.Changed
+	return !m.cfg.Fenced || g.Chooser == m.cfg.Chooser && m.acceptedFence == g.Changed
 }
 
-// orderFailed reports whether another order is due: the last one got no answer,
-// or has not shown in time.
-func (m *Machine) orderFailed(now time.Time) bool {
-	if m.ordered != m.view.Group.Changed {
+// orderExpired reports whether another order is due: the last one got no answer, or
+// the candidate was not seen as primary in time.
+func (m *Machine) orderExpired(now time.Time) bool {
+	if m.sentFence != m.view.Group.Changed {
 		return false
 	}
 	wait := m.cfg.ProposeTimeout
-	if m.accepted == m.ordered {
+	if m.acceptedFence == m.sentFence {
 		wait = m.cfg.OrderTimeout
 	}
-	return m.unanswered == m.ordered || now.Sub(m.promoted) >= wait
+	return m.unansweredFence == m.sentFence || now.Sub(m.promoteSentAt) >= wait
 }
 
-// replaceCandidate chooses again; the same endpoint may get another attempt
-// when no other qualifies.
+// replaceCandidate chooses again. The same endpoint gets another attempt, with new
+// timeouts, when no other qualifies.
 func (m *Machine) replaceCandidate(now time.Time) {
 	next, ok := m.choose(now)
 	if !ok {
@@ -185,14 +191,14 @@
 		m.proposeCandidate(now, next)
 		return
 	}
-	delete(m.avoid, next)
+	delete(m.failedCandidates, next)
 	m.candidateAt = now
 	m.proposeCandidate(now, next)
 }
 
-// mayActivate reports whether the candidate is a primary: promoted to a new
-// timeline, or the former primary on its own one.
-func (m *Machine) mayActivate(c Condition) bool {
+// canActivate reports whether the candidate is a primary: promoted to a later
+// timeline, or the former primary on the group's timeline.
+func (m *Machine) canActivate(c Condition) bool {
 	g := m.view.Group
 	if c.InRecovery {
 		return false
@@ -203,17 +209,19 @@
 	return g.Candidate == g.Primary && m.onTimeline(c.Timeline)
 }
 
-// candidateFailed reports whether another candidate should be chosen.
+// candidateFailed reports whether another candidate should be chosen: the candidate
+// is no member, its order was refused, it was not reachable for CandidateTimeout, or
+// its attempt has taken PromoteTimeout.
 func (m *Machine) candidateFailed(now time.Time) bool {
 	g := m.view.Group
-	if _, ok := m.member(g.Candidate); !ok || m.avoid[g.Candidate] {
+	if _, ok := m.member(g.Candidate); !ok || m.failedCandidates[g.Candidate] {
 		return true
 	}
-	seen := m.candidateAt
-	if a, ok := m.answers[g.Candidate]; ok && a.condition.Reachable && a.at.After(seen) {
-		seen = a.at
+	reachedAt := m.candidateAt
+	if a, ok := m.answers[g.Candidate]; ok && a.condition.Reachable && a.at.After(reachedAt) {
+		reachedAt = a.at
 	}
-	if now.Sub(seen) >= m.cfg.CandidateTimeout {
+	if now.Sub(reachedAt) >= m.cfg.CandidateTimeout {
 		return true
 	}
 	return now.Sub(m.candidateAt) >= m.cfg.PromoteTimeout
--- a/internal/failover/sim_test.go
+++ b/internal/failover/sim_test.go
@@ -11,14 +11,14 @@
 	"github.com/galenabridge/galenabridge/internal/agreed"
 )
 
-// The simulation below gives the time from a fault to the next active term as
-// the policy decides it, with assumed times for messages, commands and the
-// promotion itself. It is not a measurement of processes.
+// The simulation computes the time from a fault to the next active term, with assumed
+// times for messages, commands and the promotion itself. It measures the policy, not
+// running processes.
 const (
 	simTick     = 5 * time.Millisecond
-	simMessage  = 5 * time.Millisecond   // there and back between hosts
+	simMessage  = 5 * time.Millisecond   // round trip between hosts
 	simCommand  = 10 * time.Millisecond  // propose, sync and apply everywhere
-	simPromote  = 150 * time.Millisecond // the server's own promotion
+	simPromote  = 150 * time.Millisecond // promotion by the database server
 	simTimeout  = 2 * ProbeInterval      // of a probe
 	simRenew    = 700 * time.Millisecond
 	simElection = time.Second // at most, after the loss of a leader
@@ -28,12 +28,12 @@
 // scenario is a fault at time zero.
 type scenario struct {
 	name string
-	// refused: probes of the primary fail at once, not after a time-out.
+	// refused is set when probes of the primary fail at once, not after a timeout.
 	refused bool
-	// friends is the number of hosts that still reach the primary and are cut
-	// off from the control leader.
-	friends int
-	// leaderLost: the control leader is lost at the same moment.
+	// hostsWithPrimary is the number of hosts that still reach the primary and are
+	// isolated from the control leader.
+	hostsWithPrimary int
+	// leaderLost is set when the control leader is lost at the same time.
 	leaderLost bool
 	// bound is the longest gap that the simulation may show.
 	bound time.Duration
@@ -54,14 +54,14 @@
 	machine  *Machine
 	group    agreed.Group
 	revision uint64
-	grants   []time.Time // of the friends
+	grants   []time.Time // lease ends of the hosts with the primary
 	elected  time.Time
 	probes   []simProbe
 	due      []delayed
 	promoted bool
 }
 
-// simProbe is the next probe of a watcher.
+// simProbe is a watcher with the time of its next probe.
 type simProbe struct {
 	watcher Watcher
 	at      time.Time
@@ -75,7 +75,7 @@
 		revision: 1, elected: simStart,
 		group: agreed.Group{Service: "s", Members: []string{"a", "b", "c"}, Term: 1, Primary: "a", Phase: agreed.PhaseActive, Timeline: 1},
 	}
-	for range s.friends {
+	for range s.hostsWithPrimary {
 		sim.grants = append(sim.grants, simStart.Add(grantLease-sim.upTo(simRenew)))
 	}
 	for _, w := range sim.view().Electorate.Watchers("a") {
@@ -87,13 +87,14 @@
 	return sim
 }
 
+// upTo returns a random duration below d.
 func (s *simulation) upTo(d time.Duration) time.Duration {
 	return time.Duration(s.rnd.Int64N(int64(d)))
 }
 
 func (s *simulation) view() View {
 	var watchers []Watcher
-	for i := range simHosts - s.friends {
+	for i := range simHosts - s.hostsWithPrimary {
 		watchers = append(watchers, Watcher{Host: fmt.Sprintf("h%d", i), Domain: fmt.Sprintf("d%d", i%4)})
 	}
 	return View{
@@ -102,7 +103,7 @@
 	}
 }
 
-// run returns the time until a new term is active.
+// run returns the time until a new term is active, at most one minute.
 func (s *simulation) run() time.Duration {
 	for s.group.Term == 1 || s.group.Phase != agreed.PhaseActive {
 		s.now = s.now.Add(simTick)
@@ -129,13 +130,13 @@
 			return 1
 		}
 	}
-	if s.leaderLost && s.friends > 0 && s.now.Before(s.elected.Add(grantLease)) {
+	if s.leaderLost && s.hostsWithPrimary > 0 && s.now.Before(s.elected.Add(grantLease)) {
 		return 1
 	}
 	return s.revision
 }
 
-// probe lets the watchers probe the primary.
+// probe schedules the observations of the watchers whose probe is due.
 func (s *simulation) probe() {
 	for i := range s.probes {
 		p := &s.probes[i]
@@ -147,11 +148,11 @@
 			wait += simTimeout
 		}
 		p.at = p.at.Add(max(ProbeInterval, wait))
-		s.later(wait, Observation{Watcher: p.watcher.Host, Domain: p.watcher.Domain, Endpoint: "a"})
+		s.schedule(wait, Observation{Watcher: p.watcher.Host, Domain: p.watcher.Domain, Endpoint: "a"})
 	}
 }
 
-func (s *simulation) later(wait time.Duration, ev Event) {
+func (s *simulation) schedule(wait time.Duration, ev Event) {
 	s.due = append(s.due, delayed{due: s.now.Add(wait), event: ev})
 }
 
@@ -202,7 +203,7 @@
 func (s *simulation) apply(effect Effect) {
 	switch e := effect.(type) {
 	case Seal, Choose, Activate:
-		s.later(simCommand, commitEvent{command: e})
+		s.schedule(simCommand, commitEvent{command: e})
 	case QueryPositions:
 		for _, id := range e.Endpoints {
 			if id == "a" {
@@ -212,13 +213,14 @@
 			if s.promoted && id == s.group.Candidate {
 				c.InRecovery, c.Timeline = false, 2
 			}
-			s.later(simMessage, Answer{Term: e.Term, Endpoint: id, Condition: c})
+			s.schedule(simMessage, Answer{Term: e.Term, Endpoint: id, Condition: c})
 		}
 	case Promote:
-		s.later(simPromote, PromotionResult{Term: e.Term, Endpoint: e.Endpoint, Fence: e.Fence, Outcome: OrderAccepted})
+		s.schedule(simPromote, PromotionResult{Term: e.Term, Endpoint: e.Endpoint, Fence: e.Fence, Outcome: OrderAccepted})
 	}
 }
 
+// TestSimulatedFailoverGap bounds the time without a primary in each scenario.
 func TestSimulatedFailoverGap(t *testing.T) {
 	const runs = 20
 	var table strings.Builder
--- a/internal/failover/suspect.go
+++ b/internal/failover/suspect.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// reportKey names the vote of one voter on one endpoint.
+// reportKey identifies the reports of one voter on one endpoint.
 type reportKey struct {
 	endpoint string
 	voter    string
@@ -12,12 +12,15 @@
 type report struct {
 	condition Condition
 	at        time.Time
-	// lostSince is the time of the first of an unbroken row of observations
-	// that saw the endpoint as lost; zero when the latest saw it well.
+	// lostSince is the time of the first in an uninterrupted sequence of
+	// observations that found the endpoint lost. It is zero when the latest found it
+	// healthy. A gap of more than ObservationTTL starts a new sequence.
 	lostSince time.Time
 }
 
-func (m *Machine) observe(now time.Time, o Observation) {
+// handleObservation stores an observation as its voter's latest report. Observations
+// of hosts that do not watch the endpoint are ignored.
+func (m *Machine) handleObservation(now time.Time, o Observation) {
 	if m.view.Electorate == nil {
 		return
 	}
@@ -27,7 +30,7 @@
 	}
 	key := reportKey{endpoint: o.Endpoint, voter: voter}
 	next := report{condition: o.Condition, at: now}
-	if m.lost(o) {
+	if m.reportsLoss(o) {
 		next.lostSince = now
 		last := m.reports[key]
 		if !last.lostSince.IsZero() && m.fresh(now, last) {
@@ -37,9 +40,9 @@
 	m.reports[key] = next
 }
 
-// lost reports whether the observation speaks against the endpoint. A primary
-// must also be out of recovery on the timeline of its term.
-func (m *Machine) lost(o Observation) bool {
+// reportsLoss reports whether the observation finds the endpoint lost. A primary is
+// also lost when it is in recovery or not on the timeline of its term.
+func (m *Machine) reportsLoss(o Observation) bool {
 	if !o.Reachable {
 		return true
 	}
@@ -50,16 +53,19 @@
 	return o.InRecovery || !m.onTimeline(o.Timeline)
 }
 
-// onTimeline reports whether t is the timeline of the group's last active term.
+// onTimeline reports whether t is the timeline of the group's last active term, or
+// that timeline is not known.
 func (m *Machine) onTimeline(t uint32) bool {
 	return m.view.Group.Timeline == 0 || t == m.view.Group.Timeline
 }
 
+// fresh reports whether a report on a lost endpoint still counts.
 func (m *Machine) fresh(now time.Time, r report) bool {
 	return now.Sub(r.at) <= m.cfg.ObservationTTL
 }
 
-// suspected reports whether a majority of voters sees the endpoint as lost.
+// suspected reports whether a majority of voters has reported the endpoint as lost
+// for at least SuspectAfter.
 func (m *Machine) suspected(now time.Time, endpoint string) bool {
 	if m.view.Electorate == nil {
 		return false
@@ -76,14 +82,15 @@
 	return votes >= m.view.Electorate.majority(endpoint)
 }
 
-// seenWell reports whether a majority of voters reached the endpoint lately.
-func (m *Machine) seenWell(now time.Time, endpoint string) bool {
+// seenHealthy reports whether a majority of voters found the endpoint healthy within
+// WellTTL.
+func (m *Machine) seenHealthy(now time.Time, endpoint string) bool {
 	if m.view.Electorate == nil {
 		return false
 	}
 	votes := 0
 	for key, r := range m.reports {
-		if key.endpoint == endpoint && r.lostSince.IsZero() && now.Sub(r.at) <= m.cfg.HealthyTTL {
+		if key.endpoint == endpoint && r.lostSince.IsZero() && now.Sub(r.at) <= m.cfg.WellTTL {
 			votes++
 		}
 	}
--- a/internal/failover/types.go
+++ b/internal/failover/types.go
@@ -8,10 +8,25 @@
 //
 //  1. Seal the term once watchers in a majority of failure domains report the
 //     primary as lost, or its failure domain is out of use.
-//  2. Wait until the seal is settled: no host may then act under the term.
-//  3. Ask the members for their positions and choose a candidate that holds
-//     every write a majority may have acknowledged.
+//  2. Wait until the seal is settled: no host may then act under the former term.
+//  3. Query the positions of the members and choose a candidate that holds every
+//     write a majority may have acknowledged.
 //  4. Promote the candidate, verify it and activate the new term.
+//
+// Invariants:
+//
+//   - A term has at most one primary. Seal, Choose and Activate name the term
+//     that they expect and fail in any other.
+//   - The first candidate of a term is chosen only after its seal is settled: no
+//     host can acknowledge a write in the former term once positions are read.
+//   - A candidate is recorded in the agreed state before it is promoted. It was
+//     chosen from a majority then, so a new leader may repeat the recorded choice
+//     without one.
+//   - Each promotion order carries the revision of its recorded choice as its
+//     fence, and no fence is used twice.
+//   - A sealed group becomes active only with its recorded candidate, after that
+//     was seen out of recovery on a timeline later than the group's or, if it is
+//     the former primary, on the group's own.
 package failover
 
 import (
@@ -24,81 +39,85 @@
 // ProbeInterval is the time between two probes of an endpoint by a watcher.
 const ProbeInterval = 250 * time.Millisecond
 
-// Load of watching.
+// Limits on the load that watchers cause.
 const (
 	// ReplicaProbeInterval is the time between two probes of a replica.
 	ReplicaProbeInterval = time.Second
-	// ReportInterval is the time between two reports on an endpoint that is well.
-	// Whatever speaks against an endpoint is reported at every probe.
+	// ReportInterval is the time between two reports on a healthy endpoint whose
+	// condition has not changed. A loss is reported at every probe.
 	ReportInterval = 5 * time.Second
-	// MaxWatcherDomains bounds the failure domains that watch one endpoint.
+	// MaxWatcherDomains is the maximum number of failure domains that watch one endpoint.
 	MaxWatcherDomains = 5
 )
 
 // Config holds the time limits of a Machine.
 type Config struct {
-	// SuspectAfter is how long a watcher must see an endpoint as lost before
-	// its vote counts.
+	// SuspectAfter is how long a watcher must report an endpoint as lost without
+	// interruption before its vote counts.
 	SuspectAfter time.Duration
-	// ObservationTTL is how long an observation against an endpoint counts
-	// without a newer one, WellTTL one in its favour.
+	// ObservationTTL is how long an observation of a lost endpoint counts without a
+	// newer one, WellTTL that of a healthy endpoint. WellTTL is longer because
+	// healthy endpoints are reported only every ReportInterval.
 	ObservationTTL time.Duration
-	HealthyTTL     time.Duration
+	WellTTL        time.Duration
 	// AskInterval is the time between two requests for positions.
-	QueryInterval time.Duration
-	// AnswerTTL is how long an answer proves that an endpoint is alive.
+	AskInterval time.Duration
+	// AnswerTTL is how long an answer counts as proof that an endpoint is alive.
 	AnswerTTL time.Duration
-	// ProposeTimeout is the wait before a command is proposed again.
+	// ProposeTimeout is the time after which an unconfirmed command is proposed again.
 	ProposeTimeout time.Duration
-	// CandidateTimeout is how long a candidate may stay silent before another
+	// CandidateTimeout is how long a candidate may stay unreachable before another
 	// one is chosen.
 	CandidateTimeout time.Duration
-	// PromoteTimeout bounds the time a candidate that answers may need.
+	// PromoteTimeout is the maximum time for the promotion of a candidate that answers.
 	PromoteTimeout time.Duration
-	// SecondBestGrace is how long the choice waits for other members when only
-	// an endpoint that is suspected or out of use qualifies.
-	FallbackGrace time.Duration
-	// CatchUpTimeout bounds the wait of a planned switchover for a replica
-	// that holds the last position of the primary.
+	// SecondBestGrace is how long the choice waits for other members when only an
+	// endpoint that is suspected or out of use qualifies.
+	SecondBestGrace time.Duration
+	// CatchUpTimeout is the maximum time that a planned switchover waits for a
+	// replica to reach the last position of the primary.
 	CatchUpTimeout time.Duration
 	// DrainTime is how long a planned switchover waits for requests in progress.
-	// Hosts give a primary that has to move no new work, but what they have sent it
-	// is acknowledged only under its term, once a majority has it.
+	// Hosts send no new work to a primary that is to be replaced, but requests
+	// already sent are acknowledged only in its term, once a majority holds them.
 	DrainTime time.Duration
-	// SwitchoverRetry is the time between two planned switchovers of a group.
+	// SwitchoverRetry is the minimum time between two planned switchovers of a group.
 	SwitchoverRetry time.Duration
 	// FormGrace is how long a new group waits for its missing members once a
 	// majority has answered.
 	FormGrace time.Duration
-	// BestGrace is how long the choice waits for further members of a group whose
-	// endpoints acknowledge by themselves: each may hold a later position.
-	PositionGrace time.Duration
-	// OrderTimeout is how long an order that was accepted may take to show.
+	// BestGrace is how long the choice waits for further members of a group
+	// whose endpoints decide acknowledgement (note.AckReplicas): each may hold a
+	// later position.
+	BestGrace time.Duration
+	// OrderTimeout is how long an accepted order may take until the candidate is
+	// seen as primary.
 	OrderTimeout time.Duration
-	// Fenced: orders carry fences and may run late. A group is activated only
-	// once the latest order of this leader was accepted, which fails all earlier.
+	// Fenced is set when promotion orders may be executed late and the platform
+	// checks their fences. A group is then activated only once the latest order of
+	// this leader was accepted, after which the platform rejects all earlier ones.
 	Fenced bool
 	// Chooser is the control leader's consensus term.
 	Chooser uint64
 }
 
-// DefaultConfig returns the limits for probes every ProbeInterval.
+// DefaultConfig returns the limits that fit probes every ProbeInterval.
 func DefaultConfig() Config {
 	return Config{
 		SuspectAfter:     3 * ProbeInterval,
 		ObservationTTL:   2 * time.Second,
-		HealthyTTL:       2*ReportInterval + 2*time.Second,
-		QueryInterval:    100 * time.Millisecond,
+		WellTTL:          2*ReportInterval + 2*time.Second,
+		AskInterval:      100 * time.Millisecond,
 		AnswerTTL:        time.Second,
 		ProposeTimeout:   time.Second,
 		CandidateTimeout: 1500 * time.Millisecond,
 		PromoteTimeout:   8 * time.Second,
-		FallbackGrace:    time.Second,
+		SecondBestGrace:  time.Second,
 		CatchUpTimeout:   3 * time.Second,
 		DrainTime:        250 * time.Millisecond,
 		SwitchoverRetry:  3 * time.Second,
 		FormGrace:        3 * time.Second,
-		PositionGrace:    300 * time.Millisecond,
+		BestGrace:        300 * time.Millisecond,
 		OrderTimeout:     3 * time.Second,
 	}
 }
@@ -106,18 +125,19 @@
 // Event is an input of a Machine.
 type Event interface{ isEvent() }
 
-// View is the agreed state of the group and what the choice depends on. It is
-// sent on start and after each change of the agreed state.
+// View is the event that carries the agreed state of the group and the other
+// inputs of the choice. It is sent on start and after each change of the agreed
+// state.
 type View struct {
 	Group agreed.Group
-	// Size is the number of endpoints that the release note gives the group.
+	// Size is the number of endpoints that the release note declares for the group.
 	Size    int
 	Members []Member
 	// Electorate is shared by all groups of a fleet.
 	Electorate *Electorate
 	// Leaving reports that the service is being taken out of use.
 	Leaving bool
-	// Ack and SyncReplicas are those of the service.
+	// Ack and SyncReplicas are the service's settings.
 	Ack          note.AckPolicy
 	SyncReplicas int
 }
@@ -132,7 +152,7 @@
 	Leaving bool
 }
 
-// Condition is what one probe of an endpoint saw.
+// Condition is the result of one probe of an endpoint.
 type Condition struct {
 	Reachable  bool
 	InRecovery bool
@@ -142,8 +162,8 @@
 	Position uint64
 }
 
-// Observation is a watcher's report on an endpoint. It counts from the time
-// of its arrival, since the clocks of hosts are not compared.
+// Observation is a watcher's report on an endpoint. Its age is measured from its
+// arrival, since the clocks of hosts are not compared.
 type Observation struct {
 	Watcher  string
 	Domain   string
@@ -151,8 +171,8 @@
 	Condition
 }
 
-// Answer is an endpoint's reply to AskPositions. An endpoint that cannot be
-// reached is answered for with Reachable false.
+// Answer is an endpoint's reply to QueryPositions. Reachable is false when the
+// endpoint could not be reached.
 type Answer struct {
 	// Term is copied from the request.
 	Term     uint64
@@ -164,33 +184,34 @@
 // lease has applied.
 type Settled struct{ Revision uint64 }
 
-// PromotionResult reports the outcome of Promote.
+// PromotionResult reports the outcome of the order of a Promote effect.
 type PromotionResult struct {
 	Term     uint64
 	Endpoint string
-	// Fence is that of the order.
+	// Fence is copied from the order.
 	Fence   uint64
 	Outcome OrderOutcome
 }
 
-// OrderOutcome is what is known of an order to promote.
+// OrderOutcome is the known outcome of an order to promote.
 type OrderOutcome int
 
 // Outcomes of an order.
 const (
-	// OrderUnknown: it was not answered, and may still be carried out.
+	// OrderUnknown means that the order got no answer and may still be executed.
 	OrderUnknown OrderOutcome = iota
-	// OrderAccepted: the endpoint leads or will soon.
+	// OrderAccepted means that the endpoint is the primary or will be soon.
 	OrderAccepted
-	// OrderRefused: it will not be carried out.
+	// OrderRefused means that the order will not be executed.
 	OrderRefused
 )
 
-// CommandResult reports the outcome of a proposed command. A committed one
-// also shows in the next View.
+// CommandResult reports the outcome of a proposed command. The effect of a
+// committed one is in the next View.
 type CommandResult struct{ Committed bool }
 
-// Tick lets time pass. It is due at least every AskInterval.
+// Tick lets the Machine act on the passage of time. It must be sent at least
+// every AskInterval.
 type Tick struct{}
 
 func (View) isEvent()            {}
@@ -218,14 +239,14 @@
 	Service   string
 	Term      uint64
 	Candidate string
-	// Chooser and Attempt make the record differ from every earlier choice, so
-	// that its revision is a new fence.
+	// Chooser, the leader's consensus term, and Attempt make the record differ from
+	// every earlier choice, so that its revision is a new fence.
 	Chooser uint64
 	Attempt uint64
 }
 
-// Activate proposes the command that makes the primary of a sealed or forming
-// group known. On a sealed group the primary must be the recorded candidate.
+// Activate proposes the command that makes a sealed or forming group active with
+// the given primary. In a sealed group the primary must be the recorded candidate.
 type Activate struct {
 	Service  string
 	Term     uint64
@@ -233,34 +254,35 @@
 	Timeline uint32
 }
 
-// AskPositions requests the condition of endpoints, read after the request.
+// QueryPositions requests the condition of endpoints. It must be read after the
+// request was made.
 type QueryPositions struct {
 	Service   string
 	Term      uint64
 	Endpoints []string
 }
 
-// Promote orders an endpoint to become the primary. Each order has a fence of
-// its own, greater than any before.
+// Promote requests an order that makes an endpoint the primary. Each has a fence
+// of its own, greater than any before.
 type Promote struct {
 	Service  string
 	Term     uint64
 	Endpoint string
-	// Fence is the revision of the choice.
+	// Fence is the revision at which the choice was recorded.
 	Fence uint64
 }
 
-// Order is an order to promote an endpoint.
+// Order is the order to promote an endpoint, as passed to the database platform.
 type Order struct {
 	Service  note.Service
 	Endpoint agreed.Endpoint
-	// Fence is greater than that of any order given before for the service. An
-	// order with a lower fence than one that was carried out must fail.
+	// Fence is greater than that of any earlier order for the service. An order with
+	// a lower fence than one that was executed must fail.
 	Fence uint64
 }
 
-// Status reports why the group is not active, or what it waits for; an empty
-// reason means that nothing is wrong.
+// Status reports why the group is not active, or what it waits for. The reason is
+// empty when the group is active and needs no change.
 type Status struct {
 	Service string
 	Reason  string
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -17,8 +17,8 @@
 	return out
 }
 
-// TestStoredFindsPlantedFaults plants one fault of each kind.
-func TestStoredFindsPlantedFaults(t *testing.T) {
+// TestCheckStoredFindsViolations plants one fault of each kind.
+func TestCheckStoredFindsViolations(t *testing.T) {
 	sent := []Write{
 		{ID: "kept"}, {ID: "lost"}, {ID: "twice"}, {ID: "refused", Outcome: NotRun}, {ID: "ran", Outcome: NotRun},
 		{ID: "open", Outcome: Unknown}, {ID: "open, ran", Outcome: Unknown},
@@ -29,13 +29,13 @@
 	}
 }
 
-func TestForeignFindsCrossedAnswers(t *testing.T) {
+func TestCheckAnswersFindsMismatch(t *testing.T) {
 	if got := CheckAnswers([]Answer{{"a", "a"}, {"b", "c"}}); len(got) != 1 {
 		t.Errorf("%v", got)
 	}
 }
 
-func TestRateFindsExcess(t *testing.T) {
+func TestCheckRateFindsExcess(t *testing.T) {
 	var steady, crowded []Span
 	for i := range 100 {
 		steady = append(steady, at(i*100, i*100+5))
@@ -60,7 +60,7 @@
 	return Operation{Client: 1, Record: "r", Kind: kind, Value: value, Span: s}
 }
 
-func TestLinearizable(t *testing.T) {
+func TestCheckLinearizable(t *testing.T) {
 	cases := map[string]struct {
 		ops  []Operation
 		want int
@@ -81,7 +81,7 @@
 	}
 }
 
-func TestFresh(t *testing.T) {
+func TestCheckFreshReads(t *testing.T) {
 	cases := map[string]struct {
 		ops  []Operation
 		want int
--- a/internal/history/register.go
+++ b/internal/history/register.go
@@ -31,7 +31,7 @@
 }
 
 // forever is later than any event of a history.
-const forever = time.Duration(1<<62 - 1)
+const endOfTime = time.Duration(1<<62 - 1)
 
 // checkTimeout bounds the search for a linearization of one history.
 const checkTimeout = 60 * time.Second
@@ -67,7 +67,7 @@
 		}
 		end := op.Return
 		if op.Outcome == Unknown {
-			end = forever
+			end = endOfTime
 		}
 		out = append(out, porcupine.Operation{
 			ClientId: op.Client, Input: op, Output: op.Value, Call: int64(op.Invoke), Return: int64(end),
@@ -121,7 +121,7 @@
 		return []Violation{violation(RuleFresh, "record %s reads %q before it was written", read.Record, read.Value)}
 	}
 	for _, w := range writes {
-		if w.Outcome == Acked && w.Return < read.Invoke && (!known || replaces(seen, w)) {
+		if w.Outcome == Acked && w.Return < read.Invoke && (!known || certainlyAfter(seen, w)) {
 			return []Violation{violation(RuleFresh, "record %s reads %q after %q was acknowledged",
 				read.Record, read.Value, w.Value)}
 		}
@@ -130,6 +130,6 @@
 }
 
 // replaces reports whether w certainly came after the write that was seen.
-func replaces(seen, w Operation) bool {
+func certainlyAfter(seen, w Operation) bool {
 	return seen.Outcome == Acked && seen.Return < w.Invoke
 }
--- a/internal/lease/broker.go
+++ b/internal/lease/broker.go
@@ -13,24 +13,24 @@
 	cfg      Config
 	sessions map[sessionKey]*session
 	// released are the numbers of the releases of processes that have not come back.
-	released map[sessionKey]uint64
-	waiting  []request
-	inRound  []request
-	round    uint64 // the number of the round in flight, zero when there is none
-	rounds   uint64
-	settled  uint64
+	released  map[sessionKey]uint64
+	waiting   []request
+	inRound   []request
+	round     uint64 // the number of the round in flight, zero when there is none
+	lastRound uint64
+	settled   uint64
 	// reported is the revision in the last round.
-	reported uint64
+	lastReported uint64
 	// listed are the holders in the round with number listedIn. The list may be
 	// referred to once that round was answered.
-	listed   []ID
-	listedIn uint64
-	answered bool
+	listedHolders  []ID
+	listedRound    uint64
+	listedAnswered bool
 	// shrunk is set when a holder has given its leases up since the last round, so
 	// that a relay tells the leader even if nobody else waits.
-	shrunk bool
+	holdersRemoved bool
 	// assumeUntil is when leases granted by former leaders have run out.
-	assumeUntil time.Time
+	unknownLeasesUntil time.Time
 }
 
 // sessionKey tells a process's own lease from those it relays.
@@ -45,9 +45,9 @@
 	applied uint64
 	holders []ID
 	// listed is the number of the request that named the holders.
-	listed uint64
+	holdersSeq uint64
 	// until is the end of the leases that were granted, as the broker counts them.
-	until time.Time
+	leaseEnd time.Time
 	// pending is set while the latest request waits for its answer, which will
 	// grant a lease.
 	pending bool
@@ -55,7 +55,7 @@
 
 // counts reports whether the subscriber may hold a valid lease, or be granted
 // one by the round in flight or the next.
-func (s *session) counts(now time.Time) bool { return s.pending || now.Before(s.until) }
+func (s *session) active(now time.Time) bool { return s.pending || now.Before(s.leaseEnd) }
 
 // request is a Renew that waits for its answer.
 type request struct {
@@ -68,7 +68,7 @@
 // patienceShare is the part of a lease after which a request is given up: its
 // sender has turned to another control host by then, and a late answer would
 // count a lease that nobody renews here.
-const patienceShare = 3
+const requestTimeoutDivisor = 3
 
 // Round asks for one confirmation of the leader.
 type Round struct {
@@ -92,7 +92,7 @@
 // NewBroker returns a Broker without subscribers. Its rounds are numbered above
 // seq, which must exceed all numbers that the process has used before.
 func NewBroker(cfg Config, seq uint64) *Broker {
-	return &Broker{cfg: cfg, rounds: seq, sessions: make(map[sessionKey]*session), released: make(map[sessionKey]uint64)}
+	return &Broker{cfg: cfg, lastRound: seq, sessions: make(map[sessionKey]*session), released: make(map[sessionKey]uint64)}
 }
 
 // Receive takes a request of a subscriber. From now on the broker counts the
@@ -112,7 +112,7 @@
 	if !r.Relay && r.Applied == 0 {
 		// The sender has no state to act on and takes no lease from the answer, so
 		// it must not hold the settled revision back.
-		b.await(now, key, r.Seq)
+		b.enqueue(now, key, r.Seq)
 		return
 	}
 	b.Supersede(from)
@@ -121,7 +121,7 @@
 		s = &session{}
 		b.sessions[key] = s
 	}
-	if r.Seq <= s.seq || (r.Base != 0 && r.Base != s.listed) {
+	if r.Seq <= s.seq || (r.Base != 0 && r.Base != s.holdersSeq) {
 		return
 	}
 	s.seq = r.Seq
@@ -130,14 +130,14 @@
 	case !r.Relay:
 		s.holders = []ID{from}
 	case r.Base == 0:
-		s.holders, s.listed = r.Holders, r.Seq
+		s.holders, s.holdersSeq = r.Holders, r.Seq
 	}
 	s.pending = true
-	b.await(now, key, r.Seq)
+	b.enqueue(now, key, r.Seq)
 }
 
 // await lets a request wait for the next round, in place of an earlier one.
-func (b *Broker) await(now time.Time, key sessionKey, seq uint64) {
+func (b *Broker) enqueue(now time.Time, key sessionKey, seq uint64) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool { return w.key == key })
 	b.waiting = append(b.waiting, request{key: key, seq: seq, at: now})
 }
@@ -147,30 +147,30 @@
 	if b.round != 0 {
 		return Round{}, false
 	}
-	b.giveUp(now)
-	if len(b.waiting) == 0 && !b.shrunk {
+	b.dropTimedOut(now)
+	if len(b.waiting) == 0 && !b.holdersRemoved {
 		return Round{}, false
 	}
 	b.expire(now)
-	b.shrunk = false
-	b.rounds++
-	b.round = b.rounds
+	b.holdersRemoved = false
+	b.lastRound++
+	b.round = b.lastRound
 	b.inRound, b.waiting = b.waiting, nil
-	b.reported = b.minimum()
-	round := Round{ID: b.round, Applied: b.reported}
+	b.lastReported = b.minApplied()
+	round := Round{ID: b.round, Applied: b.lastReported}
 	holders := b.holders()
-	if b.answered && slices.Equal(holders, b.listed) {
-		round.Base = b.listedIn
+	if b.listedAnswered && slices.Equal(holders, b.listedHolders) {
+		round.Base = b.listedRound
 		return round, true
 	}
-	b.listed, b.listedIn, b.answered = holders, b.round, false
+	b.listedHolders, b.listedRound, b.listedAnswered = holders, b.round, false
 	round.Holders = holders
 	return round, true
 }
 
 // giveUp drops requests that have waited for long.
-func (b *Broker) giveUp(now time.Time) {
-	patience := b.cfg.Duration / patienceShare
+func (b *Broker) dropTimedOut(now time.Time) {
+	patience := b.cfg.Duration / requestTimeoutDivisor
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool {
 		if now.Sub(w.at) <= patience {
 			return false
@@ -185,7 +185,7 @@
 // Progress reports whether the next round would tell of a greater revision
 // than the last one.
 func (b *Broker) HasProgress() bool {
-	return len(b.waiting) > 0 && b.minimum() > b.reported
+	return len(b.waiting) > 0 && b.minApplied() > b.lastReported
 }
 
 // Finish ends the round in flight with what the leader confirmed, and returns
@@ -195,11 +195,11 @@
 	if id == 0 || id != b.round {
 		return nil
 	}
-	b.answered = true
+	b.listedAnswered = true
 	b.settled = max(b.settled, settled)
 	var answers []Answer
 	for _, r := range b.inRound {
-		b.granted(r)
+		b.countLease(r)
 		answers = append(answers, Answer{
 			To:    r.key.id,
 			Relay: r.key.relay,
@@ -211,13 +211,13 @@
 }
 
 // granted counts the lease that an answer grants.
-func (b *Broker) granted(r request) {
+func (b *Broker) countLease(r request) {
 	s := b.sessions[r.key]
 	if s == nil {
 		return
 	}
-	if end := r.at.Add(b.cfg.counted()); end.After(s.until) {
-		s.until = end
+	if end := r.at.Add(b.cfg.counted()); end.After(s.leaseEnd) {
+		s.leaseEnd = end
 	}
 	if s.seq == r.seq {
 		s.pending = false
@@ -234,13 +234,13 @@
 		b.waiting = append(b.waiting, r)
 	}
 	b.round, b.inRound = 0, nil
-	b.answered = false
+	b.listedAnswered = false
 }
 
 // Held reports which of the processes may hold a valid lease.
 func (b *Broker) PossibleHolders(now time.Time, ids []ID) map[ID]bool {
 	held := make(map[ID]bool)
-	if now.Before(b.assumeUntil) {
+	if now.Before(b.unknownLeasesUntil) {
 		for _, id := range ids {
 			held[id] = true
 		}
@@ -256,7 +256,7 @@
 // Lead tells the broker that its host was elected leader. Former leaders may
 // have granted leases that this broker has not seen.
 func (b *Broker) BecomeLeader(now time.Time) {
-	b.assumeUntil = now.Add(b.cfg.counted())
+	b.unknownLeasesUntil = now.Add(b.cfg.counted())
 }
 
 // Electorate describes the registered processes that may act.
@@ -268,7 +268,7 @@
 
 // Found tells the broker of a leader that no process was ever registered, so
 // that no lease of a former leader can allow anyone to act.
-func (b *Broker) AssumeNoLeases() { b.assumeUntil = time.Time{} }
+func (b *Broker) AssumeNoLeases() { b.unknownLeasesUntil = time.Time{} }
 
 // Settle returns the greatest revision known to be applied by every holder of a
 // valid lease; revision is what the leader has applied. Only the leader calls
@@ -283,10 +283,10 @@
 // registered processes matter.
 func (b *Broker) Settle(now time.Time, revision uint64, e Registrations) uint64 {
 	b.expire(now)
-	if now.Before(b.assumeUntil) && !b.allPresent(e) {
+	if now.Before(b.unknownLeasesUntil) && !b.allRegisteredCounted(e) {
 		return b.settled
 	}
-	b.settled = max(b.settled, min(revision, b.minimum()))
+	b.settled = max(b.settled, min(revision, b.minApplied()))
 	return b.settled
 }
 
@@ -296,14 +296,14 @@
 // Settled returns the last settled revision.
 func (b *Broker) Settled() uint64 { return b.settled }
 
-func (b *Broker) allPresent(e Registrations) bool {
-	if e.Changed > b.settled && !b.cfg.ExclusiveIdentity {
+func (b *Broker) allRegisteredCounted(e Registrations) bool {
+	if e.Changed > b.settled && !b.cfg.Exclusive {
 		return false
 	}
 	present := b.holders()
 	for _, id := range e.Holders {
 		at, ok := slices.BinarySearchFunc(present, id, compareID)
-		replaced := b.cfg.ExclusiveIdentity && at < len(present) && present[at].Host == id.Host
+		replaced := b.cfg.Exclusive && at < len(present) && present[at].Host == id.Host
 		if !ok && !replaced {
 			return false
 		}
@@ -313,7 +313,7 @@
 
 func (b *Broker) expire(now time.Time) {
 	for key, s := range b.sessions {
-		if !s.counts(now) {
+		if !s.active(now) {
 			delete(b.sessions, key)
 		}
 	}
@@ -321,7 +321,7 @@
 
 // minimum returns the least revision that a holder has applied, or the greatest
 // number when there is no holder.
-func (b *Broker) minimum() uint64 {
+func (b *Broker) minApplied() uint64 {
 	least := uint64(math.MaxUint64)
 	for _, s := range b.sessions {
 		if len(s.holders) > 0 {
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -28,7 +28,7 @@
 	// Exclusive: no two processes can have one identity at a time, as when the
 	// identity is an address that a process is bound to. A registered process
 	// then proves that former ones of its host have ended.
-	ExclusiveIdentity bool
+	Exclusive bool
 }
 
 // DefaultConfig returns the times used in production.
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -19,10 +19,10 @@
 	}
 }
 
-// TestNobodyActsBelowTheSettledRevision runs random schedules of delay, loss,
+// TestNoHolderActsBelowSettledRevision runs random schedules of delay, loss,
 // drift, changes of the leader, isolated leaders and relays, restarts and
 // processes that outlive their replacement.
-func TestNobodyActsBelowTheSettledRevision(t *testing.T) {
+func TestNoHolderActsBelowSettledRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(drawParams(t))
 		s.run()
@@ -32,13 +32,13 @@
 	})
 }
 
-// TestPlantedFaultsAreFound shows that the check above can fail.
-func TestPlantedFaultsAreFound(t *testing.T) {
+// TestSimulationDetectsInjectedFaults shows that the check above can fail.
+func TestSimulationDetectsInjectedFaults(t *testing.T) {
 	faults := map[string]fault{
-		"relay answers alone":  faultRelayAlone,
-		"leader answers alone": faultLeaderAlone,
+		"relay answers alone":  faultRelayWithoutLeader,
+		"leader answers alone": faultLeaderWithoutQuorum,
 		"no wait after change": faultNoWait,
-		"wait ended for good":  faultEndWait,
+		"wait ended for good":  faultEndWaitEarly,
 		"slow clock":           faultSlowClock,
 	}
 	const seeds = 300
@@ -60,20 +60,20 @@
 	}
 }
 
-// TestLeaseIsHeldWithoutFaults checks progress: without loss every host acts
+// TestLeaseProgressWithoutFaults checks progress: without loss every host acts
 // and the settled revision follows the committed one.
-func TestLeaseIsHeldWithoutFaults(t *testing.T) {
+func TestLeaseProgressWithoutFaults(t *testing.T) {
 	s := newSim(params{seed: 1, hosts: 3, maxDelay: 5 * time.Millisecond})
 	s.run()
 	if s.violation != "" {
 		t.Fatal(s.violation)
 	}
-	if s.acted == 0 || s.reported+20 < s.revision() {
-		t.Fatalf("acted %d times, settled %d of %d", s.acted, s.reported, s.revision())
+	if s.actCount == 0 || s.reported+20 < s.revision() {
+		t.Fatalf("acted %d times, settled %d of %d", s.actCount, s.reported, s.revision())
 	}
 }
 
-func TestHolderNeedsTheGrantedRevision(t *testing.T) {
+func TestHolderLeaseRequiresGrantedRevision(t *testing.T) {
 	now := time.Unix(100, 0)
 	h := NewHolder(DefaultConfig(), 40)
 	r := h.Renew(now, 5)
@@ -87,7 +87,7 @@
 	}
 }
 
-func TestReleaseSettlesAtOnce(t *testing.T) {
+func TestReleaseAdvancesSettledRevision(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
 	id := ID{"h", 1}
@@ -101,7 +101,7 @@
 	}
 }
 
-func TestNewLeaderEndsItsWaitEarly(t *testing.T) {
+func TestNewLeaderSettlesOnceRegisteredHoldersAsked(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
 	e := Registrations{Holders: []ID{{"h", 1}}, Changed: 2}
@@ -116,9 +116,9 @@
 	}
 }
 
-// TestAProcessWithoutStateHoldsNothingBack lets a process ask before it has any
+// TestRequestWithoutStateCountsNoLease lets a process ask before it has any
 // state, as each does when it starts.
-func TestAProcessWithoutStateHoldsNothingBack(t *testing.T) {
+func TestRequestWithoutStateCountsNoLease(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
 	old, fresh := ID{"h", 1}, ID{"n", 2}
@@ -142,13 +142,13 @@
 	}
 }
 
-// TestAFleetThatRestartsNeedNotWaitForItsFormerProcesses registers new processes
+// TestNewLeaderAfterFleetRestartSettlesWithExclusiveIdentity registers new processes
 // of all hosts under a new leader.
-func TestAFleetThatRestartsNeedNotWaitForItsFormerProcesses(t *testing.T) {
+func TestNewLeaderAfterFleetRestartSettlesWithExclusiveIdentity(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.ExclusiveIdentity = exclusive
+		cfg.Exclusive = exclusive
 		b := NewBroker(cfg, 0)
 		b.BecomeLeader(now)
 		e := Registrations{Holders: []ID{{"h", 2}, {"i", 2}}, Changed: 9}
@@ -163,9 +163,9 @@
 	}
 }
 
-// TestARequestThatWasGivenUpHoldsNothingBack lets a subscriber turn away from a
+// TestTimedOutRequestCountsNoLease lets a subscriber turn away from a
 // relay that knew no leader.
-func TestARequestThatWasGivenUpHoldsNothingBack(t *testing.T) {
+func TestTimedOutRequestCountsNoLease(t *testing.T) {
 	now := time.Unix(100, 0)
 	cfg := DefaultConfig()
 	b := NewBroker(cfg, 0)
@@ -174,7 +174,7 @@
 		t.Fatalf("round %+v", round)
 	}
 	b.AbortRound() // no leader is known
-	later := now.Add(cfg.Duration/patienceShare + time.Millisecond)
+	later := now.Add(cfg.Duration/requestTimeoutDivisor + time.Millisecond)
 	b.Receive(later, ID{"stays", 1}, Renew{Seq: 1, Applied: 9})
 	round, ok := b.BeginRound(later)
 	if !ok || round.Applied != 9 || len(round.Holders) != 1 {
@@ -188,8 +188,8 @@
 	}
 }
 
-// TestAGrantedLeaseCountsToItsEnd answers a request and hears nothing more.
-func TestAGrantedLeaseCountsToItsEnd(t *testing.T) {
+// TestGrantedLeaseCountsUntilExpiry answers a request and hears nothing more.
+func TestGrantedLeaseCountsUntilExpiry(t *testing.T) {
 	now := time.Unix(100, 0)
 	cfg := DefaultConfig()
 	b := NewBroker(cfg, 0)
@@ -204,13 +204,13 @@
 	}
 }
 
-// TestAProcessReplacesItsFormerOne restarts a host while the lease of its former
+// TestNewProcessSupersedesFormerProcess restarts a host while the lease of its former
 // process would count for two seconds more.
-func TestAProcessReplacesItsFormerOne(t *testing.T) {
+func TestNewProcessSupersedesFormerProcess(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.ExclusiveIdentity = exclusive
+		cfg.Exclusive = exclusive
 		b := NewBroker(cfg, 0)
 		b.Receive(now, ID{"h", 1}, Renew{Seq: 1, Applied: 4})
 		round, _ := b.BeginRound(now)
@@ -227,13 +227,13 @@
 	}
 }
 
-// TestANewerProcessStandsForTheRegisteredOne asks under a new leader before the
+// TestNewLeaderAcceptsNewerProcessForRegisteredOne asks under a new leader before the
 // new process is registered.
-func TestANewerProcessStandsForTheRegisteredOne(t *testing.T) {
+func TestNewLeaderAcceptsNewerProcessForRegisteredOne(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.ExclusiveIdentity = exclusive
+		cfg.Exclusive = exclusive
 		b := NewBroker(cfg, 0)
 		b.BecomeLeader(now)
 		e := Registrations{Holders: []ID{{"h", 1}, {"i", 1}}}
@@ -245,9 +245,9 @@
 	}
 }
 
-// TestAReleaseEndsWhatIsOnItsWay lets a host turn to another control host while a
+// TestReleaseCancelsOutstandingRequest lets a host turn to another control host while a
 // request is unanswered.
-func TestAReleaseEndsWhatIsOnItsWay(t *testing.T) {
+func TestReleaseCancelsOutstandingRequest(t *testing.T) {
 	now := time.Unix(100, 0)
 	b, h, id := NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40), ID{"h", 1}
 	r := h.Renew(now, 4)
@@ -273,9 +273,9 @@
 	}
 }
 
-// TestARelayTellsOfAReleaseThatLeavesItEmpty lets the only holder behind a relay
+// TestRelayReportsReleaseOfLastHolder lets the only holder behind a relay
 // turn away.
-func TestARelayTellsOfAReleaseThatLeavesItEmpty(t *testing.T) {
+func TestRelayReportsReleaseOfLastHolder(t *testing.T) {
 	now := time.Unix(100, 0)
 	leader, relay, h := NewBroker(DefaultConfig(), 0), NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40)
 	id, via := ID{"h", 1}, ID{"c", 1}
@@ -298,9 +298,9 @@
 	}
 }
 
-// TestASuspendedBrokerCountsNoRequestThatWasGivenUp reads, after a suspension, the
+// TestSuspendedBrokerIgnoresReleasedRequests reads, after a suspension, the
 // requests of holders that have turned to another broker with a lease in use.
-func TestASuspendedBrokerCountsNoRequestThatWasGivenUp(t *testing.T) {
+func TestSuspendedBrokerIgnoresReleasedRequests(t *testing.T) {
 	now := time.Unix(100, 0)
 	b, h, id := NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40), ID{"h", 1}
 	r := h.Renew(now, 4)
@@ -325,9 +325,9 @@
 	}
 }
 
-// TestAFormerLeaderDropsWhatRelaysAskedIt reads the request of a relay after a
+// TestStepDownDropsRelayRequests reads the request of a relay after a
 // suspension, before it learns that another host leads.
-func TestAFormerLeaderDropsWhatRelaysAskedIt(t *testing.T) {
+func TestStepDownDropsRelayRequests(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
 	b.Receive(now, ID{"c", 1}, Renew{Seq: 1, Applied: 4, Relay: true, Holders: []ID{{"h", 1}}})
--- a/internal/lease/release.go
+++ b/internal/lease/release.go
@@ -14,7 +14,7 @@
 	if len(b.released) >= maxReleased {
 		clear(b.released)
 	}
-	b.released[key], b.shrunk = r.Seq, true
+	b.released[key], b.holdersRemoved = r.Seq, true
 	if s := b.sessions[key]; s != nil && r.Keeps {
 		s.pending = false
 		return
@@ -31,7 +31,7 @@
 	for key := range b.sessions {
 		if key.relay {
 			delete(b.sessions, key)
-			b.shrunk = true
+			b.holdersRemoved = true
 		}
 	}
 }
@@ -39,13 +39,13 @@
 // Supersede ends the leases of former processes of a host, where one process
 // proves that the former ones have ended.
 func (b *Broker) Supersede(id ID) {
-	if !b.cfg.ExclusiveIdentity {
+	if !b.cfg.Exclusive {
 		return
 	}
 	for key := range b.sessions {
 		if !key.relay && key.id.Host == id.Host && key.id.Incarnation < id.Incarnation {
 			delete(b.sessions, key)
-			b.shrunk = true
+			b.holdersRemoved = true
 		}
 	}
 	for key := range b.released {
@@ -58,5 +58,5 @@
 // Release ends the leases of a process that has stopped to act.
 func (b *Broker) Release(id ID) {
 	delete(b.sessions, sessionKey{id: id})
-	b.shrunk = true
+	b.holdersRemoved = true
 }
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -14,14 +14,14 @@
 
 const (
 	// faultRelayAlone: relays answer without asking the leader.
-	faultRelayAlone fault = iota + 1
+	faultRelayWithoutLeader fault = iota + 1
 	// faultLeaderAlone: a leader answers without a confirmation of its quorum.
-	faultLeaderAlone
+	faultLeaderWithoutQuorum
 	// faultNoWait: a new leader does not wait for unknown leases.
 	faultNoWait
 	// faultEndWait: a new leader ends its wait for good once all registered
 	// hosts were among the counted holders.
-	faultEndWait
+	faultEndWaitEarly
 	// faultSlowClock: the clocks of holders run slower than the drift allows.
 	faultSlowClock
 )
@@ -59,7 +59,7 @@
 	holders   []*simHolder
 	reported  uint64 // the greatest settled revision reported by any leader
 	started   uint64 // processes started so far
-	acted     int
+	actCount  int
 	violation string
 }
 
@@ -76,16 +76,16 @@
 }
 
 type simControl struct {
-	id       int
-	rate     float64
-	broker   *Broker
-	applied  uint64
-	leading  bool // believes to lead
-	ready    bool // has confirmed its quorum since its election
-	believed int  // the leader it knows of
+	id          int
+	rate        float64
+	broker      *Broker
+	applied     uint64
+	leading     bool // believes to lead
+	ready       bool // has confirmed its quorum since its election
+	knownLeader int  // the leader it knows of
 	// isolated is until when no other control host reaches this one; its
 	// subscribers still do.
-	isolated time.Duration
+	isolatedUntil time.Duration
 }
 
 type simHolder struct {
@@ -94,12 +94,12 @@
 	lease   *Holder
 	applied uint64
 	control int
-	ended   bool
+	stopped bool
 }
 
 func newSim(p params) *sim {
 	s := &sim{params: p, cfg: DefaultConfig(), rng: rand.New(rand.NewPCG(p.seed, 7))}
-	s.cfg.ExclusiveIdentity = p.exclusive
+	s.cfg.Exclusive = p.exclusive
 	s.registry = []map[string]simHost{{}}
 	for i := range 3 {
 		s.controls = append(s.controls, &simControl{id: i, rate: s.clockRate(), broker: NewBroker(s.cfg, 0)})
@@ -108,10 +108,10 @@
 		s.startHolder(fmt.Sprintf("h%d", i))
 	}
 	s.elect(0)
-	s.every(400*time.Millisecond, s.commitSomething)
-	s.every(30*time.Millisecond, s.settle)
+	s.repeat(400*time.Millisecond, s.commitRandomChange)
+	s.repeat(30*time.Millisecond, s.settleAll)
 	if p.change > 0 {
-		s.every(p.change, func() { s.elect(s.rng.IntN(len(s.controls))) })
+		s.repeat(p.change, func() { s.elect(s.rng.IntN(len(s.controls))) })
 	}
 	return s
 }
@@ -121,7 +121,7 @@
 	return 1 + (s.rng.Float64()-0.5)*s.cfg.Drift*0.98
 }
 
-func (s *sim) local(rate float64) time.Time {
+func (s *sim) localTime(rate float64) time.Time {
 	return time.Unix(0, int64(float64(s.now)*rate))
 }
 
@@ -135,10 +135,10 @@
 }
 
 // every runs f at random intervals with the given mean.
-func (s *sim) every(mean time.Duration, f func()) {
+func (s *sim) repeat(mean time.Duration, f func()) {
 	s.after(time.Duration((0.5+s.rng.Float64())*float64(mean)), func() {
 		f()
-		s.every(mean, f)
+		s.repeat(mean, f)
 	})
 }
 
@@ -167,18 +167,18 @@
 // check verifies that nobody acts on a revision below the reported one.
 func (s *sim) check() {
 	for _, h := range s.holders {
-		if !s.acts(h) {
+		if !s.mayAct(h) {
 			continue
 		}
-		s.acted++
+		s.actCount++
 		if h.applied < s.reported {
 			s.violation = fmt.Sprintf("at %v host %v acts on revision %d, settled is %d", s.now, h.id, h.applied, s.reported)
 		}
 	}
 }
 
-func (s *sim) acts(h *simHolder) bool {
-	if !s.local(h.rate).Before(h.lease.ValidUntil(h.applied)) {
+func (s *sim) mayAct(h *simHolder) bool {
+	if !s.localTime(h.rate).Before(h.lease.ValidUntil(h.applied)) {
 		return false
 	}
 	reg, ok := s.registry[h.applied][h.id.Host]
@@ -205,11 +205,11 @@
 // apply delivers a committed revision to a control host. One that believes to
 // lead learns from it that another host does.
 func (s *sim) apply(c *simControl, revision uint64) {
-	if s.now < c.isolated {
+	if s.now < c.isolatedUntil {
 		return
 	}
 	if c.leading && c.id != s.leader {
-		c.leading, c.believed = false, s.leader
+		c.leading, c.knownLeader = false, s.leader
 		c.broker.AbortRound()
 		c.broker.StepDown()
 	}
@@ -234,7 +234,7 @@
 }
 
 // commitSomething commits a registration, a removal or another change.
-func (s *sim) commitSomething() {
+func (s *sim) commitRandomChange() {
 	lead := s.controls[s.leader]
 	host := s.holders[s.rng.IntN(len(s.holders))].id.Host
 	reg, ok := s.registry[s.revision()][host]
@@ -252,7 +252,7 @@
 }
 
 func (s *sim) held(c *simControl, id ID) bool {
-	return c.broker.PossibleHolders(s.local(c.rate), []ID{id})[id]
+	return c.broker.PossibleHolders(s.localTime(c.rate), []ID{id})[id]
 }
 
 // startHolder starts a process and registers it. An older process of the same
@@ -266,33 +266,33 @@
 	}
 	if s.exclusive {
 		s.holders = slices.DeleteFunc(s.holders, func(old *simHolder) bool {
-			old.ended = old.ended || old.id.Host == host
-			return old.ended
+			old.stopped = old.stopped || old.id.Host == host
+			return old.stopped
 		})
 	}
 	s.holders = append(s.holders, h)
 	s.commit(func(m map[string]simHost) { m[host] = simHost{incarnation, s.revision() + 1} })
-	s.every(s.cfg.RenewInterval, func() { s.renew(h) })
-	s.every(5*time.Second, func() { s.turn(h) })
+	s.repeat(s.cfg.RenewInterval, func() { s.renew(h) })
+	s.repeat(5*time.Second, func() { s.switchControl(h) })
 }
 
 // turn lets a holder ask another control host. It gives up what is on its way, and
 // keeps a valid lease.
-func (s *sim) turn(h *simHolder) {
+func (s *sim) switchControl(h *simHolder) {
 	former := s.controls[h.control]
 	h.control = s.rng.IntN(len(s.controls))
-	if h.ended || !s.exclusive {
+	if h.stopped || !s.exclusive {
 		return
 	}
-	r := h.lease.Release(s.acts(h))
+	r := h.lease.Release(s.mayAct(h))
 	s.send(func() { s.receive(former, h.id, r) })
 }
 
 func (s *sim) renew(h *simHolder) {
-	if h.ended {
+	if h.stopped {
 		return
 	}
-	r := h.lease.Renew(s.local(h.rate), h.applied)
+	r := h.lease.Renew(s.localTime(h.rate), h.applied)
 	c := s.controls[h.control]
 	s.send(func() { s.receive(c, h.id, r) })
 	applied := c.applied
@@ -303,20 +303,20 @@
 	if r.Relay && !c.leading {
 		return
 	}
-	c.broker.Receive(s.local(c.rate), from, r)
-	s.pump(c)
+	c.broker.Receive(s.localTime(c.rate), from, r)
+	s.startRound(c)
 }
 
 // pump starts a round on a control host.
-func (s *sim) pump(c *simControl) {
-	round, ok := c.broker.BeginRound(s.local(c.rate))
+func (s *sim) startRound(c *simControl) {
+	round, ok := c.broker.BeginRound(s.localTime(c.rate))
 	if !ok {
 		return
 	}
 	switch {
 	case c.leading:
 		s.confirm(c, round)
-	case s.fault == faultRelayAlone:
+	case s.fault == faultRelayWithoutLeader:
 		s.finish(c, round.ID, c.applied, c.broker.Settled())
 		return
 	default:
@@ -325,7 +325,7 @@
 	s.after(500*time.Millisecond, func() {
 		if c.broker.round == round.ID {
 			c.broker.AbortRound()
-			s.pump(c)
+			s.startRound(c)
 		}
 	})
 }
@@ -333,7 +333,7 @@
 // confirm succeeds when c leads at its start, as the heartbeats of the round
 // may reach the others before they elect another leader.
 func (s *sim) confirm(c *simControl, round Round) {
-	if s.leader != c.id && s.fault != faultLeaderAlone {
+	if s.leader != c.id && s.fault != faultLeaderWithoutQuorum {
 		return
 	}
 	s.send(func() {
@@ -348,9 +348,9 @@
 
 // ask sends the request of a relay to the leader that it knows of.
 func (s *sim) ask(c *simControl, round Round) {
-	up := s.controls[c.believed]
+	up := s.controls[c.knownLeader]
 	r := Renew{Seq: round.ID, Applied: round.Applied, Relay: true, Holders: round.Holders, Base: round.Base}
-	if s.now < up.isolated {
+	if s.now < up.isolatedUntil {
 		return
 	}
 	s.send(func() { s.receive(up, ID{fmt.Sprintf("c%d", c.id), 1}, r) })
@@ -360,7 +360,7 @@
 	for _, a := range c.broker.FinishRound(id, revision, settled) {
 		s.send(func() { s.answer(a) })
 	}
-	s.pump(c)
+	s.startRound(c)
 }
 
 func (s *sim) answer(a Answer) {
@@ -385,12 +385,12 @@
 	c := s.controls[id]
 	s.leader = id
 	c.applied = s.revision()
-	c.leading, c.ready, c.believed = true, false, id
+	c.leading, c.ready, c.knownLeader = true, false, id
 	c.broker.AbortRound()
 	if s.fault != faultNoWait {
-		c.broker.BecomeLeader(s.local(c.rate))
+		c.broker.BecomeLeader(s.localTime(c.rate))
 	}
-	s.pump(c)
+	s.startRound(c)
 	for _, other := range s.controls {
 		if other == c {
 			continue
@@ -398,11 +398,11 @@
 		unaware := time.Duration(s.rng.Float64() * float64(time.Second))
 		if other.leading && s.rng.IntN(2) == 0 {
 			unaware = time.Duration(s.rng.Float64() * float64(12*time.Second))
-			other.isolated = s.now + unaware
+			other.isolatedUntil = s.now + unaware
 		}
 		s.after(unaware, func() {
 			if s.leader == id {
-				other.leading, other.believed = false, id
+				other.leading, other.knownLeader = false, id
 				other.broker.AbortRound()
 				other.broker.StepDown()
 			}
@@ -411,7 +411,7 @@
 }
 
 // settle lets every host that believes to lead report what is settled.
-func (s *sim) settle() {
+func (s *sim) settleAll() {
 	for _, c := range s.controls {
 		s.settleOne(c)
 	}
@@ -430,8 +430,8 @@
 			e.Changed = revision
 		}
 	}
-	s.reported = max(s.reported, c.broker.Settle(s.local(c.rate), c.applied, e))
-	if s.fault == faultEndWait && c.broker.allPresent(e) {
-		c.broker.assumeUntil = time.Time{}
+	s.reported = max(s.reported, c.broker.Settle(s.localTime(c.rate), c.applied, e))
+	if s.fault == faultEndWaitEarly && c.broker.allRegisteredCounted(e) {
+		c.broker.unknownLeasesUntil = time.Time{}
 	}
 }
--- a/internal/watch/prober.go
+++ b/internal/watch/prober.go
@@ -29,38 +29,38 @@
 // safe for concurrent use; questions to one endpoint take turns.
 type Prober struct {
 	mu        sync.Mutex
-	endpoints map[string]*probe
+	endpoints map[string]*endpointConn
 }
 
 // probe is the connection to one endpoint. turn holds one token.
-type probe struct {
-	turn   chan struct{}
+type endpointConn struct {
+	sem    chan struct{}
 	target pgback.Target
 	conn   *pgback.Conn
 }
 
 // NewProber returns a Prober without connections.
 func NewProber() *Prober {
-	return &Prober{endpoints: make(map[string]*probe)}
+	return &Prober{endpoints: make(map[string]*endpointConn)}
 }
 
 // Probe implements control.Databases. An endpoint that does not answer before
 // ctx ends is not reachable.
 func (p *Prober) Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
-	return p.ask(ctx, service, e, readCondition)
+	return p.probeWith(ctx, service, e, readCondition)
 }
 
 // Glance is like Probe but leaves the position out, which saves a round trip.
 func (p *Prober) ProbeRole(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
-	return p.ask(ctx, service, e, readRole)
+	return p.probeWith(ctx, service, e, readRole)
 }
 
-func (p *Prober) ask(
+func (p *Prober) probeWith(
 	ctx context.Context, service note.Service, e agreed.Endpoint,
 	read func(context.Context, *pgback.Conn) (failover.Condition, error),
 ) failover.Condition {
 	var c failover.Condition
-	err := p.with(ctx, service, e, func(conn *pgback.Conn) error {
+	err := p.withConn(ctx, service, e, func(conn *pgback.Conn) error {
 		var err error
 		c, err = read(ctx, conn)
 		return err
@@ -73,7 +73,7 @@
 
 // Promote implements control.Databases. It does nothing on a primary.
 func (p *Prober) Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error) {
-	err := p.with(ctx, o.Service, o.Endpoint, func(conn *pgback.Conn) error {
+	err := p.withConn(ctx, o.Service, o.Endpoint, func(conn *pgback.Conn) error {
 		rows, err := conn.Query(ctx, queryCondition)
 		if err != nil {
 			return err
@@ -100,10 +100,10 @@
 			continue
 		}
 		select {
-		case <-e.turn:
+		case <-e.sem:
 			e.close()
 			delete(p.endpoints, id)
-			e.turn <- struct{}{}
+			e.sem <- struct{}{}
 		default: // in use; the next call closes it
 		}
 	}
@@ -111,18 +111,18 @@
 
 // with runs ask on the connection to the endpoint, which it opens when needed
 // and closes after a failure.
-func (p *Prober) with(ctx context.Context, service note.Service, e agreed.Endpoint, ask func(*pgback.Conn) error) error {
+func (p *Prober) withConn(ctx context.Context, service note.Service, e agreed.Endpoint, ask func(*pgback.Conn) error) error {
 	target := pgback.Target{
 		Endpoint: e.ID, Addr: e.Addr,
 		Database: service.Database, User: service.User, Password: service.Password,
 	}
 	pr := p.get(e.ID)
 	select {
-	case <-pr.turn:
+	case <-pr.sem:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { pr.turn <- struct{}{} }()
+	defer func() { pr.sem <- struct{}{} }()
 	if err := pr.open(ctx, target); err != nil {
 		return err
 	}
@@ -133,19 +133,19 @@
 	return err
 }
 
-func (p *Prober) get(endpoint string) *probe {
+func (p *Prober) get(endpoint string) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
 	pr, ok := p.endpoints[endpoint]
 	if !ok {
-		pr = &probe{turn: make(chan struct{}, 1)}
-		pr.turn <- struct{}{}
+		pr = &endpointConn{sem: make(chan struct{}, 1)}
+		pr.sem <- struct{}{}
 		p.endpoints[endpoint] = pr
 	}
 	return pr
 }
 
-func (pr *probe) open(ctx context.Context, target pgback.Target) error {
+func (pr *endpointConn) open(ctx context.Context, target pgback.Target) error {
 	if pr.conn != nil && pr.target != target {
 		pr.close()
 	}
@@ -160,7 +160,7 @@
 	return nil
 }
 
-func (pr *probe) close() {
+func (pr *endpointConn) close() {
 	if pr.conn != nil {
 		pr.conn.Close()
 		pr.conn = nil
--- a/internal/watch/prober_test.go
+++ b/internal/watch/prober_test.go
@@ -32,7 +32,7 @@
 	return group
 }
 
-func TestProbeSeesRolesAndPromotion(t *testing.T) {
+func TestProbeReportsRolesAndPromotion(t *testing.T) {
 	group := startGroup(t)
 	p := NewProber()
 	defer p.CloseExcept(func(string) bool { return false })
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestProbeReportsALostEndpoint(t *testing.T) {
+func TestProbeReportsLostEndpoint(t *testing.T) {
 	group := startGroup(t)
 	p := NewProber()
 	defer p.CloseExcept(func(string) bool { return false })
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -26,9 +26,9 @@
 	prober *Prober
 	// duties remembers the assignment of endpoints; it holds as long as the
 	// registered hosts and the regions do.
-	duties  map[string]bool
-	hosts   uint64 // revision of the last change of the hosts
-	regions map[string]string
+	assignments  map[string]bool
+	hostsChanged uint64 // revision of the last change of the hosts
+	regions      map[string]string
 }
 
 // NewWatcher returns a watcher that passes its observations to report.
@@ -37,7 +37,7 @@
 }
 
 // watched is an endpoint with the service that it belongs to.
-type watched struct {
+type probeTarget struct {
 	service  note.Service
 	endpoint agreed.Endpoint
 	// primary tells that the endpoint is its group's primary, which is on the
@@ -47,7 +47,7 @@
 }
 
 // interval is the time between two probes.
-func (w watched) interval() time.Duration {
+func (w probeTarget) interval() time.Duration {
 	if w.primary {
 		return failover.ProbeInterval
 	}
@@ -55,7 +55,7 @@
 }
 
 // lost reports whether a condition speaks against the endpoint.
-func (w watched) lost(c failover.Condition) bool {
+func (w probeTarget) reportsLoss(c failover.Condition) bool {
 	if !c.Reachable || !w.primary {
 		return !c.Reachable
 	}
@@ -65,7 +65,7 @@
 // Run probes until ctx ends.
 func (w *Watcher) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
-	running := make(map[string]watch)
+	running := make(map[string]runningProbe)
 	defer func() {
 		stopAll(running)
 		tasks.Wait()
@@ -73,7 +73,7 @@
 	}()
 	for {
 		changed := w.view.Changed()
-		w.adjust(ctx, &tasks, running, w.assigned())
+		w.reconcile(ctx, &tasks, running, w.assignedEndpoints())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -83,21 +83,21 @@
 }
 
 // watch is a running probe of one endpoint.
-type watch struct {
-	watched
+type runningProbe struct {
+	probeTarget
 	stop context.CancelFunc
 }
 
-func stopAll(running map[string]watch) {
+func stopAll(running map[string]runningProbe) {
 	for _, r := range running {
 		r.stop()
 	}
 }
 
 // adjust starts and stops probes so that exactly the wanted ones run.
-func (w *Watcher) adjust(ctx context.Context, tasks *sync.WaitGroup, running map[string]watch, wanted map[string]watched) {
+func (w *Watcher) reconcile(ctx context.Context, tasks *sync.WaitGroup, running map[string]runningProbe, wanted map[string]probeTarget) {
 	for id, r := range running {
-		if wanted[id] != r.watched {
+		if wanted[id] != r.probeTarget {
 			r.stop()
 			delete(running, id)
 		}
@@ -107,7 +107,7 @@
 			continue
 		}
 		ctx, stop := context.WithCancel(ctx)
-		running[id] = watch{watched: target, stop: stop}
+		running[id] = runningProbe{probeTarget: target, stop: stop}
 		tasks.Go(func() { w.probe(ctx, target) })
 	}
 	w.prober.CloseExcept(func(id string) bool {
@@ -117,27 +117,27 @@
 }
 
 // assigned returns the endpoints that this host watches in the current view.
-func (w *Watcher) assigned() map[string]watched {
+func (w *Watcher) assignedEndpoints() map[string]probeTarget {
 	state := w.view.Current().State
 	if state == nil {
 		return nil
 	}
-	w.forgetDuties(state)
+	w.dropStaleAssignments(state)
 	var electorate *failover.Electorate
-	mine := make(map[string]watched)
+	mine := make(map[string]probeTarget)
 	for id, e := range state.Endpoints {
-		duty, known := w.duties[id]
+		duty, known := w.assignments[id]
 		if !known {
 			if electorate == nil {
 				electorate = failover.NewElectorate(failover.EntryHosts(state))
 			}
 			duty = electorate.Watches(w.host, w.domain, id)
-			w.duties[id] = duty
+			w.assignments[id] = duty
 		}
 		service, ok := state.Catalog.Services[e.Service]
 		if ok && duty {
 			group := state.Groups[e.Service]
-			mine[id] = watched{
+			mine[id] = probeTarget{
 				service: service, endpoint: e,
 				primary: group.Primary == id, timeline: group.Timeline,
 			}
@@ -147,23 +147,23 @@
 }
 
 // forgetDuties drops the remembered assignment when what it rests on changed.
-func (w *Watcher) forgetDuties(state *agreed.State) {
+func (w *Watcher) dropStaleAssignments(state *agreed.State) {
 	regions := make(map[string]string, len(state.Catalog.Domains))
 	for name, domain := range state.Catalog.Domains {
 		regions[name] = domain.Region
 	}
-	if w.duties != nil && w.hosts == state.HostsChanged && maps.Equal(regions, w.regions) {
+	if w.assignments != nil && w.hostsChanged == state.HostsChanged && maps.Equal(regions, w.regions) {
 		return
 	}
-	w.duties = make(map[string]bool, len(state.Endpoints))
-	w.hosts, w.regions = state.HostsChanged, regions
+	w.assignments = make(map[string]bool, len(state.Endpoints))
+	w.hostsChanged, w.regions = state.HostsChanged, regions
 }
 
 // probe observes one endpoint at every interval.
-func (w *Watcher) probe(ctx context.Context, target watched) {
+func (w *Watcher) probe(ctx context.Context, target probeTarget) {
 	ticker := time.NewTicker(target.interval())
 	defer ticker.Stop()
-	var last reported
+	var last lastReport
 	for {
 		w.observe(ctx, target, &last)
 		select {
@@ -175,30 +175,30 @@
 }
 
 // reported is the latest report on an endpoint.
-type reported struct {
+type lastReport struct {
 	at        time.Time
 	condition failover.Condition
 }
 
 // due reports whether a condition must be reported: at every probe while it
 // speaks against the endpoint, when it has changed, and now and then.
-func (r reported) due(now time.Time, target watched, c failover.Condition) bool {
-	if target.lost(c) || now.Sub(r.at) >= failover.ReportInterval {
+func (r lastReport) mustReport(now time.Time, target probeTarget, c failover.Condition) bool {
+	if target.reportsLoss(c) || now.Sub(r.at) >= failover.ReportInterval {
 		return true
 	}
 	c.Position, r.condition.Position = 0, 0
 	return c != r.condition
 }
 
-func (w *Watcher) observe(ctx context.Context, target watched, last *reported) {
+func (w *Watcher) observe(ctx context.Context, target probeTarget, last *lastReport) {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	condition := w.prober.ProbeRole(probeCtx, target.service, target.endpoint)
 	now := time.Now()
-	if ctx.Err() != nil || !last.due(now, target, condition) {
+	if ctx.Err() != nil || !last.mustReport(now, target, condition) {
 		return
 	}
-	*last = reported{at: now, condition: condition}
+	*last = lastReport{at: now, condition: condition}
 	w.report(control.Observation{
 		Service:  target.service.Name,
 		Endpoint: target.endpoint.ID,
