--- a/internal/lease/broker.go
+++ b/internal/lease/broker.go
@@ -7,54 +7,57 @@
 	"time"
 )
 
-// Broker answers the requests of the subscribers of a control host. It is not
-// safe for concurrent use.
+// Broker answers the requests of the subscribers of a control host. At most one
+// round is in flight; requests that arrive meanwhile wait for the next one. It is
+// not safe for concurrent use.
 type Broker struct {
 	cfg      Config
 	sessions map[sessionKey]*session
-	// released are the numbers of the releases of processes that have not come back.
+	// released holds, by sender, the number of its latest release. It is removed when
+	// the sender makes another request.
 	released  map[sessionKey]uint64
 	waiting   []request
 	inRound   []request
-	round     uint64 // the number of the round in flight, zero when there is none
+	round     uint64 // number of the round in flight, zero when there is none
 	lastRound uint64
 	settled   uint64
-	// reported is the revision in the last round.
+	// lastReported is the revision in the last round.
 	lastReported uint64
-	// listed are the holders in the round with number listedIn. The list may be
-	// referred to once that round was answered.
+	// listedHolders are the holders in the round with number listedRound. Later rounds
+	// may refer to that list once listedAnswered is set.
 	listedHolders  []ID
 	listedRound    uint64
 	listedAnswered bool
-	// shrunk is set when a holder has given its leases up since the last round, so
-	// that a relay tells the leader even if nobody else waits.
+	// holdersRemoved is set when a holder was removed since the last round, so that a
+	// relay reports it to the leader even if no request is waiting.
 	holdersRemoved bool
-	// assumeUntil is when leases granted by former leaders have run out.
+	// unknownLeasesUntil is when the last lease granted by a former leader has ended.
 	unknownLeasesUntil time.Time
 }
 
-// sessionKey tells a process's own lease from those it relays.
+// sessionKey identifies a session. One process may have a session for its own lease
+// and one for the leases that it relays.
 type sessionKey struct {
 	id    ID
 	relay bool
 }
 
-// session is what a broker knows about the leases of one subscriber.
+// session is the broker's record of the leases of one subscriber.
 type session struct {
 	seq     uint64
 	applied uint64
 	holders []ID
-	// listed is the number of the request that named the holders.
+	// holdersSeq is the number of the request that listed the holders.
 	holdersSeq uint64
-	// until is the end of the leases that were granted, as the broker counts them.
+	// leaseEnd is the end of the granted leases as counted by the broker.
 	leaseEnd time.Time
-	// pending is set while the latest request waits for its answer, which will
-	// grant a lease.
+	// pending is set while the latest request has no answer yet, which will grant a
+	// lease.
 	pending bool
 }
 
-// counts reports whether the subscriber may hold a valid lease, or be granted
-// one by the round in flight or the next.
+// active reports whether the subscriber may hold a valid lease, or be granted one by
+// the round in flight or the next.
 func (s *session) active(now time.Time) bool { return s.pending || now.Before(s.leaseEnd) }
 
 // request is a Renew that waits for its answer.
@@ -65,18 +68,19 @@
 	at time.Time
 }
 
-// patienceShare is the part of a lease after which a request is given up: its
-// sender has turned to another control host by then, and a late answer would
-// count a lease that nobody renews here.
+// requestTimeoutDivisor gives the time limit of a waiting request as a fraction of the
+// lease. By then its sender has switched to another control host, and a late answer
+// would count a lease that is not renewed here.
 const requestTimeoutDivisor = 3
 
-// Round asks for one confirmation of the leader.
+// Round is one confirmation of the leader, on behalf of all waiting requests.
 type Round struct {
 	ID uint64
 	// Applied is the least revision applied by the holders.
 	Applied uint64
-	// Holders are the processes that may hold a valid lease, in order. Base is
-	// set in their place when they are those of an earlier, answered round.
+	// Holders are the processes that may hold a valid lease, in order of host and
+	// incarnation. Base is set in their place when they are the same as in the
+	// answered round with that number.
 	Holders []ID
 	Base    uint64
 }
@@ -84,25 +88,25 @@
 // Answer is an answer to a subscriber.
 type Answer struct {
 	To ID
-	// Relay tells whether the subscriber asked as a relay.
+	// Relay is set when it answers a request of a relay.
 	Relay bool
 	OK    RenewOK
 }
 
-// NewBroker returns a Broker without subscribers. Its rounds are numbered above
+// NewBroker returns a Broker without subscribers or waiting requests. Its rounds are numbered above
 // seq, which must exceed all numbers that the process has used before.
 func NewBroker(cfg Config, seq uint64) *Broker {
 	return &Broker{cfg: cfg, lastRound: seq, sessions: make(map[sessionKey]*session), released: make(map[sessionKey]uint64)}
 }
 
-// Receive takes a request of a subscriber. From now on the broker counts the
-// lease, until it has given the request up or the granted lease has ended.
-// Requests that were overtaken, or that refer to a list
-// of holders that the broker does not have, are ignored.
+// Receive handles a request of a subscriber. The broker counts the lease from now on,
+// until the request times out or the granted lease has ended. It ignores a request
+// that arrives after a later one, or that refers to a list of holders that the broker
+// does not have.
 func (b *Broker) Receive(now time.Time, from ID, r Renew) {
 	key := sessionKey{id: from, relay: r.Relay}
 	if r.Seq <= b.released[key] {
-		return // overtaken by the release on another connection
+		return // sent before the release, on another connection
 	}
 	delete(b.released, key)
 	if r.Release {
@@ -110,8 +114,8 @@
 		return
 	}
 	if !r.Relay && r.Applied == 0 {
-		// The sender has no state to act on and takes no lease from the answer, so
-		// it must not hold the settled revision back.
+		// The sender has no state to act on and gets no lease from the answer, so it
+		// must not limit the settled revision.
 		b.enqueue(now, key, r.Seq)
 		return
 	}
@@ -136,13 +140,15 @@
 	b.enqueue(now, key, r.Seq)
 }
 
-// await lets a request wait for the next round, in place of an earlier one.
+// enqueue adds a request for the next round and replaces an earlier one of the same
+// subscriber.
 func (b *Broker) enqueue(now time.Time, key sessionKey, seq uint64) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool { return w.key == key })
 	b.waiting = append(b.waiting, request{key: key, seq: seq, at: now})
 }
 
-// Begin starts a round when requests wait and none is in flight.
+// BeginRound starts a round unless one is in flight. It reports false when there is
+// neither a waiting request nor a removed holder to report.
 func (b *Broker) BeginRound(now time.Time) (Round, bool) {
 	if b.round != 0 {
 		return Round{}, false
@@ -168,11 +174,11 @@
 	return round, true
 }
 
-// giveUp drops requests that have waited for long.
+// dropTimedOut drops requests that have waited for too long, and their pending leases.
 func (b *Broker) dropTimedOut(now time.Time) {
-	patience := b.cfg.Duration / requestTimeoutDivisor
+	limit := b.cfg.Duration / requestTimeoutDivisor
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool {
-		if now.Sub(w.at) <= patience {
+		if now.Sub(w.at) <= limit {
 			return false
 		}
 		if s := b.sessions[w.key]; s != nil && s.seq == w.seq {
@@ -182,15 +188,15 @@
 	})
 }
 
-// Progress reports whether the next round would tell of a greater revision
-// than the last one.
+// HasProgress reports whether requests are waiting and the next round would report a
+// greater revision than the last one.
 func (b *Broker) HasProgress() bool {
 	return len(b.waiting) > 0 && b.minApplied() > b.lastReported
 }
 
-// Finish ends the round in flight with what the leader confirmed, and returns
-// the answers to the requests that arrived before it began. Other rounds are
-// ignored.
+// FinishRound ends the round in flight with the revisions that the leader confirmed,
+// and returns the answers to the requests that arrived before the round began. It
+// ignores other rounds.
 func (b *Broker) FinishRound(id, revision, settled uint64) []Answer {
 	if id == 0 || id != b.round {
 		return nil
@@ -210,7 +216,7 @@
 	return answers
 }
 
-// granted counts the lease that an answer grants.
+// countLease extends the counted lease of a request that is answered.
 func (b *Broker) countLease(r request) {
 	s := b.sessions[r.key]
 	if s == nil {
@@ -224,8 +230,8 @@
 	}
 }
 
-// Abort ends the round in flight without a confirmation. Its requests wait for
-// the next round, unless a later one of the same subscriber does.
+// AbortRound ends the round in flight without a confirmation. Its requests wait for
+// the next round, except those replaced by a later one of the same subscriber.
 func (b *Broker) AbortRound() {
 	later := b.waiting
 	b.waiting = b.inRound
@@ -237,7 +243,7 @@
 	b.listedAnswered = false
 }
 
-// Held reports which of the processes may hold a valid lease.
+// PossibleHolders returns which of the processes may hold a valid lease.
 func (b *Broker) PossibleHolders(now time.Time, ids []ID) map[ID]bool {
 	held := make(map[ID]bool)
 	if now.Before(b.unknownLeasesUntil) {
@@ -253,34 +259,37 @@
 	return held
 }
 
-// Lead tells the broker that its host was elected leader. Former leaders may
-// have granted leases that this broker has not seen.
+// BecomeLeader handles the election of this host as leader. Former leaders may have
+// granted leases that this broker does not count, the last of which ends one counted
+// lease time from now.
 func (b *Broker) BecomeLeader(now time.Time) {
 	b.unknownLeasesUntil = now.Add(b.cfg.counted())
 }
 
-// Electorate describes the registered processes that may act.
+// Registrations describes the registered processes, which may act on the agreed
+// state.
 type Registrations struct {
 	Holders []ID
 	// Changed is the revision at which a process was last registered or removed.
 	Changed uint64
 }
 
-// Found tells the broker of a leader that no process was ever registered, so
-// that no lease of a former leader can allow anyone to act.
+// AssumeNoLeases ends the wait of a new leader when no process was ever registered,
+// so that no lease of a former leader allows a process to act.
 func (b *Broker) AssumeNoLeases() { b.unknownLeasesUntil = time.Time{} }
 
-// Settle returns the greatest revision known to be applied by every holder of a
-// valid lease; revision is what the leader has applied. Only the leader calls
-// it. The result never falls: a lease granted later allows no older revision.
+// Settle returns the settled revision: the greatest one known to be applied by every
+// holder of a valid lease. The argument revision is the one that the leader has
+// applied. Only the leader calls Settle. The result never decreases, since a lease
+// granted later allows no process to act on an older revision.
 //
 // For one lease time after an election, a process may hold a lease of a former
-// leader that this broker does not count. In that time the result grows only
+// leader that this broker does not count. During that time the result increases only
 // while every registered process is among the counted holders, and only if the
 // registrations have not changed after the last settled revision: a process that
 // was replaced or removed since may still hold a lease. With exclusive identities
-// a replaced process has ended, and a removed one's lease had, so that only the
-// registered processes matter.
+// a replaced process has ended, and the lease of a removed one ended before its
+// removal, so that only the registered processes matter.
 func (b *Broker) Settle(now time.Time, revision uint64, e Registrations) uint64 {
 	b.expire(now)
 	if now.Before(b.unknownLeasesUntil) && !b.allRegisteredCounted(e) {
@@ -290,20 +299,22 @@
 	return b.settled
 }
 
-// Learn takes a settled revision reported by the leader.
+// ObserveSettled raises the settled revision to one reported by the leader.
 func (b *Broker) ObserveSettled(settled uint64) { b.settled = max(b.settled, settled) }
 
 // Settled returns the last settled revision.
 func (b *Broker) Settled() uint64 { return b.settled }
 
+// allRegisteredCounted reports whether no process other than the counted holders can
+// hold a lease of a former leader that allows it to act; see Settle.
 func (b *Broker) allRegisteredCounted(e Registrations) bool {
 	if e.Changed > b.settled && !b.cfg.Exclusive {
 		return false
 	}
-	present := b.holders()
+	counted := b.holders()
 	for _, id := range e.Holders {
-		at, ok := slices.BinarySearchFunc(present, id, compareID)
-		replaced := b.cfg.Exclusive && at < len(present) && present[at].Host == id.Host
+		at, ok := slices.BinarySearchFunc(counted, id, compareID)
+		replaced := b.cfg.Exclusive && at < len(counted) && counted[at].Host == id.Host
 		if !ok && !replaced {
 			return false
 		}
@@ -311,6 +322,7 @@
 	return true
 }
 
+// expire removes the sessions without a valid or pending lease.
 func (b *Broker) expire(now time.Time) {
 	for key, s := range b.sessions {
 		if !s.active(now) {
@@ -319,8 +331,8 @@
 	}
 }
 
-// minimum returns the least revision that a holder has applied, or the greatest
-// number when there is no holder.
+// minApplied returns the least revision that a holder has applied, or math.MaxUint64
+// when there is no holder.
 func (b *Broker) minApplied() uint64 {
 	least := uint64(math.MaxUint64)
 	for _, s := range b.sessions {
@@ -331,9 +343,8 @@
 	return least
 }
 
-// holders returns the processes that may hold a valid lease, in order.
-// Slowest returns the process, or the relay, whose leases allow to act on the
-// least revision.
+// Slowest returns the process or relay whose leases allow acting on the least
+// revision, with that revision. It is math.MaxUint64 when there is no holder.
 func (b *Broker) Slowest() (id ID, revision uint64) {
 	revision = math.MaxUint64
 	for key, s := range b.sessions {
@@ -344,6 +355,8 @@
 	return id, revision
 }
 
+// holders returns the processes that may hold a valid lease, in order of host and
+// incarnation, without duplicates.
 func (b *Broker) holders() []ID {
 	var ids []ID
 	for _, s := range b.sessions {
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,19 +2,20 @@
 
 import "time"
 
-// maxOutstanding bounds the requests and grants that a Holder remembers.
+// maxOutstanding is the maximum number of requests and of grants that a Holder keeps.
 const maxOutstanding = 16
 
-// Holder is the lease of one process. It is not safe for concurrent use.
+// Holder is the lease of one process. It may have several grants, of which one is
+// enough to act. It is not safe for concurrent use.
 type Holder struct {
 	cfg     Config
 	seq     uint64
-	sent    map[uint64]time.Time // by number of the request
+	sent    map[uint64]time.Time // unanswered requests, by number
 	grants  []grant
 	settled uint64
 }
 
-// grant allows to act on a revision or later ones until a time.
+// grant allows its holder to act on a revision and later ones until a time.
 type grant struct {
 	revision uint64
 	until    time.Time
@@ -26,7 +27,8 @@
 	return &Holder{cfg: cfg, seq: seq, sent: make(map[uint64]time.Time)}
 }
 
-// Renew returns the next request. The lease that it asks for runs from now.
+// Renew returns the next request. The requested lease runs from now. A holder without
+// state sends zero as applied and gets no lease from the answer.
 func (h *Holder) Renew(now time.Time, applied uint64) Renew {
 	h.seq++
 	if applied > 0 {
@@ -36,9 +38,9 @@
 	return Renew{Seq: h.seq, Applied: applied}
 }
 
-// Release gives up the leases that are on their way, and those in use unless they
-// are kept. It returns what tells the broker so: a broker that is not told, or was
-// suspended, counts each request as a lease from when it reads it.
+// Release cancels all outstanding requests and, unless keep is set, ends all grants.
+// It returns the message for the broker. Without that message a broker counts each
+// request as a lease from when it reads it, which may be late if it was suspended.
 func (h *Holder) Release(keep bool) Renew {
 	h.seq++
 	clear(h.sent)
@@ -48,7 +50,8 @@
 	return Renew{Seq: h.seq, Release: true, Keeps: keep}
 }
 
-// Granted takes an answer. Answers to unknown requests are ignored.
+// Granted handles an answer. Answers to requests that are not outstanding are
+// ignored.
 func (h *Holder) Granted(ok RenewOK) {
 	sent, known := h.sent[ok.Seq]
 	if !known {
@@ -62,9 +65,8 @@
 	}
 }
 
-// ValidUntil returns the end of the lease for a host that has applied the
-// revision, on the holder's clock. It is the zero time when no grant allows to
-// act on that revision.
+// ValidUntil returns the end of the lease for a host that has applied the revision, on
+// the holder's clock. It is the zero time when no grant covers that revision.
 func (h *Holder) ValidUntil(applied uint64) time.Time {
 	var until time.Time
 	for _, g := range h.grants {
@@ -75,5 +77,5 @@
 	return until
 }
 
-// Settled returns the greatest settled revision that the holder was told of.
+// Settled returns the greatest settled revision that the holder has received.
 func (h *Holder) Settled() uint64 { return h.settled }
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -14,14 +14,15 @@
 		loss:     rapid.Float64Range(0, 0.4).Draw(t, "loss"),
 		maxDelay: time.Duration(rapid.IntRange(1, 400).Draw(t, "delay_ms")) * time.Millisecond,
 		change:   time.Duration(rapid.IntRange(0, 8).Draw(t, "change_s")) * time.Second,
-		// Where it is set, processes replace their former ones.
+		// With it, a new process of a host ends the former one.
 		exclusive: rapid.Bool().Draw(t, "exclusive"),
 	}
 }
 
-// TestNoHolderActsBelowSettledRevision runs random schedules of delay, loss,
-// drift, changes of the leader, isolated leaders and relays, restarts and
-// processes that outlive their replacement.
+// TestNoHolderActsBelowSettledRevision guards against a process that acts on a
+// revision below a reported settled revision. It runs random schedules of delay, loss,
+// clock drift, changes of the leader, isolated leaders and relays, restarts and
+// processes that continue after their replacement.
 func TestNoHolderActsBelowSettledRevision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := newSim(drawParams(t))
@@ -32,7 +33,8 @@
 	})
 }
 
-// TestSimulationDetectsInjectedFaults shows that the check above can fail.
+// TestSimulationDetectsInjectedFaults checks that the simulation detects each fault
+// injected into its driver.
 func TestSimulationDetectsInjectedFaults(t *testing.T) {
 	faults := map[string]fault{
 		"relay answers alone":  faultRelayWithoutLeader,
@@ -42,12 +44,12 @@
 		"slow clock":           faultSlowClock,
 	}
 	const seeds = 300
-	for name, planted := range faults {
+	for name, injected := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				s := newSim(params{
 					seed: seed, hosts: 3, loss: 0.1, maxDelay: 200 * time.Millisecond,
-					change: 4 * time.Second, fault: planted,
+					change: 4 * time.Second, fault: injected,
 				})
 				s.run()
 				if s.violation != "" {
@@ -60,8 +62,8 @@
 	}
 }
 
-// TestLeaseProgressWithoutFaults checks progress: without loss every host acts
-// and the settled revision follows the committed one.
+// TestLeaseProgressWithoutFaults checks that without faults hosts act and the settled
+// revision follows the committed one.
 func TestLeaseProgressWithoutFaults(t *testing.T) {
 	s := newSim(params{seed: 1, hosts: 3, maxDelay: 5 * time.Millisecond})
 	s.run()
@@ -77,7 +79,7 @@
 	now := time.Unix(100, 0)
 	h := NewHolder(DefaultConfig(), 40)
 	r := h.Renew(now, 5)
-	h.Granted(RenewOK{Seq: r.Seq + 1, Revision: 1}) // never asked for
+	h.Granted(RenewOK{Seq: r.Seq + 1, Revision: 1}) // never requested
 	h.Granted(RenewOK{Seq: r.Seq, Revision: 7, Settled: 3})
 	if !h.ValidUntil(6).IsZero() {
 		t.Fatal("the lease allows an older revision")
@@ -108,7 +110,7 @@
 	b.ObserveSettled(3)
 	b.BecomeLeader(now)
 	if got := b.Settle(now, 9, e); got != 3 {
-		t.Fatalf("settled %d before the host asked", got)
+		t.Fatalf("settled %d before the host's request", got)
 	}
 	b.Receive(now, ID{"c", 1}, Renew{Seq: 1, Applied: 8, Relay: true, Holders: e.Holders})
 	if got := b.Settle(now, 9, e); got != 8 {
@@ -116,8 +118,8 @@
 	}
 }
 
-// TestRequestWithoutStateCountsNoLease lets a process ask before it has any
-// state, as each does when it starts.
+// TestRequestWithoutStateCountsNoLease guards against a starting process, which has no
+// state yet, that limits the settled revision by its request. It gets no lease.
 func TestRequestWithoutStateCountsNoLease(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
@@ -138,12 +140,13 @@
 	}
 	h.Granted(RenewOK{Seq: r.Seq, Revision: 8, Settled: 8})
 	if !h.ValidUntil(9).IsZero() {
-		t.Fatal("the process took a lease that nobody counts")
+		t.Fatal("the process got a lease that the broker does not count")
 	}
 }
 
-// TestNewLeaderAfterFleetRestartSettlesWithExclusiveIdentity registers new processes
-// of all hosts under a new leader.
+// TestNewLeaderAfterFleetRestartSettlesWithExclusiveIdentity restarts the processes of
+// all hosts under a new leader. With exclusive identities the leader need not wait for
+// the leases of the former processes.
 func TestNewLeaderAfterFleetRestartSettlesWithExclusiveIdentity(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
@@ -154,7 +157,7 @@
 		e := Registrations{Holders: []ID{{"h", 2}, {"i", 2}}, Changed: 9}
 		b.Receive(now, e.Holders[0], Renew{Seq: 1, Applied: 9})
 		if got := b.Settle(now, 9, e); got != 0 {
-			t.Fatalf("exclusive %v: settled %d before all hosts asked", exclusive, got)
+			t.Fatalf("exclusive %v: settled %d before the requests of all hosts", exclusive, got)
 		}
 		b.Receive(now, e.Holders[1], Renew{Seq: 1, Applied: 9})
 		if got := b.Settle(now, 9, e); (got == 9) != exclusive {
@@ -163,8 +166,9 @@
 	}
 }
 
-// TestTimedOutRequestCountsNoLease lets a subscriber turn away from a
-// relay that knew no leader.
+// TestTimedOutRequestCountsNoLease guards against a settled revision that is limited
+// by a request which nobody waits for: its subscriber has left a relay without a
+// leader.
 func TestTimedOutRequestCountsNoLease(t *testing.T) {
 	now := time.Unix(100, 0)
 	cfg := DefaultConfig()
@@ -173,7 +177,7 @@
 	if round, ok := b.BeginRound(now); !ok || round.Applied != 4 {
 		t.Fatalf("round %+v", round)
 	}
-	b.AbortRound() // no leader is known
+	b.AbortRound() // the leader is unknown
 	later := now.Add(cfg.Duration/requestTimeoutDivisor + time.Millisecond)
 	b.Receive(later, ID{"stays", 1}, Renew{Seq: 1, Applied: 9})
 	round, ok := b.BeginRound(later)
@@ -188,7 +192,8 @@
 	}
 }
 
-// TestGrantedLeaseCountsUntilExpiry answers a request and hears nothing more.
+// TestGrantedLeaseCountsUntilExpiry grants one lease to a host that sends no further
+// request.
 func TestGrantedLeaseCountsUntilExpiry(t *testing.T) {
 	now := time.Unix(100, 0)
 	cfg := DefaultConfig()
@@ -205,7 +210,7 @@
 }
 
 // TestNewProcessSupersedesFormerProcess restarts a host while the lease of its former
-// process would count for two seconds more.
+// process is still counted. Only with exclusive identities does that lease end at once.
 func TestNewProcessSupersedesFormerProcess(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
@@ -227,8 +232,9 @@
 	}
 }
 
-// TestNewLeaderAcceptsNewerProcessForRegisteredOne asks under a new leader before the
-// new process is registered.
+// TestNewLeaderAcceptsNewerProcessForRegisteredOne sends the request of a restarted
+// process to a new leader before that process is registered. Only with exclusive
+// identities does it count in place of the registered one.
 func TestNewLeaderAcceptsNewerProcessForRegisteredOne(t *testing.T) {
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
@@ -245,8 +251,9 @@
 	}
 }
 
-// TestReleaseCancelsOutstandingRequest lets a host turn to another control host while a
-// request is unanswered.
+// TestReleaseCancelsOutstandingRequest switches a host to another control host while a
+// request is unanswered. Neither side may count a lease for it, even if the request
+// arrives after the release.
 func TestReleaseCancelsOutstandingRequest(t *testing.T) {
 	now := time.Unix(100, 0)
 	b, h, id := NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40), ID{"h", 1}
@@ -261,20 +268,20 @@
 		h.Granted(a.OK)
 	}
 	if !h.ValidUntil(9).IsZero() {
-		t.Error("the host took a lease that it had released")
+		t.Error("the host got a lease that it had released")
 	}
-	b.Receive(now, id, r) // overtaken on another connection
+	b.Receive(now, id, r) // arrives after the release, on another connection
 	if got := b.Settle(now, 12, Registrations{}); got != 12 {
-		t.Errorf("settled %d after a request that was overtaken", got)
+		t.Errorf("settled %d after a request older than the release", got)
 	}
 	b.Receive(now, id, h.Renew(now, 13))
 	if got := b.Settle(now, 20, Registrations{}); got != 13 {
-		t.Errorf("settled %d with the host back", got)
+		t.Errorf("settled %d after the host's next request", got)
 	}
 }
 
-// TestRelayReportsReleaseOfLastHolder lets the only holder behind a relay
-// turn away.
+// TestRelayReportsReleaseOfLastHolder guards against a relay that reports nothing after
+// its only holder has left, so that the leader counts that lease until it ends.
 func TestRelayReportsReleaseOfLastHolder(t *testing.T) {
 	now := time.Unix(100, 0)
 	leader, relay, h := NewBroker(DefaultConfig(), 0), NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40)
@@ -282,7 +289,7 @@
 	pass := func(round Round, ok bool) {
 		t.Helper()
 		if !ok {
-			t.Fatal("the relay has nothing to tell")
+			t.Fatal("the relay has nothing to report")
 		}
 		leader.Receive(now, via, Renew{Seq: round.ID, Applied: round.Applied, Relay: true, Holders: round.Holders, Base: round.Base})
 		r, _ := leader.BeginRound(now)
@@ -294,12 +301,13 @@
 	relay.Receive(now, id, h.Release(false))
 	pass(relay.BeginRound(now))
 	if got := leader.Settle(now, 9, Registrations{}); got != 9 {
-		t.Errorf("settled %d while nobody holds a lease", got)
+		t.Errorf("settled %d without any lease", got)
 	}
 }
 
-// TestSuspendedBrokerIgnoresReleasedRequests reads, after a suspension, the
-// requests of holders that have turned to another broker with a lease in use.
+// TestSuspendedBrokerIgnoresReleasedRequests resumes a broker after a suspension, which
+// then reads the requests of a holder that has switched to another broker and kept its
+// lease. These requests must not count as new leases.
 func TestSuspendedBrokerIgnoresReleasedRequests(t *testing.T) {
 	now := time.Unix(100, 0)
 	b, h, id := NewBroker(DefaultConfig(), 0), NewHolder(DefaultConfig(), 40), ID{"h", 1}
@@ -311,7 +319,7 @@
 	}
 	unread := []Renew{h.Renew(now, 4), h.Release(true)}
 	if h.ValidUntil(4).IsZero() {
-		t.Fatal("the host gave up the lease that it uses")
+		t.Fatal("the host lost the lease that it keeps")
 	}
 	if got := b.Settle(now, 9, Registrations{}); got != 4 {
 		t.Fatalf("settled %d while the lease is in use", got)
@@ -321,12 +329,13 @@
 		b.Receive(later, id, r)
 	}
 	if got := b.Settle(later, 9, Registrations{}); got != 9 {
-		t.Errorf("settled %d by requests that were given up", got)
+		t.Errorf("settled %d after released requests", got)
 	}
 }
 
-// TestStepDownDropsRelayRequests reads the request of a relay after a
-// suspension, before it learns that another host leads.
+// TestStepDownDropsRelayRequests guards against a former leader that counts the leases
+// of a relay whose request it read after a suspension, before it was notified of the
+// new leader.
 func TestStepDownDropsRelayRequests(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
--- a/internal/lease/release.go
+++ b/internal/lease/release.go
@@ -2,12 +2,14 @@
 
 import "slices"
 
-// maxReleased bounds the releases that are remembered. Without one, a request that
-// it has overtaken counts as a lease until that would have ended.
+// maxReleased is the maximum number of releases that are kept; all are discarded when
+// it is reached. A request that arrives after its release has been discarded counts as
+// a lease for a full lease time.
 const maxReleased = 4096
 
-// release ends the requests of a holder that has turned to another broker, and
-// its lease unless it keeps that.
+// release drops the requests of a holder that has switched to another broker, and its
+// lease unless it keeps that. The number of the release is kept, so that an earlier
+// request which arrives later is ignored.
 func (b *Broker) release(key sessionKey, r Renew) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool { return w.key == key })
 	b.inRound = slices.DeleteFunc(b.inRound, func(w request) bool { return w.key == key })
@@ -22,8 +24,9 @@
 	delete(b.sessions, key)
 }
 
-// Follow drops the requests and leases of relays, once the host does not lead any
-// more: relays ask the leader, and a new one counts or waits for all leases.
+// StepDown drops the requests and leases of relays when the host is no longer leader.
+// Relays send requests only to the leader, and a new leader counts all leases or
+// waits until they have ended.
 func (b *Broker) StepDown() {
 	ofRelay := func(w request) bool { return w.key.relay }
 	b.waiting = slices.DeleteFunc(b.waiting, ofRelay)
@@ -36,8 +39,8 @@
 	}
 }
 
-// Supersede ends the leases of former processes of a host, where one process
-// proves that the former ones have ended.
+// Supersede ends the leases of former processes of a host. It does nothing unless
+// Config.Exclusive is set, which makes the new process proof that they have ended.
 func (b *Broker) Supersede(id ID) {
 	if !b.cfg.Exclusive {
 		return
@@ -55,7 +58,7 @@
 	}
 }
 
-// Release ends the leases of a process that has stopped to act.
+// Release ends the leases of a process that no longer acts on the agreed state.
 func (b *Broker) Release(id ID) {
 	delete(b.sessions, sessionKey{id: id})
 	b.holdersRemoved = true
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -9,20 +9,20 @@
 	"time"
 )
 
-// fault is an error planted into the driver of a simulation; zero is none.
+// fault is a fault injected into the driver of a simulation; zero is none.
 type fault int
 
 const (
-	// faultRelayAlone: relays answer without asking the leader.
+	// faultRelayWithoutLeader: relays answer without a request to the leader.
 	faultRelayWithoutLeader fault = iota + 1
-	// faultLeaderAlone: a leader answers without a confirmation of its quorum.
+	// faultLeaderWithoutQuorum: a leader answers without a confirmation of its quorum.
 	faultLeaderWithoutQuorum
 	// faultNoWait: a new leader does not wait for unknown leases.
 	faultNoWait
-	// faultEndWait: a new leader ends its wait for good once all registered
+	// faultEndWaitEarly: a new leader ends its wait permanently once all registered
 	// hosts were among the counted holders.
 	faultEndWaitEarly
-	// faultSlowClock: the clocks of holders run slower than the drift allows.
+	// faultSlowClock: the clocks of holders are slower than the drift allows.
 	faultSlowClock
 )
 
@@ -34,8 +34,8 @@
 	maxDelay time.Duration
 	// change is the mean time between two changes of the leader, zero for none.
 	change time.Duration
-	// exclusive: a host has one process at a time, and turns to another control
-	// host with a release.
+	// exclusive is set when a host has one process at a time, which sends a release
+	// when it switches to another control host.
 	exclusive bool
 	fault     fault
 }
@@ -43,8 +43,8 @@
 // simLength is the simulated time of one run.
 const simLength = 30 * time.Second
 
-// sim runs holders and brokers in simulated time. The agreement itself is an
-// oracle: it knows the true leader and the committed revisions.
+// sim runs holders and brokers in simulated time. Consensus itself is not simulated:
+// sim holds the true leader and the committed revisions.
 type sim struct {
 	params
 	cfg    Config
@@ -80,11 +80,11 @@
 	rate        float64
 	broker      *Broker
 	applied     uint64
-	leading     bool // believes to lead
-	ready       bool // has confirmed its quorum since its election
-	knownLeader int  // the leader it knows of
-	// isolated is until when no other control host reaches this one; its
-	// subscribers still do.
+	leading     bool // acts as leader, perhaps after another was elected
+	ready       bool // its quorum has confirmed it since its election
+	knownLeader int  // the leader that it sends requests to
+	// isolatedUntil is when other control hosts reach this one again. Its subscribers
+	// reach it at all times.
 	isolatedUntil time.Duration
 }
 
@@ -116,15 +116,17 @@
 	return s
 }
 
-// clockRate draws a rate; two rates differ by less than the drift.
+// clockRate returns a random rate; two rates differ by less than the drift.
 func (s *sim) clockRate() float64 {
 	return 1 + (s.rng.Float64()-0.5)*s.cfg.Drift*0.98
 }
 
+// localTime returns the time of a clock with the given rate.
 func (s *sim) localTime(rate float64) time.Time {
 	return time.Unix(0, int64(float64(s.now)*rate))
 }
 
+// after schedules an event.
 func (s *sim) after(d time.Duration, run func()) {
 	s.order++
 	e := simEvent{at: s.now + d, order: s.order, run: run}
@@ -134,7 +136,7 @@
 	s.events = slices.Insert(s.events, i, e)
 }
 
-// every runs f at random intervals with the given mean.
+// repeat runs f at random intervals with the given mean.
 func (s *sim) repeat(mean time.Duration, f func()) {
 	s.after(time.Duration((0.5+s.rng.Float64())*float64(mean)), func() {
 		f()
@@ -142,7 +144,7 @@
 	})
 }
 
-// send delivers a message late, or never.
+// send delivers a message after a random delay, or loses it.
 func (s *sim) send(deliver func()) {
 	if s.rng.Float64() < s.loss {
 		return
@@ -164,7 +166,8 @@
 	}
 }
 
-// check verifies that nobody acts on a revision below the reported one.
+// check records a violation when a process acts on a revision below the settled one
+// that was reported.
 func (s *sim) check() {
 	for _, h := range s.holders {
 		if !s.mayAct(h) {
@@ -177,6 +180,8 @@
 	}
 }
 
+// mayAct reports whether a process has a valid lease for its revision, in which it is
+// registered.
 func (s *sim) mayAct(h *simHolder) bool {
 	if !s.localTime(h.rate).Before(h.lease.ValidUntil(h.applied)) {
 		return false
@@ -187,7 +192,7 @@
 
 func (s *sim) revision() uint64 { return uint64(len(s.registry) - 1) }
 
-// commit commits a change of the registrations by the true leader.
+// commit commits a change of the registrations through the true leader.
 func (s *sim) commit(change func(map[string]simHost)) {
 	next := map[string]simHost{}
 	for name, h := range s.registry[s.revision()] {
@@ -202,8 +207,8 @@
 	}
 }
 
-// apply delivers a committed revision to a control host. One that believes to
-// lead learns from it that another host does.
+// apply delivers a committed revision to a control host. A former leader steps down on
+// it.
 func (s *sim) apply(c *simControl, revision uint64) {
 	if s.now < c.isolatedUntil {
 		return
@@ -233,7 +238,7 @@
 	s.renew(h)
 }
 
-// commitSomething commits a registration, a removal or another change.
+// commitRandomChange commits a registration, a removal or another change.
 func (s *sim) commitRandomChange() {
 	lead := s.controls[s.leader]
 	host := s.holders[s.rng.IntN(len(s.holders))].id.Host
@@ -255,8 +260,8 @@
 	return c.broker.PossibleHolders(s.localTime(c.rate), []ID{id})[id]
 }
 
-// startHolder starts a process and registers it. An older process of the same
-// host, if any, goes on running, unless hosts have one process at a time.
+// startHolder starts a process and registers it. An older process of the same host
+// continues to run unless identities are exclusive.
 func (s *sim) startHolder(host string) {
 	s.started++
 	incarnation := s.started
@@ -276,8 +281,8 @@
 	s.repeat(5*time.Second, func() { s.switchControl(h) })
 }
 
-// turn lets a holder ask another control host. It gives up what is on its way, and
-// keeps a valid lease.
+// switchControl makes a holder send its requests to another control host. With
+// exclusive identities it releases its outstanding requests and keeps a valid lease.
 func (s *sim) switchControl(h *simHolder) {
 	former := s.controls[h.control]
 	h.control = s.rng.IntN(len(s.controls))
@@ -307,7 +312,8 @@
 	s.startRound(c)
 }
 
-// pump starts a round on a control host.
+// startRound starts a round on a control host if one is due, and aborts it if it is not
+// finished within half a second.
 func (s *sim) startRound(c *simControl) {
 	round, ok := c.broker.BeginRound(s.localTime(c.rate))
 	if !ok {
@@ -330,8 +336,8 @@
 	})
 }
 
-// confirm succeeds when c leads at its start, as the heartbeats of the round
-// may reach the others before they elect another leader.
+// confirm succeeds when c is the true leader at its start, since the heartbeats of the
+// round may reach the others before they elect another leader.
 func (s *sim) confirm(c *simControl, round Round) {
 	if s.leader != c.id && s.fault != faultLeaderWithoutQuorum {
 		return
@@ -346,7 +352,7 @@
 	})
 }
 
-// ask sends the request of a relay to the leader that it knows of.
+// ask sends the request of a relay to the leader known to it.
 func (s *sim) ask(c *simControl, round Round) {
 	up := s.controls[c.knownLeader]
 	r := Renew{Seq: round.ID, Applied: round.Applied, Relay: true, Holders: round.Holders, Base: round.Base}
@@ -376,8 +382,8 @@
 	}
 }
 
-// elect makes a control host the leader. The others learn of it later; the
-// former leader goes on believing that it leads.
+// elect makes a control host the leader. The others are notified later; until then the
+// former leader acts as leader.
 func (s *sim) elect(id int) {
 	if id == s.leader && s.controls[id].leading {
 		return
@@ -395,12 +401,12 @@
 		if other == c {
 			continue
 		}
-		unaware := time.Duration(s.rng.Float64() * float64(time.Second))
+		notifyDelay := time.Duration(s.rng.Float64() * float64(time.Second))
 		if other.leading && s.rng.IntN(2) == 0 {
-			unaware = time.Duration(s.rng.Float64() * float64(12*time.Second))
-			other.isolatedUntil = s.now + unaware
+			notifyDelay = time.Duration(s.rng.Float64() * float64(12*time.Second))
+			other.isolatedUntil = s.now + notifyDelay
 		}
-		s.after(unaware, func() {
+		s.after(notifyDelay, func() {
 			if s.leader == id {
 				other.leading, other.knownLeader = false, id
 				other.broker.AbortRound()
@@ -410,13 +416,15 @@
 	}
 }
 
-// settle lets every host that believes to lead report what is settled.
+// settleAll reports the settled revision of every host that acts as leader.
 func (s *sim) settleAll() {
 	for _, c := range s.controls {
 		s.settleOne(c)
 	}
 }
 
+// settleOne reports the settled revision of a host that acts as leader and was
+// confirmed by its quorum.
 func (s *sim) settleOne(c *simControl) {
 	if !c.leading || !c.ready {
 		return
