--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,8 +1,7 @@
-// Package history checks what callers recorded against the promises of a
-// fleet: every acknowledged record is stored exactly once, a refusal called
-// not run had no effect, reads are fresh, no answer is another caller's and no
-// workspace passes its rate. The checks are pure functions of recorded
-// histories.
+// Package history checks recorded histories of requests against the guarantees of a
+// fleet: every acknowledged record is stored exactly once, a request refused as not run
+// had no effect, reads are fresh, every answer belongs to its request and no workspace
+// exceeds its rate. The checks are pure functions.
 package history
 
 import (
@@ -10,33 +9,33 @@
 	"time"
 )
 
-// Outcome is what a caller knows about its request.
+// Outcome is the outcome of a request as reported to its caller.
 type Outcome uint8
 
 // Outcomes.
 const (
 	Acked Outcome = iota
-	// NotRun is a refusal that says the request had no effect.
+	// NotRun is a refusal that reports that the request had no effect.
 	NotRun
-	// Unknown is an error that leaves open whether the request ran.
+	// Unknown is an error that does not report whether the request ran.
 	Unknown
 )
 
-// Rule names a promise.
+// Rule is the description of one guarantee.
 type Rule string
 
-// Rules.
+// Guarantees.
 const (
-	RuleDurable      Rule = "acknowledged record kept"
+	RuleDurable      Rule = "acknowledged record stored"
 	RuleAtMostOnce   Rule = "stored at most once"
-	RuleNotRun       Rule = "not run is true"
-	RuleOwnAnswer    Rule = "own answer"
+	RuleNotRun       Rule = "request not run had no effect"
+	RuleOwnAnswer    Rule = "answer belongs to its request"
 	RuleRate         Rule = "rate over the fleet"
 	RuleFresh        Rule = "read your writes"
 	RuleLinearizable Rule = "linearizable record"
 )
 
-// Violation is one broken promise.
+// Violation is one violation of a guarantee.
 type Violation struct {
 	Rule   Rule
 	Detail string
@@ -49,14 +48,15 @@
 	return Violation{Rule: rule, Detail: fmt.Sprintf(format, args...)}
 }
 
-// Write is a record that a caller has sent.
+// Write is a record that a caller sent.
 type Write struct {
 	ID        string
 	Workspace string
 	Outcome   Outcome
 }
 
-// Stored compares what was sent with how often each record is stored.
+// CheckStored compares the sent records with the number of times that each is stored,
+// by id.
 func CheckStored(sent []Write, stored map[string]int) []Violation {
 	var out []Violation
 	for _, w := range sent {
@@ -74,13 +74,13 @@
 	return out
 }
 
-// Answer is a request's mark with the mark found in its answer.
+// Answer holds the unique mark sent in a request and the one received in its answer.
 type Answer struct {
 	Sent     string
 	Received string
 }
 
-// Foreign finds answers that belong to another request.
+// CheckAnswers finds answers that belong to another request.
 func CheckAnswers(answers []Answer) []Violation {
 	var out []Violation
 	for _, a := range answers {
@@ -91,16 +91,17 @@
 	return out
 }
 
-// Span is the time from a request's start to its answer, from the start of the
+// Span holds the times of a request and of its answer, measured from the start of the
 // history.
 type Span struct {
 	Invoke time.Duration
 	Return time.Duration
 }
 
-// Rate finds windows in which more requests of one workspace were served than
-// its rate (per second) and burst allow. Only requests that lie within a window
-// as a whole count, so the order of events within a request does not matter.
+// CheckRate finds a window of time in which more requests of one workspace were served
+// than its rate (per second) and burst allow, and returns at most one. Only requests
+// entirely within a window count, so the time at which a request was admitted between
+// its start and its answer does not matter.
 func CheckRate(served []Span, rate, burst float64) []Violation {
 	for _, first := range served {
 		within := spansAfter(served, first.Invoke)
--- a/internal/history/history_test.go
+++ b/internal/history/history_test.go
@@ -17,7 +17,8 @@
 	return out
 }
 
-// TestCheckStoredFindsViolations plants one fault of each kind.
+// TestCheckStoredFindsViolations checks a history with one violation of each rule,
+// among records whose outcome allows what is stored.
 func TestCheckStoredFindsViolations(t *testing.T) {
 	sent := []Write{
 		{ID: "kept"}, {ID: "lost"}, {ID: "twice"}, {ID: "refused", Outcome: NotRun}, {ID: "ran", Outcome: NotRun},
--- a/internal/history/register.go
+++ b/internal/history/register.go
@@ -20,7 +20,8 @@
 	OpRead
 )
 
-// Operation is one request on one record. Values of writes are unique.
+// Operation is one request on one record. The values written to a record must be
+// unique.
 type Operation struct {
 	Client  int
 	Record  string
@@ -30,14 +31,16 @@
 	Span
 }
 
-// forever is later than any event of a history.
+// endOfTime is later than any event of a history.
 const endOfTime = time.Duration(1<<62 - 1)
 
-// checkTimeout bounds the search for a linearization of one history.
+// checkTimeout is the time limit of the search for a linearization of one record's
+// history.
 const checkTimeout = 60 * time.Second
 
-// Linearizable checks the writes and strong reads of each record. A write with
-// an unknown outcome may take effect at any later time, or never.
+// CheckLinearizable checks that the writes and strong reads of each record are
+// linearizable. A write with an unknown outcome may take effect at any later time, or
+// never. A record that is not decided within checkTimeout is a violation.
 func CheckLinearizable(ops []Operation) []Violation {
 	var out []Violation
 	for record, history := range byRecord(ops) {
@@ -59,6 +62,7 @@
 	return out
 }
 
+// events converts the writes that may have run and the acknowledged strong reads.
 func events(ops []Operation) []porcupine.Operation {
 	var out []porcupine.Operation
 	for _, op := range ops {
@@ -76,7 +80,7 @@
 	return out
 }
 
-// registerModel is a register that starts empty.
+// registerModel is the sequential model of a register that is initially empty.
 var registerModel = porcupine.Model{
 	Init: func() any { return "" },
 	Step: func(state, input, output any) (bool, any) {
@@ -88,7 +92,7 @@
 	},
 }
 
-// Fresh checks plain reads: a read returns the value of a write that began
+// CheckFreshReads checks plain reads: a read returns the value of a write that began
 // before the read ended and that no acknowledged write had replaced before the
 // read began.
 func CheckFreshReads(ops []Operation) []Violation {
@@ -111,17 +115,17 @@
 }
 
 func checkRead(read Operation, writes map[string]Operation) []Violation {
-	seen, known := writes[read.Value]
+	source, written := writes[read.Value]
 	switch {
-	case read.Value != "" && !known:
-		return []Violation{violation(RuleFresh, "record %s reads %q, which nobody wrote", read.Record, read.Value)}
-	case known && seen.Outcome == NotRun:
+	case read.Value != "" && !written:
+		return []Violation{violation(RuleFresh, "record %s reads %q, which was never written", read.Record, read.Value)}
+	case written && source.Outcome == NotRun:
 		return []Violation{violation(RuleNotRun, "record %s reads %q, whose write was refused", read.Record, read.Value)}
-	case known && seen.Invoke > read.Return:
+	case written && source.Invoke > read.Return:
 		return []Violation{violation(RuleFresh, "record %s reads %q before it was written", read.Record, read.Value)}
 	}
 	for _, w := range writes {
-		if w.Outcome == Acked && w.Return < read.Invoke && (!known || certainlyAfter(seen, w)) {
+		if w.Outcome == Acked && w.Return < read.Invoke && (!written || certainlyAfter(source, w)) {
 			return []Violation{violation(RuleFresh, "record %s reads %q after %q was acknowledged",
 				read.Record, read.Value, w.Value)}
 		}
@@ -129,7 +133,7 @@
 	return nil
 }
 
-// replaces reports whether w certainly came after the write that was seen.
-func certainlyAfter(seen, w Operation) bool {
-	return seen.Outcome == Acked && seen.Return < w.Invoke
+// certainlyAfter reports whether w certainly took effect after the write source.
+func certainlyAfter(source, w Operation) bool {
+	return source.Outcome == Acked && source.Return < w.Invoke
 }
--- a/internal/history/spans.go
+++ b/internal/history/spans.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// spansAfter returns the spans that start at or after t, by their end.
+// spansAfter returns the spans that start at or after t, sorted by their end.
 func spansAfter(spans []Span, t time.Duration) []Span {
 	var out []Span
 	for _, s := range spans {
--- a/internal/view/view.go
+++ b/internal/view/view.go
@@ -1,5 +1,5 @@
-// Package view holds the agreed state that a host may act on, together with
-// the configuration lease that bounds how long it may do so.
+// Package view provides the agreed state that a host may act on, together with the
+// end of the configuration lease that permits it.
 package view
 
 import (
@@ -10,7 +10,7 @@
 	"github.com/galenabridge/galenabridge/internal/clock"
 )
 
-// View is the agreed state at one revision with its lease.
+// View is the agreed state at one revision with the lease for it.
 type View struct {
 	// State is nil until the host has received its first snapshot.
 	State *agreed.State
@@ -20,55 +20,55 @@
 	ValidUntil time.Time
 }
 
-// Valid reports whether the host may act on the view now. Look at it after
-// whatever may have held the process up, and before a byte is sent.
+// Valid reports whether the host may act on the view now. Call it after any operation
+// that may block or suspend the process, right before data is sent.
 func (v View) Valid() bool {
 	return v.State != nil && clock.Now().Before(v.ValidUntil)
 }
 
-// Source yields the current view.
+// Source provides the current view.
 type Source interface {
-	// Current returns the view as last published.
+	// Current returns the view that was last published.
 	Current() View
-	// Changed returns a channel that is closed when the state next changes.
-	// Renewals of the lease alone do not close it.
+	// Changed returns a channel that is closed at the next change of the state. A renewal
+	// of the lease alone does not close it.
 	Changed() <-chan struct{}
 }
 
-// Box is a Source that its owner publishes to. It is safe for concurrent use.
+// Publisher is a Source whose owner publishes the views. It is safe for concurrent use.
 type Publisher struct {
 	mu      sync.RWMutex
 	view    View
 	changed chan struct{}
 }
 
-// NewBox returns an empty Box, whose view is not valid.
+// NewPublisher returns a Publisher with an empty view, which is not valid.
 func NewPublisher() *Publisher {
 	return &Publisher{changed: make(chan struct{})}
 }
 
 // Current implements Source.
-func (b *Publisher) Current() View {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return b.view
+func (p *Publisher) Current() View {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	return p.view
 }
 
 // Changed implements Source.
-func (b *Publisher) Changed() <-chan struct{} {
-	b.mu.RLock()
-	defer b.mu.RUnlock()
-	return b.changed
+func (p *Publisher) Changed() <-chan struct{} {
+	p.mu.RLock()
+	defer p.mu.RUnlock()
+	return p.changed
 }
 
-// Publish replaces the view and wakes watchers when the state differs.
-func (b *Publisher) Publish(v View) {
-	b.mu.Lock()
-	defer b.mu.Unlock()
-	stateChanged := b.view.State != v.State
-	b.view = v
+// Publish replaces the view, and closes the channel of Changed when the state differs.
+func (p *Publisher) Publish(v View) {
+	p.mu.Lock()
+	defer p.mu.Unlock()
+	stateChanged := p.view.State != v.State
+	p.view = v
 	if stateChanged {
-		close(b.changed)
-		b.changed = make(chan struct{})
+		close(p.changed)
+		p.changed = make(chan struct{})
 	}
 }
--- a/internal/watch/prober.go
+++ b/internal/watch/prober.go
@@ -1,6 +1,6 @@
-// Package watch probes the endpoints of database groups: on entry hosts for
-// the failure domain that the host stands in, on the control leader when a
-// failover asks for positions. It also orders promotions.
+// Package watch probes the endpoints of database groups: on entry hosts on behalf of
+// the host's failure domain, on the control leader when a failover requests positions.
+// It also sends the orders to promote an endpoint.
 package watch
 
 import (
@@ -16,8 +16,8 @@
 	"github.com/galenabridge/galenabridge/internal/pgback"
 )
 
-// Questions to an endpoint. A replica that has received nothing since its start
-// reports what it has replayed.
+// Queries to an endpoint. A replica that has received nothing since its start has no
+// receive position, so that its replay position counts.
 const (
 	queryCondition = "SELECT pg_is_in_recovery(); SELECT timeline_id FROM pg_control_checkpoint()"
 	queryPrimary   = "SELECT pg_current_wal_lsn()"
@@ -25,14 +25,15 @@
 	queryPromote   = "SELECT pg_promote()"
 )
 
-// Prober keeps one connection to each endpoint that it is asked about. It is
-// safe for concurrent use; questions to one endpoint take turns.
+// Prober probes endpoints and keeps one connection to each. It is safe for concurrent
+// use; queries to one endpoint run one at a time.
 type Prober struct {
 	mu        sync.Mutex
 	endpoints map[string]*endpointConn
 }
 
-// probe is the connection to one endpoint. turn holds one token.
+// endpointConn is the connection to one endpoint. A call holds the only token of sem
+// while it uses the connection.
 type endpointConn struct {
 	sem    chan struct{}
 	target pgback.Target
@@ -44,13 +45,13 @@
 	return &Prober{endpoints: make(map[string]*endpointConn)}
 }
 
-// Probe implements control.Databases. An endpoint that does not answer before
-// ctx ends is not reachable.
+// Probe implements control.Databases. It returns a Condition with Reachable false for
+// an endpoint that does not answer before ctx ends.
 func (p *Prober) Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.probeWith(ctx, service, e, readCondition)
 }
 
-// Glance is like Probe but leaves the position out, which saves a round trip.
+// ProbeRole is like Probe but omits the position, which saves a round trip.
 func (p *Prober) ProbeRole(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.probeWith(ctx, service, e, readRole)
 }
@@ -71,15 +72,15 @@
 	return c
 }
 
-// Promote implements control.Databases. It does nothing on a primary.
+// Promote implements control.Databases. It has no effect on a primary.
 func (p *Prober) Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error) {
 	err := p.withConn(ctx, o.Service, o.Endpoint, func(conn *pgback.Conn) error {
 		rows, err := conn.Query(ctx, queryCondition)
 		if err != nil {
 			return err
 		}
-		recovering, err := cell(rows, 0)
-		if err != nil || recovering != "t" {
+		inRecovery, err := cell(rows, 0)
+		if err != nil || inRecovery != "t" {
 			return err
 		}
 		_, err = conn.Query(ctx, queryPromote)
@@ -91,7 +92,8 @@
 	return failover.OrderAccepted, nil
 }
 
-// Forget closes the connections to endpoints for which keep is false.
+// CloseExcept closes the connections to endpoints for which keep is false, except those
+// in use.
 func (p *Prober) CloseExcept(keep func(endpoint string) bool) {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -104,69 +106,71 @@
 			e.close()
 			delete(p.endpoints, id)
 			e.sem <- struct{}{}
-		default: // in use; the next call closes it
+		default: // in use; a later call closes it
 		}
 	}
 }
 
-// with runs ask on the connection to the endpoint, which it opens when needed
+// withConn calls use with the connection to the endpoint, which it opens when needed
 // and closes after a failure.
-func (p *Prober) withConn(ctx context.Context, service note.Service, e agreed.Endpoint, ask func(*pgback.Conn) error) error {
+func (p *Prober) withConn(ctx context.Context, service note.Service, e agreed.Endpoint, use func(*pgback.Conn) error) error {
 	target := pgback.Target{
 		Endpoint: e.ID, Addr: e.Addr,
 		Database: service.Database, User: service.User, Password: service.Password,
 	}
-	pr := p.get(e.ID)
+	ec := p.get(e.ID)
 	select {
-	case <-pr.sem:
+	case <-ec.sem:
 	case <-ctx.Done():
 		return ctx.Err()
 	}
-	defer func() { pr.sem <- struct{}{} }()
-	if err := pr.open(ctx, target); err != nil {
+	defer func() { ec.sem <- struct{}{} }()
+	if err := ec.open(ctx, target); err != nil {
 		return err
 	}
-	err := ask(pr.conn)
+	err := use(ec.conn)
 	if err != nil {
-		pr.close()
+		ec.close()
 	}
 	return err
 }
 
+// get returns the endpoint's entry, which it creates when needed.
 func (p *Prober) get(endpoint string) *endpointConn {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	pr, ok := p.endpoints[endpoint]
+	ec, ok := p.endpoints[endpoint]
 	if !ok {
-		pr = &endpointConn{sem: make(chan struct{}, 1)}
-		pr.sem <- struct{}{}
-		p.endpoints[endpoint] = pr
+		ec = &endpointConn{sem: make(chan struct{}, 1)}
+		ec.sem <- struct{}{}
+		p.endpoints[endpoint] = ec
 	}
-	return pr
+	return ec
 }
 
-func (pr *endpointConn) open(ctx context.Context, target pgback.Target) error {
-	if pr.conn != nil && pr.target != target {
-		pr.close()
+func (ec *endpointConn) open(ctx context.Context, target pgback.Target) error {
+	if ec.conn != nil && ec.target != target {
+		ec.close()
 	}
-	if pr.conn != nil {
+	if ec.conn != nil {
 		return nil
 	}
 	conn, err := pgback.Dial(ctx, target)
 	if err != nil {
 		return err
 	}
-	pr.conn, pr.target = conn, target
+	ec.conn, ec.target = conn, target
 	return nil
 }
 
-func (pr *endpointConn) close() {
-	if pr.conn != nil {
-		pr.conn.Close()
-		pr.conn = nil
+func (ec *endpointConn) close() {
+	if ec.conn != nil {
+		ec.conn.Close()
+		ec.conn = nil
 	}
 }
 
+// readCondition queries role, timeline and position.
 func readCondition(ctx context.Context, conn *pgback.Conn) (failover.Condition, error) {
 	c, err := readRole(ctx, conn)
 	if err != nil {
@@ -176,18 +180,18 @@
 	return c, err
 }
 
-// readRole asks for role and timeline.
+// readRole queries the role and the timeline.
 func readRole(ctx context.Context, conn *pgback.Conn) (failover.Condition, error) {
 	c := failover.Condition{Reachable: true}
 	rows, err := conn.Query(ctx, queryCondition)
 	if err != nil {
 		return c, err
 	}
-	recovering, err := cell(rows, 0)
+	inRecovery, err := cell(rows, 0)
 	if err != nil {
 		return c, err
 	}
-	c.InRecovery = recovering == "t"
+	c.InRecovery = inRecovery == "t"
 	text, err := cell(rows, 1)
 	if err != nil {
 		return c, err
@@ -200,12 +204,14 @@
 	return c, nil
 }
 
+// readPosition returns the flushed position of a primary, or the greater of the
+// received and replayed positions of a replica.
 func readPosition(ctx context.Context, conn *pgback.Conn, inRecovery bool) (uint64, error) {
-	question := queryPrimary
+	query := queryPrimary
 	if inRecovery {
-		question = queryReplica
+		query = queryReplica
 	}
-	rows, err := conn.Query(ctx, question)
+	rows, err := conn.Query(ctx, query)
 	if err != nil {
 		return 0, err
 	}
@@ -216,7 +222,7 @@
 			return 0, err
 		}
 		if text == "" {
-			continue // a null
+			continue // NULL
 		}
 		lsn, err := pgback.ParseLSN(text)
 		if err != nil {
@@ -227,10 +233,10 @@
 	return position, nil
 }
 
-// cell returns the only value of the i-th statement's answer.
+// cell returns the only value in the result of the i-th statement.
 func cell(rows []pgback.Rows, i int) (string, error) {
 	if i >= len(rows) || len(rows[i]) != 1 || len(rows[i][0]) != 1 {
-		return "", errors.New("unexpected answer of the endpoint")
+		return "", errors.New("endpoint returned a result that is not a single value")
 	}
 	return rows[i][0][0], nil
 }
--- a/internal/watch/prober_test.go
+++ b/internal/watch/prober_test.go
@@ -49,7 +49,7 @@
 	if c := p.Probe(ctx, service, replica); !c.Reachable || !c.InRecovery {
 		t.Errorf("replica: %+v", c)
 	}
-	for range 2 { // the second order does nothing
+	for range 2 { // the second order has no effect
 		outcome, err := p.Promote(ctx, failover.Order{Service: service, Endpoint: replica})
 		if err != nil || outcome != failover.OrderAccepted {
 			t.Fatal(outcome, err)
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -13,19 +13,20 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// probeTimeout bounds one probe of a watcher.
+// probeTimeout is the time limit of one probe of a watcher.
 const probeTimeout = 2 * failover.ProbeInterval
 
-// Watcher probes the endpoints that this host watches for its failure domain
-// and reports each probe.
+// Watcher probes the endpoints that this host watches for its failure domain, and
+// reports their condition: at every probe while an endpoint is lost, otherwise when the
+// condition changes and every failover.ReportInterval.
 type Watcher struct {
 	host   string
 	domain string
 	view   view.Source
 	report func(control.Observation)
 	prober *Prober
-	// duties remembers the assignment of endpoints; it holds as long as the
-	// registered hosts and the regions do.
+	// assignments caches whether this host watches an endpoint. It is valid as long as
+	// the registered hosts and the regions of the failure domains stay the same.
 	assignments  map[string]bool
 	hostsChanged uint64 // revision of the last change of the hosts
 	regions      map[string]string
@@ -36,33 +37,34 @@
 	return &Watcher{host: host, domain: domain, view: src, report: report, prober: NewProber()}
 }
 
-// watched is an endpoint with the service that it belongs to.
+// probeTarget is an endpoint to probe, with its service.
 type probeTarget struct {
 	service  note.Service
 	endpoint agreed.Endpoint
-	// primary tells that the endpoint is its group's primary, which is on the
-	// timeline unless that is zero.
+	// primary is set for the primary of a group, which must be on the given timeline
+	// unless that is zero.
 	primary  bool
 	timeline uint32
 }
 
 // interval is the time between two probes.
-func (w probeTarget) interval() time.Duration {
-	if w.primary {
+func (t probeTarget) interval() time.Duration {
+	if t.primary {
 		return failover.ProbeInterval
 	}
 	return failover.ReplicaProbeInterval
 }
 
-// lost reports whether a condition speaks against the endpoint.
-func (w probeTarget) reportsLoss(c failover.Condition) bool {
-	if !c.Reachable || !w.primary {
+// reportsLoss reports whether the condition finds the endpoint lost. A primary is also
+// lost when it is in recovery or on another timeline.
+func (t probeTarget) reportsLoss(c failover.Condition) bool {
+	if !c.Reachable || !t.primary {
 		return !c.Reachable
 	}
-	return c.InRecovery || (w.timeline != 0 && c.Timeline != w.timeline)
+	return c.InRecovery || (t.timeline != 0 && c.Timeline != t.timeline)
 }
 
-// Run probes until ctx ends.
+// Run probes the assigned endpoints until ctx ends, and follows changes of the view.
 func (w *Watcher) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
 	running := make(map[string]runningProbe)
@@ -82,7 +84,7 @@
 	}
 }
 
-// watch is a running probe of one endpoint.
+// runningProbe is the running probe of one endpoint.
 type runningProbe struct {
 	probeTarget
 	stop context.CancelFunc
@@ -94,15 +96,15 @@
 	}
 }
 
-// adjust starts and stops probes so that exactly the wanted ones run.
-func (w *Watcher) reconcile(ctx context.Context, tasks *sync.WaitGroup, running map[string]runningProbe, wanted map[string]probeTarget) {
+// reconcile starts and stops probes so that exactly the desired ones run.
+func (w *Watcher) reconcile(ctx context.Context, tasks *sync.WaitGroup, running map[string]runningProbe, desired map[string]probeTarget) {
 	for id, r := range running {
-		if wanted[id] != r.probeTarget {
+		if desired[id] != r.probeTarget {
 			r.stop()
 			delete(running, id)
 		}
 	}
-	for id, target := range wanted {
+	for id, target := range desired {
 		if _, ok := running[id]; ok {
 			continue
 		}
@@ -116,7 +118,8 @@
 	})
 }
 
-// assigned returns the endpoints that this host watches in the current view.
+// assignedEndpoints returns the endpoints that this host watches in the current view,
+// by id.
 func (w *Watcher) assignedEndpoints() map[string]probeTarget {
 	state := w.view.Current().State
 	if state == nil {
@@ -124,29 +127,30 @@
 	}
 	w.dropStaleAssignments(state)
 	var electorate *failover.Electorate
-	mine := make(map[string]probeTarget)
+	targets := make(map[string]probeTarget)
 	for id, e := range state.Endpoints {
-		duty, known := w.assignments[id]
-		if !known {
+		assigned, cached := w.assignments[id]
+		if !cached {
 			if electorate == nil {
 				electorate = failover.NewElectorate(failover.EntryHosts(state))
 			}
-			duty = electorate.Watches(w.host, w.domain, id)
-			w.assignments[id] = duty
+			assigned = electorate.Watches(w.host, w.domain, id)
+			w.assignments[id] = assigned
 		}
 		service, ok := state.Catalog.Services[e.Service]
-		if ok && duty {
+		if ok && assigned {
 			group := state.Groups[e.Service]
-			mine[id] = probeTarget{
+			targets[id] = probeTarget{
 				service: service, endpoint: e,
 				primary: group.Primary == id, timeline: group.Timeline,
 			}
 		}
 	}
-	return mine
+	return targets
 }
 
-// forgetDuties drops the remembered assignment when what it rests on changed.
+// dropStaleAssignments clears the cached assignments when the registered hosts or the
+// regions have changed.
 func (w *Watcher) dropStaleAssignments(state *agreed.State) {
 	regions := make(map[string]string, len(state.Catalog.Domains))
 	for name, domain := range state.Catalog.Domains {
@@ -159,7 +163,7 @@
 	w.hostsChanged, w.regions = state.HostsChanged, regions
 }
 
-// probe observes one endpoint at every interval.
+// probe observes one endpoint at every interval until ctx ends.
 func (w *Watcher) probe(ctx context.Context, target probeTarget) {
 	ticker := time.NewTicker(target.interval())
 	defer ticker.Stop()
@@ -174,14 +178,15 @@
 	}
 }
 
-// reported is the latest report on an endpoint.
+// lastReport is the latest report on an endpoint.
 type lastReport struct {
 	at        time.Time
 	condition failover.Condition
 }
 
-// due reports whether a condition must be reported: at every probe while it
-// speaks against the endpoint, when it has changed, and now and then.
+// mustReport reports whether a condition must be reported: at every probe while the
+// endpoint is lost, when the condition other than the position has changed, and every
+// failover.ReportInterval.
 func (r lastReport) mustReport(now time.Time, target probeTarget, c failover.Condition) bool {
 	if target.reportsLoss(c) || now.Sub(r.at) >= failover.ReportInterval {
 		return true
@@ -190,6 +195,7 @@
 	return c != r.condition
 }
 
+// observe probes the endpoint once and reports its condition if that is due.
 func (w *Watcher) observe(ctx context.Context, target probeTarget, last *lastReport) {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
--- a/internal/watch/watcher_test.go
+++ b/internal/watch/watcher_test.go
@@ -7,12 +7,14 @@
 	"github.com/galenabridge/galenabridge/internal/failover"
 )
 
+// TestMustReportLossAtEveryProbe guards against votes that expire because an unchanged
+// loss is reported only once per ReportInterval.
 func TestMustReportLossAtEveryProbe(t *testing.T) {
 	now := time.Unix(1000, 0)
 	primary := probeTarget{primary: true, timeline: 3}
-	well := failover.Condition{Reachable: true, Timeline: 3, Position: 7}
+	healthy := failover.Condition{Reachable: true, Timeline: 3, Position: 7}
 	recovering := failover.Condition{Reachable: true, InRecovery: true, Timeline: 3}
-	later := well
+	later := healthy
 	later.Position++
 	for _, c := range []struct {
 		name   string
@@ -21,22 +23,22 @@
 		after  time.Duration
 		want   bool
 	}{
-		{"well again", primary, later, time.Second, false},
-		{"well after the interval", primary, later, failover.ReportInterval, true},
+		{"healthy, position changed", primary, later, time.Second, false},
+		{"healthy after the interval", primary, later, failover.ReportInterval, true},
 		{"lost", primary, failover.Condition{}, 0, true},
 		{"primary in recovery", primary, recovering, 0, true},
 		{"primary on another timeline", primary, failover.Condition{Reachable: true, Timeline: 4}, 0, true},
 		{"replica changed", probeTarget{}, recovering, 0, true},
 	} {
-		last := lastReport{at: now, condition: well}
+		last := lastReport{at: now, condition: healthy}
 		if got := last.mustReport(now.Add(c.after), c.target, c.seen); got != c.want {
-			t.Errorf("%s: due=%t", c.name, got)
+			t.Errorf("%s: mustReport returns %t", c.name, got)
 		}
 	}
-	for _, against := range []failover.Condition{{}, recovering} {
-		last := lastReport{at: now, condition: against}
-		if !last.mustReport(now, primary, against) {
-			t.Errorf("an unchanged condition against the primary is not repeated: %+v", against)
+	for _, loss := range []failover.Condition{{}, recovering} {
+		last := lastReport{at: now, condition: loss}
+		if !last.mustReport(now, primary, loss) {
+			t.Errorf("an unchanged loss of the primary is not reported again: %+v", loss)
 		}
 	}
 }
