--- a/internal/failover/machine.go
+++ b/internal/failover/machine.go
@@ -20,7 +20,7 @@
 // state; the fields below may be lost at any time. A new leader starts with a new
 // Machine, sends it the View and continues at the recorded step.
 //
-// It emits no effects before its first View.
+// A Machine emits no effects before its first View.
 type Machine struct {
 	cfg     Config
 	view    View
--- a/internal/failover/machineset.go
+++ b/internal/failover/machineset.go
@@ -29,31 +29,31 @@
 // SetState sends the agreed state to all machines, starts those of new groups and
 // drops those of removed ones. The leaving set holds the endpoints that requested to
 // be taken out of use.
-func (f *MachineSet) SetState(now time.Time, s *agreed.State, leaving map[string]bool) []Effect {
-	f.state, f.leaving = s, leaving
-	f.services = slices.Sorted(maps.Keys(s.Groups))
+func (ms *MachineSet) SetState(now time.Time, s *agreed.State, leaving map[string]bool) []Effect {
+	ms.state, ms.leaving = s, leaving
+	ms.services = slices.Sorted(maps.Keys(s.Groups))
 	electorate := NewElectorate(EntryHosts(s))
-	for service := range f.machines {
+	for service := range ms.machines {
 		if _, ok := s.Groups[service]; !ok {
-			delete(f.machines, service)
+			delete(ms.machines, service)
 		}
 	}
 	var effects []Effect
-	for _, service := range f.services {
-		m := f.machines[service]
+	for _, service := range ms.services {
+		m := ms.machines[service]
 		if m == nil {
-			m = New(f.cfg)
-			f.machines[service] = m
-			m.Step(now, Settled{Revision: f.settled})
+			m = New(ms.cfg)
+			ms.machines[service] = m
+			m.Step(now, Settled{Revision: ms.settled})
 		}
-		effects = append(effects, m.Step(now, f.view(service, electorate))...)
+		effects = append(effects, m.Step(now, ms.view(service, electorate))...)
 	}
 	return effects
 }
 
 // Step sends an event to the machine of a service. It ignores unknown services.
-func (f *MachineSet) Step(now time.Time, service string, event Event) []Effect {
-	m := f.machines[service]
+func (ms *MachineSet) Step(now time.Time, service string, event Event) []Effect {
+	m := ms.machines[service]
 	if m == nil {
 		return nil
 	}
@@ -61,27 +61,27 @@
 }
 
 // StepAll sends an event, such as Settled or Tick, to all machines.
-func (f *MachineSet) StepAll(now time.Time, event Event) []Effect {
+func (ms *MachineSet) StepAll(now time.Time, event Event) []Effect {
 	if s, ok := event.(Settled); ok {
-		f.settled = max(f.settled, s.Revision)
+		ms.settled = max(ms.settled, s.Revision)
 	}
 	var effects []Effect
-	for _, service := range f.services {
-		effects = append(effects, f.machines[service].Step(now, event)...)
+	for _, service := range ms.services {
+		effects = append(effects, ms.machines[service].Step(now, event)...)
 	}
 	return effects
 }
 
 // Reason returns why a group is not active, or what it waits for.
-func (f *MachineSet) Reason(service string) string {
-	if m := f.machines[service]; m != nil {
+func (ms *MachineSet) Reason(service string) string {
+	if m := ms.machines[service]; m != nil {
 		return m.reason
 	}
 	return ""
 }
 
-func (f *MachineSet) view(service string, electorate *Electorate) View {
-	s := f.state
+func (ms *MachineSet) view(service string, electorate *Electorate) View {
+	s := ms.state
 	group := s.Groups[service]
 	v := View{
 		Group:      group,
@@ -98,7 +98,7 @@
 			Endpoint:  id,
 			Domain:    domain,
 			DomainOut: s.Catalog.Domains[domain].Out,
-			Leaving:   f.leaving[id] || s.Endpoints[id].Leaving,
+			Leaving:   ms.leaving[id] || s.Endpoints[id].Leaving,
 		})
 	}
 	return v
--- a/internal/failover/types.go
+++ b/internal/failover/types.go
@@ -148,7 +148,7 @@
 	Domain   string
 	// DomainOut reports that the member's failure domain is out of use.
 	DomainOut bool
-	// Leaving reports that the endpoint asked to be taken out of use.
+	// Leaving reports that the endpoint requested to be taken out of use.
 	Leaving bool
 }
 
--- a/internal/lease/broker.go
+++ b/internal/lease/broker.go
@@ -290,9 +290,9 @@
 // was replaced or removed since may still hold a lease. With exclusive identities
 // a replaced process has ended, and the lease of a removed one ended before its
 // removal, so that only the registered processes matter.
-func (b *Broker) Settle(now time.Time, revision uint64, e Registrations) uint64 {
+func (b *Broker) Settle(now time.Time, revision uint64, registered Registrations) uint64 {
 	b.expire(now)
-	if now.Before(b.unknownLeasesUntil) && !b.allRegisteredCounted(e) {
+	if now.Before(b.unknownLeasesUntil) && !b.allRegisteredCounted(registered) {
 		return b.settled
 	}
 	b.settled = max(b.settled, min(revision, b.minApplied()))
@@ -307,12 +307,12 @@
 
 // allRegisteredCounted reports whether no process other than the counted holders can
 // hold a lease of a former leader that allows it to act; see Settle.
-func (b *Broker) allRegisteredCounted(e Registrations) bool {
-	if e.Changed > b.settled && !b.cfg.Exclusive {
+func (b *Broker) allRegisteredCounted(registered Registrations) bool {
+	if registered.Changed > b.settled && !b.cfg.Exclusive {
 		return false
 	}
 	counted := b.holders()
-	for _, id := range e.Holders {
+	for _, id := range registered.Holders {
 		at, ok := slices.BinarySearchFunc(counted, id, compareID)
 		replaced := b.cfg.Exclusive && at < len(counted) && counted[at].Host == id.Host
 		if !ok && !replaced {
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -103,7 +103,7 @@
 	}
 }
 
-func TestNewLeaderSettlesOnceRegisteredHoldersAsked(t *testing.T) {
+func TestNewLeaderSettlesOnceRegisteredHoldersAreCounted(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
 	e := Registrations{Holders: []ID{{"h", 1}}, Changed: 2}
