--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -62,7 +62,7 @@
 	fresh   *freshness
 
 	mu        sync.Mutex
-	usual     *pacing.Usual
+	usual     *pacing.Baseline
 	endpoints map[string]*endpoint
 	sessions  map[*Session]struct{}
 
@@ -77,7 +77,7 @@
 // NewServer returns a Server that Run must drive.
 func NewServer(opts Options) *Server {
 	s := &Server{
-		opts: opts, metrics: newMetrics(opts.Registerer), fresh: newFreshness(), usual: pacing.NewUsual(),
+		opts: opts, metrics: newMetrics(opts.Registerer), fresh: newFreshness(), usual: pacing.NewBaseline(),
 		endpoints: make(map[string]*endpoint), sessions: make(map[*Session]struct{}),
 	}
 	s.gate = gate.New(admit.PolicyFair, s.slots, s.ready)
@@ -107,7 +107,7 @@
 	s.mu.Lock()
 	e := s.endpoints[id]
 	s.mu.Unlock()
-	return e != nil && e.pool.IdleWith(workspace)
+	return e != nil && e.pool.HasIdle(workspace)
 }
 
 // excess notes the time of a statement and returns by how much it is above the
@@ -182,7 +182,7 @@
 
 // sameProcess reports whether two records tell of one process.
 func sameProcess(a, b agreed.Endpoint) bool {
-	return a.ID == b.ID && a.Addr == b.Addr && a.Service == b.Service && a.Born == b.Born
+	return a.ID == b.ID && a.Addr == b.Addr && a.Service == b.Service && a.StartedMS == b.StartedMS
 }
 
 // endpoint returns the endpoint of a record, which it begins to use.
@@ -245,8 +245,8 @@
 	for _, e := range s.used() {
 		u := limits.Usage{
 			Service: e.record.Service, Endpoint: e.record.ID,
-			Connections: e.pool.Stats().Open, WantedConnections: e.pool.TakePeak(),
-			OwnSlots: true,
+			Connections: e.pool.Stats().Open, ConnectionDemand: e.pool.TakePeak(),
+			NoSlotLease: true,
 		}
 		all = append(all, u)
 	}
@@ -284,9 +284,9 @@
 // Sessions returns the number of open sessions.
 func (s *Server) Sessions() int { return len(s.list()) }
 
-// Abort ends every transaction that waits for its caller, for the second half of
+// AbortTransactions ends every transaction that waits for its caller, for the second half of
 // a shutdown.
-func (s *Server) Abort() {
+func (s *Server) AbortTransactions() {
 	for _, session := range s.list() {
 		session.expire(clock.Now(), 0)
 	}
--- a/internal/failover/sealed.go
+++ b/internal/failover/sealed.go
@@ -148,7 +148,7 @@
 		return
 	}
 	m.setStatus("sealed: promoting " + g.Candidate)
-	if g.Chooser != m.cfg.Chooser || m.orderExpired(now) {
+	if g.ChooserTerm != m.cfg.Chooser || m.orderExpired(now) {
 		m.proposeCandidate(now, g.Candidate)
 		return
 	}
@@ -164,7 +164,7 @@
 // is this leader's, and rejects all lower ones. It is always true unless Fenced is set.
 func (m *Machine) ownOrderIsLatest() bool {
 	g := m.view.Group
-	return !m.cfg.Fenced || g.Chooser == m.cfg.Chooser && m.acceptedFence == g.Changed
+	return !m.cfg.Fenced || g.ChooserTerm == m.cfg.Chooser && m.acceptedFence == g.Changed
 }
 
 // orderExpired reports whether another order is due: the last one got no answer, or
--- a/internal/watch/prober.go
+++ b/internal/watch/prober.go
@@ -45,7 +45,7 @@
 	return &Prober{endpoints: make(map[string]*endpointConn)}
 }
 
-// Probe implements control.Databases. It returns a Condition with Reachable false for
+// Probe implements control.EndpointManager. It returns a Condition with Reachable false for
 // an endpoint that does not answer before ctx ends.
 func (p *Prober) Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.probeWith(ctx, service, e, readCondition)
@@ -72,7 +72,7 @@
 	return c
 }
 
-// Promote implements control.Databases. It has no effect on a primary.
+// Promote implements control.EndpointManager. It has no effect on a primary.
 func (p *Prober) Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error) {
 	err := p.withConn(ctx, o.Service, o.Endpoint, func(conn *pgback.Conn) error {
 		rows, err := conn.Query(ctx, queryCondition)
