--- a/internal/lease/broker.go
+++ b/internal/lease/broker.go
@@ -93,8 +93,8 @@
 	OK    RenewOK
 }
 
-// NewBroker returns a Broker without subscribers or waiting requests. Its rounds are numbered above
-// seq, which must exceed all numbers that the process has used before.
+// NewBroker returns a Broker without subscribers. Its rounds are numbered above seq,
+// which must exceed all numbers that the process has used before.
 func NewBroker(cfg Config, seq uint64) *Broker {
 	return &Broker{cfg: cfg, lastRound: seq, sessions: make(map[sessionKey]*session), released: make(map[sessionKey]uint64)}
 }
