--- a/internal/watch/prober_test.go
+++ b/internal/watch/prober_test.go
@@ -32,7 +32,7 @@
 	return group
 }
 
-func TestProbeSeesRolesAndPromotion(t *testing.T) {
+func TestProbeReportsRolesAndPromotion(t *testing.T) {
 	group := startGroup(t)
 	p := NewProber()
 	defer p.CloseExcept(func(string) bool { return false })
@@ -49,7 +49,7 @@
 	if c := p.Probe(ctx, service, replica); !c.Reachable || !c.InRecovery {
 		t.Errorf("replica: %+v", c)
 	}
-	for range 2 { // the second order does nothing
+	for range 2 { // the second order has no effect
 		outcome, err := p.Promote(ctx, failover.Order{Service: service, Endpoint: replica})
 		if err != nil || outcome != failover.OrderAccepted {
 			t.Fatal(outcome, err)
@@ -61,7 +61,7 @@
 	}
 }
 
-func TestProbeReportsALostEndpoint(t *testing.T) {
+func TestProbeReportsLostEndpoint(t *testing.T) {
 	group := startGroup(t)
 	p := NewProber()
 	defer p.CloseExcept(func(string) bool { return false })
--- a/internal/watch/watcher.go
+++ b/internal/watch/watcher.go
@@ -13,22 +13,23 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// probeTimeout bounds one probe of a watcher.
+// probeTimeout is the time limit of one probe of a watcher.
 const probeTimeout = 2 * failover.ProbeInterval
 
-// Watcher probes the endpoints that this host watches for its failure domain
-// and reports each probe.
+// Watcher probes the endpoints that this host watches for its failure domain, and
+// reports their condition: at every probe while an endpoint is lost, otherwise when the
+// condition changes and every failover.ReportInterval.
 type Watcher struct {
 	host   string
 	domain string
 	view   view.Source
 	report func(control.Observation)
 	prober *Prober
-	// duties remembers the assignment of endpoints; it holds as long as the
-	// registered hosts and the regions do.
-	duties  map[string]bool
-	hosts   uint64 // revision of the last change of the hosts
-	regions map[string]string
+	// assignments caches whether this host watches an endpoint. It is valid as long as
+	// the registered hosts and the regions of the failure domains stay the same.
+	assignments  map[string]bool
+	hostsChanged uint64 // revision of the last change of the hosts
+	regions      map[string]string
 }
 
 // NewWatcher returns a watcher that passes its observations to report.
@@ -36,36 +37,37 @@
 	return &Watcher{host: host, domain: domain, view: src, report: report, prober: NewProber()}
 }
 
-// watched is an endpoint with the service that it belongs to.
-type watched struct {
+// probeTarget is an endpoint to probe, with its service.
+type probeTarget struct {
 	service  note.Service
 	endpoint agreed.Endpoint
-	// primary tells that the endpoint is its group's primary, which is on the
-	// timeline unless that is zero.
+	// primary is set for the primary of a group, which must be on the given timeline
+	// unless that is zero.
 	primary  bool
 	timeline uint32
 }
 
 // interval is the time between two probes.
-func (w watched) interval() time.Duration {
-	if w.primary {
+func (t probeTarget) interval() time.Duration {
+	if t.primary {
 		return failover.ProbeInterval
 	}
 	return failover.ReplicaProbeInterval
 }
 
-// lost reports whether a condition speaks against the endpoint.
-func (w watched) lost(c failover.Condition) bool {
-	if !c.Reachable || !w.primary {
+// reportsLoss reports whether the condition finds the endpoint lost. A primary is also
+// lost when it is in recovery or on another timeline.
+func (t probeTarget) reportsLoss(c failover.Condition) bool {
+	if !c.Reachable || !t.primary {
 		return !c.Reachable
 	}
-	return c.InRecovery || (w.timeline != 0 && c.Timeline != w.timeline)
+	return c.InRecovery || (t.timeline != 0 && c.Timeline != t.timeline)
 }
 
-// Run probes until ctx ends.
+// Run probes the assigned endpoints until ctx ends, and follows changes of the view.
 func (w *Watcher) Run(ctx context.Context) error {
 	var tasks sync.WaitGroup
-	running := make(map[string]watch)
+	running := make(map[string]runningProbe)
 	defer func() {
 		stopAll(running)
 		tasks.Wait()
@@ -73,7 +75,7 @@
 	}()
 	for {
 		changed := w.view.Changed()
-		w.adjust(ctx, &tasks, running, w.assigned())
+		w.reconcile(ctx, &tasks, running, w.assignedEndpoints())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -82,32 +84,32 @@
 	}
 }
 
-// watch is a running probe of one endpoint.
-type watch struct {
-	watched
+// runningProbe is the running probe of one endpoint.
+type runningProbe struct {
+	probeTarget
 	stop context.CancelFunc
 }
 
-func stopAll(running map[string]watch) {
+func stopAll(running map[string]runningProbe) {
 	for _, r := range running {
 		r.stop()
 	}
 }
 
-// adjust starts and stops probes so that exactly the wanted ones run.
-func (w *Watcher) adjust(ctx context.Context, tasks *sync.WaitGroup, running map[string]watch, wanted map[string]watched) {
+// reconcile starts and stops probes so that exactly the desired ones run.
+func (w *Watcher) reconcile(ctx context.Context, tasks *sync.WaitGroup, running map[string]runningProbe, desired map[string]probeTarget) {
 	for id, r := range running {
-		if wanted[id] != r.watched {
+		if desired[id] != r.probeTarget {
 			r.stop()
 			delete(running, id)
 		}
 	}
-	for id, target := range wanted {
+	for id, target := range desired {
 		if _, ok := running[id]; ok {
 			continue
 		}
 		ctx, stop := context.WithCancel(ctx)
-		running[id] = watch{watched: target, stop: stop}
+		running[id] = runningProbe{probeTarget: target, stop: stop}
 		tasks.Go(func() { w.probe(ctx, target) })
 	}
 	w.prober.CloseExcept(func(id string) bool {
@@ -116,54 +118,56 @@
 	})
 }
 
-// assigned returns the endpoints that this host watches in the current view.
-func (w *Watcher) assigned() map[string]watched {
+// assignedEndpoints returns the endpoints that this host watches in the current view,
+// by id.
+func (w *Watcher) assignedEndpoints() map[string]probeTarget {
 	state := w.view.Current().State
 	if state == nil {
 		return nil
 	}
-	w.forgetDuties(state)
+	w.dropStaleAssignments(state)
 	var electorate *failover.Electorate
-	mine := make(map[string]watched)
+	targets := make(map[string]probeTarget)
 	for id, e := range state.Endpoints {
-		duty, known := w.duties[id]
-		if !known {
+		assigned, cached := w.assignments[id]
+		if !cached {
 			if electorate == nil {
 				electorate = failover.NewElectorate(failover.EntryHosts(state))
 			}
-			duty = electorate.Watches(w.host, w.domain, id)
-			w.duties[id] = duty
+			assigned = electorate.Watches(w.host, w.domain, id)
+			w.assignments[id] = assigned
 		}
 		service, ok := state.Catalog.Services[e.Service]
-		if ok && duty {
+		if ok && assigned {
 			group := state.Groups[e.Service]
-			mine[id] = watched{
+			targets[id] = probeTarget{
 				service: service, endpoint: e,
 				primary: group.Primary == id, timeline: group.Timeline,
 			}
 		}
 	}
-	return mine
+	return targets
 }
 
-// forgetDuties drops the remembered assignment when what it rests on changed.
-func (w *Watcher) forgetDuties(state *agreed.State) {
+// dropStaleAssignments clears the cached assignments when the registered hosts or the
+// regions have changed.
+func (w *Watcher) dropStaleAssignments(state *agreed.State) {
 	regions := make(map[string]string, len(state.Catalog.Domains))
 	for name, domain := range state.Catalog.Domains {
 		regions[name] = domain.Region
 	}
-	if w.duties != nil && w.hosts == state.HostsChanged && maps.Equal(regions, w.regions) {
+	if w.assignments != nil && w.hostsChanged == state.HostsChanged && maps.Equal(regions, w.regions) {
 		return
 	}
-	w.duties = make(map[string]bool, len(state.Endpoints))
-	w.hosts, w.regions = state.HostsChanged, regions
+	w.assignments = make(map[string]bool, len(state.Endpoints))
+	w.hostsChanged, w.regions = state.HostsChanged, regions
 }
 
-// probe observes one endpoint at every interval.
-func (w *Watcher) probe(ctx context.Context, target watched) {
+// probe observes one endpoint at every interval until ctx ends.
+func (w *Watcher) probe(ctx context.Context, target probeTarget) {
 	ticker := time.NewTicker(target.interval())
 	defer ticker.Stop()
-	var last reported
+	var last lastReport
 	for {
 		w.observe(ctx, target, &last)
 		select {
@@ -174,31 +178,33 @@
 	}
 }
 
-// reported is the latest report on an endpoint.
-type reported struct {
+// lastReport is the latest report on an endpoint.
+type lastReport struct {
 	at        time.Time
 	condition failover.Condition
 }
 
-// due reports whether a condition must be reported: at every probe while it
-// speaks against the endpoint, when it has changed, and now and then.
-func (r reported) due(now time.Time, target watched, c failover.Condition) bool {
-	if target.lost(c) || now.Sub(r.at) >= failover.ReportInterval {
+// mustReport reports whether a condition must be reported: at every probe while the
+// endpoint is lost, when the condition other than the position has changed, and every
+// failover.ReportInterval.
+func (r lastReport) mustReport(now time.Time, target probeTarget, c failover.Condition) bool {
+	if target.reportsLoss(c) || now.Sub(r.at) >= failover.ReportInterval {
 		return true
 	}
 	c.Position, r.condition.Position = 0, 0
 	return c != r.condition
 }
 
-func (w *Watcher) observe(ctx context.Context, target watched, last *reported) {
+// observe probes the endpoint once and reports its condition if that is due.
+func (w *Watcher) observe(ctx context.Context, target probeTarget, last *lastReport) {
 	probeCtx, cancel := context.WithTimeout(ctx, probeTimeout)
 	defer cancel()
 	condition := w.prober.ProbeRole(probeCtx, target.service, target.endpoint)
 	now := time.Now()
-	if ctx.Err() != nil || !last.due(now, target, condition) {
+	if ctx.Err() != nil || !last.mustReport(now, target, condition) {
 		return
 	}
-	*last = reported{at: now, condition: condition}
+	*last = lastReport{at: now, condition: condition}
 	w.report(control.Observation{
 		Service:   target.service.Name,
 		Endpoint:  target.endpoint.ID,
