--- a/internal/admit/fair.go
+++ b/internal/admit/fair.go
@@ -12,7 +12,7 @@
 	// initialCost is the assumed slot time of a workspace's first request.
 	initialCost = 5 * time.Millisecond
 	// minCost is the least slot time that a request is charged.
-	minCost = 50 * time.Microsecond
+	minCharge = 50 * time.Microsecond
 	// costGain is the weight of the newest request in the average slot time.
 	costGain = 0.2
 	// maxIdleFlows is the number of workspaces without waiting requests whose
@@ -44,7 +44,7 @@
 	// active lists the flows with waiters.
 	active []*flow
 	// now is the virtual time: the lowest start tag when a request was last served.
-	now float64
+	virtualTime float64
 }
 
 func newClassQueue() *classQueue {
@@ -55,11 +55,11 @@
 	f := c.flows[w.Workspace]
 	if f == nil {
 		c.prune()
-		f = &flow{workspace: w.Workspace, cost: initialCost, finish: c.now}
+		f = &flow{workspace: w.Workspace, cost: initialCost, finish: c.virtualTime}
 		c.flows[w.Workspace] = f
 	}
 	if len(f.waiters) == 0 {
-		f.start = max(c.now, f.finish)
+		f.start = max(c.virtualTime, f.finish)
 		c.active = append(c.active, f)
 	}
 	f.waiters = append(f.waiters, w)
@@ -88,12 +88,12 @@
 	if len(c.active) == 0 {
 		return nil
 	}
-	next := c.first(nil, math.Inf(1))
+	next := c.lowestTag(nil, math.Inf(1))
 	// The virtual time is that of the flow whose turn it is: one that is passed
 	// over must not lose its place.
-	c.now = max(c.now, next.start)
+	c.virtualTime = max(c.virtualTime, next.start)
 	if ready != nil && !ready(next.workspace) {
-		if f := c.first(ready, next.start+ReadySlack.Seconds()); f != nil {
+		if f := c.lowestTag(ready, next.start+ReadySlack.Seconds()); f != nil {
 			next = f
 		}
 	}
@@ -108,7 +108,7 @@
 // take removes the first waiter, or the newest while the first is late.
 func (f *flow) take(now time.Time) *waiter {
 	at := 0
-	if now.Sub(f.waiters[0].arrived) >= lateAfter {
+	if now.Sub(f.waiters[0].arrived) >= lifoAfter {
 		at = len(f.waiters) - 1
 	}
 	w := f.waiters[at]
@@ -118,7 +118,7 @@
 
 // first returns the flow with the lowest start tag below most, of those that are
 // ready if that matters, or nil.
-func (c *classQueue) first(ready func(workspace string) bool, most float64) *flow {
+func (c *classQueue) lowestTag(ready func(workspace string) bool, most float64) *flow {
 	var next *flow
 	for _, f := range c.active {
 		if f.start > most || next != nil && (f.start > next.start || f.start == next.start && f.workspace > next.workspace) {
@@ -134,13 +134,13 @@
 func (c *classQueue) charge(r Request) time.Duration { return c.flows[r.Workspace].cost }
 
 // settle replaces the charged slot time by the time that was used.
-func (c *classQueue) settle(r runner, used time.Duration) {
+func (c *classQueue) settle(r runningRequest, used time.Duration) {
 	f := c.flows[r.request.Workspace]
 	f.running--
-	used = max(used, minCost)
+	used = max(used, minCharge)
 	correction := (used - r.estimate).Seconds() / r.request.Weight
 	f.finish += correction
-	f.start = max(f.start+correction, c.now)
+	f.start = max(f.start+correction, c.virtualTime)
 	f.cost += time.Duration(costGain * float64(used-f.cost))
 }
 
@@ -150,7 +150,7 @@
 		return
 	}
 	for name, f := range c.flows {
-		if len(f.waiters) == 0 && f.running == 0 && f.finish <= c.now {
+		if len(f.waiters) == 0 && f.running == 0 && f.finish <= c.virtualTime {
 			delete(c.flows, name)
 		}
 	}
@@ -181,7 +181,7 @@
 
 func (f *fair) charge(r Request) time.Duration { return f.classes[r.Class].charge(r) }
 
-func (f *fair) settle(r runner, used time.Duration) {
+func (f *fair) settle(r runningRequest, used time.Duration) {
 	f.classes[r.request.Class].settle(r, used)
 	for _, fl := range f.floors {
 		if fl.class == r.request.Class {
@@ -195,12 +195,12 @@
 		fl.accrue(now, l, len(f.classes[fl.class].active) > 0)
 	}
 	for _, fl := range f.floors {
-		if fl.due(l) && f.mayStart(fl.class, l) {
+		if fl.entitled(l) && f.canStart(fl.class, l) {
 			return f.classes[fl.class].pop(now, f.cfg.Ready)
 		}
 	}
 	for _, class := range precedence {
-		if f.mayStart(class, l) {
+		if f.canStart(class, l) {
 			return f.classes[class].pop(now, f.cfg.Ready)
 		}
 	}
@@ -208,7 +208,7 @@
 }
 
 // mayStart reports whether the class has a waiter and a slot that it may use.
-func (f *fair) mayStart(class note.Class, l load) bool {
+func (f *fair) canStart(class note.Class, l load) bool {
 	bulk := l.running[note.ClassBulk]
 	switch {
 	case len(f.classes[class].active) == 0 || l.slots <= 0:
--- a/internal/admit/fifo.go
+++ b/internal/admit/fifo.go
@@ -30,4 +30,4 @@
 
 func (f *fifo) charge(Request) time.Duration { return 0 }
 
-func (f *fifo) settle(runner, time.Duration) {}
+func (f *fifo) settle(runningRequest, time.Duration) {}
--- a/internal/admit/floor.go
+++ b/internal/admit/floor.go
@@ -16,22 +16,22 @@
 	class note.Class
 	share float64
 	// credit is in seconds of slot time; negative when the class had more.
-	credit  float64
-	updated time.Time
-	waited  bool
+	credit     float64
+	updated    time.Time
+	wasWaiting bool
 }
 
 // accrue adds the credit earned since the last call, and notes whether the
 // class waits from now on.
 func (f *floor) accrue(now time.Time, l load, waits bool) {
-	if f.waited && now.After(f.updated) {
+	if f.wasWaiting && now.After(f.updated) {
 		earned := now.Sub(f.updated).Seconds() * f.share * float64(l.slots)
 		f.credit = min(f.credit+earned, maxCredit.Seconds()*float64(l.slots))
 	}
 	if !waits && f.credit > 0 {
 		f.credit = 0
 	}
-	f.updated, f.waited = now, waits
+	f.updated, f.wasWaiting = now, waits
 }
 
 // spend takes the slot time of an ended request from the credit. The debt is
@@ -45,7 +45,7 @@
 
 // due reports whether the floor entitles the class to the next free slot. A
 // class that already holds its share of the slots is not entitled to more.
-func (f *floor) due(l load) bool {
+func (f *floor) entitled(l load) bool {
 	if f.share <= 0 || f.credit <= 0 {
 		return false
 	}
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -19,14 +19,14 @@
 // Queue admits requests to the slots of one endpoint. It is not safe for
 // concurrent use.
 type Queue struct {
-	cfg       Config
-	order     order
-	waiting   map[uint64]*waiter
-	running   map[uint64]runner
-	byClass   map[note.Class]int
-	queued    map[string]int // waiting requests by workspace
-	deadlines deadlineHeap
-	effects   []Effect
+	cfg        Config
+	discipline discipline
+	waiting    map[uint64]*waiter
+	running    map[uint64]runningRequest
+	byClass    map[note.Class]int
+	queued     map[string]int // waiting requests by workspace
+	deadlines  deadlineHeap
+	effects    []Effect
 }
 
 // New returns an empty Queue.
@@ -34,14 +34,14 @@
 	q := &Queue{
 		cfg:     cfg,
 		waiting: make(map[uint64]*waiter),
-		running: make(map[uint64]runner),
+		running: make(map[uint64]runningRequest),
 		byClass: make(map[note.Class]int),
 		queued:  make(map[string]int),
 	}
 	if cfg.Policy == PolicyFIFO {
-		q.order = &fifo{}
+		q.discipline = &fifo{}
 	} else {
-		q.order = newFair(cfg)
+		q.discipline = newFair(cfg)
 	}
 	return q
 }
@@ -49,7 +49,7 @@
 // Arrive adds a request. It is started, queued or refused. An unknown class is
 // served as bulk.
 func (q *Queue) Arrive(now time.Time, r Request) []Effect {
-	q.begin(now)
+	q.expireDeadlines(now)
 	if r.Weight <= 0 {
 		r.Weight = 1
 	}
@@ -69,11 +69,11 @@
 
 // Done frees the slot of a started request.
 func (q *Queue) Done(now time.Time, id uint64) []Effect {
-	q.begin(now)
+	q.expireDeadlines(now)
 	if r, ok := q.running[id]; ok {
 		delete(q.running, id)
 		q.byClass[r.request.Class]--
-		q.order.settle(r, now.Sub(r.since))
+		q.discipline.settle(r, now.Sub(r.since))
 	}
 	return q.dispatch(now)
 }
@@ -81,25 +81,25 @@
 // Cancel takes a waiting request out of the queue without an effect for it. It
 // reports whether the request was still waiting.
 func (q *Queue) Cancel(now time.Time, id uint64) (bool, []Effect) {
-	q.begin(now)
+	q.expireDeadlines(now)
 	w, ok := q.waiting[id]
 	if ok {
-		q.order.remove(w)
-		q.forget(w)
+		q.discipline.remove(w)
+		q.removeWaiter(w)
 	}
 	return ok, q.dispatch(now)
 }
 
 // SetSlots changes the number of slots. Running requests are not affected.
 func (q *Queue) SetSlots(now time.Time, slots int) []Effect {
-	q.begin(now)
+	q.expireDeadlines(now)
 	q.cfg.Slots = slots
 	return q.dispatch(now)
 }
 
 // Tick refuses the requests whose deadline has passed.
 func (q *Queue) Tick(now time.Time) []Effect {
-	q.begin(now)
+	q.expireDeadlines(now)
 	return q.dispatch(now)
 }
 
@@ -120,12 +120,12 @@
 
 // begin starts an event: deadlines that have passed come first, so that no
 // request starts after its deadline.
-func (q *Queue) begin(now time.Time) {
+func (q *Queue) expireDeadlines(now time.Time) {
 	q.effects = nil
 	for len(q.deadlines) > 0 && !now.Before(q.deadlines[0].Deadline) {
 		w := q.deadlines[0]
-		q.order.remove(w)
-		q.forget(w)
+		q.discipline.remove(w)
+		q.removeWaiter(w)
 		q.refuse(w.ID, result.DeadlineInQueue)
 	}
 }
@@ -141,11 +141,11 @@
 	if !r.Deadline.IsZero() {
 		heap.Push(&q.deadlines, w)
 	}
-	q.order.push(w)
+	q.discipline.push(w)
 }
 
 // forget drops the accounts of a waiter that the order no longer holds.
-func (q *Queue) forget(w *waiter) {
+func (q *Queue) removeWaiter(w *waiter) {
 	delete(q.waiting, w.ID)
 	q.queued[w.Workspace]--
 	if q.queued[w.Workspace] == 0 {
@@ -159,12 +159,12 @@
 // dispatch starts waiting requests while the order lets any start.
 func (q *Queue) dispatch(now time.Time) []Effect {
 	for {
-		w := q.order.pop(now, load{slots: q.cfg.Slots, total: len(q.running), running: q.byClass})
+		w := q.discipline.pop(now, load{slots: q.cfg.Slots, total: len(q.running), running: q.byClass})
 		if w == nil {
 			break
 		}
-		q.forget(w)
-		q.running[w.ID] = runner{request: w.Request, since: now, estimate: q.order.charge(w.Request)}
+		q.removeWaiter(w)
+		q.running[w.ID] = runningRequest{request: w.Request, since: now, estimate: q.discipline.charge(w.Request)}
 		q.byClass[w.Class]++
 		q.effects = append(q.effects, Start{ID: w.ID})
 	}
--- a/internal/admit/queue_test.go
+++ b/internal/admit/queue_test.go
@@ -114,7 +114,7 @@
 	}
 }
 
-func TestQueueKeepsItsRules(t *testing.T) {
+func TestQueueInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig(rapid.IntRange(1, 6).Draw(t, "slots"))
 		cfg.QueueLimit = rapid.IntRange(1, 8).Draw(t, "limit")
@@ -173,7 +173,7 @@
 	})
 }
 
-func TestDeadlineEndsTheWait(t *testing.T) {
+func TestWaitingRequestRefusedAtDeadline(t *testing.T) {
 	q := New(DefaultConfig(1))
 	q.Arrive(epoch, req(1, "a", note.ClassInteractive))
 	late := req(2, "a", note.ClassInteractive)
@@ -189,7 +189,7 @@
 	}
 }
 
-func TestQueueOfOneWorkspaceIsBounded(t *testing.T) {
+func TestQueueLimitAppliesPerWorkspace(t *testing.T) {
 	cfg := DefaultConfig(1)
 	cfg.QueueLimit = 2
 	q := New(cfg)
@@ -226,7 +226,7 @@
 	}
 }
 
-func TestOneSlotIsNotHeldByBulk(t *testing.T) {
+func TestSingleSlotBulkDoesNotBlockInteractive(t *testing.T) {
 	q := New(DefaultConfig(1))
 	q.Arrive(epoch, req(1, "audit", note.ClassBulk))
 	if got := starts(q.Arrive(epoch, req(2, "audit", note.ClassBulk))); len(got) != 0 {
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestFIFOServesInOrderOfArrival(t *testing.T) {
+func TestFIFOServesInArrivalOrder(t *testing.T) {
 	cfg := DefaultConfig(1)
 	cfg.Policy = PolicyFIFO
 	q := New(cfg)
@@ -257,7 +257,7 @@
 
 // saturate keeps the given number of requests of each source waiting and
 // returns the slot time that each source got.
-func saturate(cfg Config, total time.Duration, sources []source) []time.Duration {
+func runSaturated(cfg Config, total time.Duration, sources []source) []time.Duration {
 	q := New(cfg)
 	used := make([]time.Duration, len(sources))
 	owner, began := map[uint64]int{}, map[uint64]time.Time{}
@@ -316,7 +316,7 @@
 		}
 		total := 20 * time.Second
 		slots := rapid.IntRange(1, 3).Draw(t, "slots")
-		used := saturate(DefaultConfig(slots), total, sources)
+		used := runSaturated(DefaultConfig(slots), total, sources)
 		for i, s := range sources {
 			fair := total.Seconds() * float64(slots) * s.weight / weights
 			if got := used[i].Seconds() / fair; got < 0.9 || got > 1.1 {
@@ -326,8 +326,8 @@
 	})
 }
 
-func TestLowerClassesKeepTheirFloors(t *testing.T) {
-	used := saturate(DefaultConfig(5), time.Minute, []source{
+func TestLowerClassesGetFloorUnderSaturation(t *testing.T) {
+	used := runSaturated(DefaultConfig(5), time.Minute, []source{
 		{"crew", note.ClassInteractive, 1, 5 * time.Millisecond},
 		{"sync", note.ClassCorrection, 1, 5 * time.Millisecond},
 		{"audit", note.ClassBulk, 1, 50 * time.Millisecond},
@@ -357,7 +357,7 @@
 	return order
 }
 
-func TestLongRequestIsPaidForLater(t *testing.T) {
+func TestLongRequestIsChargedToLaterTurns(t *testing.T) {
 	q := New(DefaultConfig(1))
 	owner := map[uint64]string{1: "long"}
 	q.Arrive(epoch, req(1, "long", note.ClassInteractive))
@@ -376,7 +376,7 @@
 	}
 }
 
-func TestIdleTimeEarnsNothing(t *testing.T) {
+func TestIdleWorkspaceAccruesNoCredit(t *testing.T) {
 	q := New(DefaultConfig(1))
 	owner := map[uint64]string{}
 	now, id := epoch, uint64(0)
@@ -409,13 +409,13 @@
 	}
 }
 
-// TestTheNewestGoesFirstWhileTheOldestIsLate fills one slot and lets three
+// TestNewestServedFirstOnceOldestWaitsTooLong fills one slot and lets three
 // requests of one workspace wait.
-func TestTheNewestGoesFirstWhileTheOldestIsLate(t *testing.T) {
+func TestNewestServedFirstOnceOldestWaitsTooLong(t *testing.T) {
 	for _, c := range []struct {
 		waited time.Duration
 		next   uint64
-	}{{lateAfter / 2, 2}, {lateAfter, 4}} {
+	}{{lifoAfter / 2, 2}, {lifoAfter, 4}} {
 		now := time.Unix(100, 0)
 		q := New(DefaultConfig(1))
 		for id := range uint64(4) {
@@ -428,10 +428,10 @@
 	}
 }
 
-// TestReadyWorkspacesGoFirstForAWhile keeps two workspaces waiting for one slot
+// TestReadyWorkspaceServedAheadWithinSlack keeps two workspaces waiting for one slot
 // and connection, which serves one workspace at a time: they take turns of several
 // requests, and both get their share.
-func TestReadyWorkspacesGoFirstForAWhile(t *testing.T) {
+func TestReadyWorkspaceServedAheadWithinSlack(t *testing.T) {
 	const cost = 30 * time.Millisecond
 	now := time.Unix(100, 0)
 	cfg := DefaultConfig(1)
--- a/internal/admit/sim_test.go
+++ b/internal/admit/sim_test.go
@@ -150,7 +150,7 @@
 
 // crowd is eight workspaces at 70% of the capacity of 1,000 requests a second,
 // of which the first sends factor times its rate.
-func crowd(factor float64) []stream {
+func eightWorkspaces(factor float64) []stream {
 	var streams []stream
 	for i := range 8 {
 		st := stream{fmt.Sprintf("w%d", i), note.ClassInteractive, 87.5, 5 * time.Millisecond}
@@ -163,7 +163,7 @@
 }
 
 // worst returns the least share and the greatest p99 of all but the first.
-func worst(outcomes []outcome) (float64, time.Duration) {
+func worstOfOthers(outcomes []outcome) (float64, time.Duration) {
 	rest := outcomes[1:]
 	share := slices.MinFunc(rest, func(a, b outcome) int { return cmp.Compare(a.share(), b.share()) })
 	p99 := slices.MaxFunc(rest, func(a, b outcome) int { return cmp.Compare(a.p99(), b.p99()) })
@@ -173,10 +173,10 @@
 func TestSimulatedWorstServedWorkspace(t *testing.T) {
 	var table strings.Builder
 	fmt.Fprintf(&table, "\n%-6s %-22s %-14s %-14s %s", "policy", "one workspace sends", "least share", "greatest p99", "p99 against alone")
-	alone := simulate(PolicyFair, 1, simSlots, crowd(1)[1:2])[0].p99()
+	alone := simulate(PolicyFair, 1, simSlots, eightWorkspaces(1)[1:2])[0].p99()
 	for _, policy := range []Policy{PolicyFIFO, PolicyFair} {
 		for _, factor := range []float64{1, 5, 20} {
-			share, p99 := worst(simulate(policy, 1, simSlots, crowd(factor)))
+			share, p99 := worstOfOthers(simulate(policy, 1, simSlots, eightWorkspaces(factor)))
 			ratio := p99.Seconds() / alone.Seconds()
 			fmt.Fprintf(&table, "\n%-6s %3.0fx its rate %8s %-14.3f %-14s %.2f", policy, factor, "", share, p99.Round(100*time.Microsecond), ratio)
 			if policy == PolicyFair && (share < 0.9 || ratio > 2) {
--- a/internal/admit/types.go
+++ b/internal/admit/types.go
@@ -108,10 +108,10 @@
 // of arrival holds. A workspace with a longer queue gets more requests than it can
 // have served: then the newest go first, which are served in time, and the oldest
 // are refused at their deadline.
-const lateAfter = 100 * time.Millisecond
+const lifoAfter = 100 * time.Millisecond
 
 // runner is a request that holds a slot.
-type runner struct {
+type runningRequest struct {
 	request Request
 	since   time.Time
 	// estimate is the slot time that was charged to the workspace on start.
@@ -119,7 +119,7 @@
 }
 
 // order decides which waiter is next. An implementation holds the waiters.
-type order interface {
+type discipline interface {
 	push(w *waiter)
 	// remove takes a waiter out that is served no more.
 	remove(w *waiter)
@@ -128,5 +128,5 @@
 	// charge returns the slot time to charge to a workspace for a request.
 	charge(r Request) time.Duration
 	// settle corrects the charge once the request has ended.
-	settle(r runner, used time.Duration)
+	settle(r runningRequest, used time.Duration)
 }
--- a/internal/limits/floor.go
+++ b/internal/limits/floor.go
@@ -12,40 +12,40 @@
 // floor is the part of a workspace's rate that needs no lease: a token bucket
 // with the host's part of the rate, its part of the burst, and its reserve of the
 // tolerance.
-type floor struct {
+type floorBucket struct {
 	bucket *rate.Limiter
 }
 
 // newFloor returns the floor of a process that has just started. The former
 // process may have spent the part of the burst; the reserve allows for that.
-func newFloor(now time.Time, w note.Workspace, size fleetSize) *floor {
-	f := &floor{}
-	f.bucket = rate.NewLimiter(f.limits(w, size))
-	f.bucket.AllowN(now, f.bucket.Burst()-int(size.reserve(w)))
+func newFloorBucket(now time.Time, w note.Workspace, size fleetSize) *floorBucket {
+	f := &floorBucket{}
+	f.bucket = rate.NewLimiter(f.rateAndBurst(w, size))
+	f.bucket.AllowN(now, f.bucket.Burst()-int(size.tokenReserve(w)))
 	return f
 }
 
-func (f *floor) limits(w note.Workspace, size fleetSize) (rate.Limit, int) {
-	part := size.rateFloor(w)
-	return rate.Limit(w.Rate * part), int(w.Burst*part + size.reserve(w))
+func (f *floorBucket) rateAndBurst(w note.Workspace, size fleetSize) (rate.Limit, int) {
+	part := size.rateFloorFraction(w)
+	return rate.Limit(w.Rate * part), int(w.Burst*part + size.tokenReserve(w))
 }
 
-func (f *floor) resize(now time.Time, w note.Workspace, size fleetSize) {
-	limit, burst := f.limits(w, size)
+func (f *floorBucket) resize(now time.Time, w note.Workspace, size fleetSize) {
+	limit, burst := f.rateAndBurst(w, size)
 	f.bucket.SetLimitAt(now, limit)
 	f.bucket.SetBurstAt(now, burst)
 }
 
 // take takes a token.
-func (f *floor) take(now time.Time) bool { return f != nil && f.bucket.AllowN(now, 1) }
+func (f *floorBucket) take(now time.Time) bool { return f != nil && f.bucket.AllowN(now, 1) }
 
 // takeSurplus takes a token that the bucket could not hold for longer.
-func (f *floor) takeSurplus(now time.Time) bool {
+func (f *floorBucket) takeIfFull(now time.Time) bool {
 	return f != nil && f.bucket.TokensAt(now) >= float64(f.bucket.Burst()) && f.take(now)
 }
 
 // wait is the time until the next token at the latest.
-func (f *floor) wait() time.Duration {
+func (f *floorBucket) maxWait() time.Duration {
 	if f == nil || f.bucket.Limit() <= 0 {
 		return idleWait
 	}
@@ -53,20 +53,20 @@
 }
 
 // setRates follows changed rates and numbers of hosts. The caller holds the lock.
-func (h *Holder) setRates(now time.Time, state *agreed.State, size fleetSize) {
+func (h *Holder) updateRateFloors(now time.Time, state *agreed.State, size fleetSize) {
 	for name, w := range state.Catalog.Workspaces {
-		switch f := h.rates[name]; {
-		case size.rateFloor(w) == 0:
-			delete(h.rates, name)
+		switch f := h.rateFloors[name]; {
+		case size.rateFloorFraction(w) == 0:
+			delete(h.rateFloors, name)
 		case f == nil:
-			h.rates[name] = newFloor(now, w, size)
+			h.rateFloors[name] = newFloorBucket(now, w, size)
 		default:
 			f.resize(now, w, size)
 		}
 	}
-	for name := range h.rates {
+	for name := range h.rateFloors {
 		if _, ok := state.Catalog.Workspaces[name]; !ok {
-			delete(h.rates, name)
+			delete(h.rateFloors, name)
 		}
 	}
 }
--- a/internal/limits/floor_test.go
+++ b/internal/limits/floor_test.go
@@ -10,15 +10,15 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-func openConfig() Config {
+func floorConfig() Config {
 	cfg := DefaultConfig()
 	cfg.FloorConnections, cfg.ProbeConnections, cfg.RateFloor = 1, 2, 0.1
 	return cfg
 }
 
-// TestFloorsAndLeasesAddUpToTheRate adds what all hosts have without a lease to
+// TestRateFloorsAndLeasesSumToRate adds what all hosts have without a lease to
 // what the owner leases.
-func TestFloorsAndLeasesAddUpToTheRate(t *testing.T) {
+func TestRateFloorsAndLeasesSumToRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := agreed.New()
 		w := note.Workspace{
@@ -30,9 +30,9 @@
 			id := string(rune('a' + i))
 			state.Hosts[id] = agreed.Host{ID: id, Entry: true}
 		}
-		size := sizeOf(openConfig(), state)
-		leased := limitsOf(openConfig(), state)[rateKey("w")]
-		floor := size.rateFloor(w) * float64(hosts)
+		size := sizeOf(floorConfig(), state)
+		leased := limitsOf(floorConfig(), state)[rateKey("w")]
+		floor := size.rateFloorFraction(w) * float64(hosts)
 		if sum := leased.Rate + floor*w.Rate; sum > w.Rate*1.000001 || sum < w.Rate*0.999999 {
 			t.Errorf("rates add up to %v of %v", sum, w.Rate)
 		}
@@ -42,8 +42,8 @@
 	})
 }
 
-// TestAFloorNeedsNoOwner spends the floor of a host that no owner answers.
-func TestAFloorNeedsNoOwner(t *testing.T) {
+// TestRateFloorWithoutOwner spends the floor of a host that no owner answers.
+func TestRateFloorWithoutOwner(t *testing.T) {
 	state := agreed.New()
 	state.Catalog.Workspaces["w"] = note.Workspace{Name: "w", Rate: 80, Burst: 80}
 	for _, id := range []string{"a", "b"} {
@@ -54,29 +54,29 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := time.Unix(1000, 0)
-	h.setRates(now, state, sizeOf(openConfig(), state))
-	if h.rates["w"].take(now) {
+	h.updateRateFloors(now, state, sizeOf(floorConfig(), state))
+	if h.rateFloors["w"].take(now) {
 		t.Error("a new process has tokens that a former one may have spent")
 	}
-	if taken := drain(h.rates["w"], now.Add(time.Second)); taken != 4 { // a tenth of 80, for one of two hosts
+	if taken := takeAll(h.rateFloors["w"], now.Add(time.Second)); taken != 4 { // a tenth of 80, for one of two hosts
 		t.Errorf("%d tokens after a second", taken)
 	}
 }
 
 // drain takes all tokens that a floor has at a time.
-func drain(f *floor, now time.Time) (taken int) {
+func takeAll(f *floorBucket, now time.Time) (taken int) {
 	for f.take(now) {
 		taken++
 	}
 	return taken
 }
 
-// TestReservesStayWithinTheTolerance spends whatever the hosts may have of a
+// TestReservesStayWithinTolerance spends whatever the hosts may have of a
 // rate in a window in which each of them is restarted once, everything at the
 // worst time.
-func TestReservesStayWithinTheTolerance(t *testing.T) {
+func TestReservesStayWithinTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		cfg := openConfig()
+		cfg := floorConfig()
 		cfg.Tolerance = Tolerance{
 			Window:  time.Duration(rapid.IntRange(1, 10).Draw(t, "window_s")) * time.Second,
 			Overage: rapid.Float64Range(0, 0.5).Draw(t, "overage"),
@@ -98,12 +98,12 @@
 		full := begin.Add(-time.Hour)
 		spent := leased.Burst + leased.Rate*cfg.Tolerance.Window.Seconds()
 		for range hosts {
-			if size.rateFloor(w) == 0 {
+			if size.rateFloorFraction(w) == 0 {
 				break
 			}
-			former, next := newFloor(full, w, size), newFloor(begin, w, size)
-			spent += float64(drain(former, begin) + drain(next, begin))
-			spent += float64(drain(next, begin.Add(cfg.Tolerance.Window)))
+			former, next := newFloorBucket(full, w, size), newFloorBucket(begin, w, size)
+			spent += float64(takeAll(former, begin) + takeAll(next, begin))
+			spent += float64(takeAll(next, begin.Add(cfg.Tolerance.Window)))
 		}
 		allowed := w.Rate*cfg.Tolerance.Window.Seconds() + w.Burst + cfg.Tolerance.allowance(w)
 		if spent > allowed*1.000001 {
@@ -112,10 +112,10 @@
 	})
 }
 
-// TestANewProcessHasItsReserve serves callers who come back together after a
+// TestRateFloorNewProcessHasReserve serves callers who come back together after a
 // restart before any owner has answered.
-func TestANewProcessHasItsReserve(t *testing.T) {
-	cfg := openConfig()
+func TestRateFloorNewProcessHasReserve(t *testing.T) {
+	cfg := floorConfig()
 	cfg.Tolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
 	w := note.Workspace{Name: "w", Rate: 115, Burst: 115}
 	state := agreed.New()
@@ -124,8 +124,8 @@
 		state.Hosts[id] = agreed.Host{ID: id, Entry: true}
 	}
 	now := time.Unix(1000, 0)
-	f := newFloor(now, w, sizeOf(cfg, state))
-	if taken := drain(f, now); taken != 4 { // half of 89, for one of nine hosts
+	f := newFloorBucket(now, w, sizeOf(cfg, state))
+	if taken := takeAll(f, now); taken != 4 { // half of 89, for one of nine hosts
 		t.Errorf("%d tokens at the start", taken)
 	}
 }
--- a/internal/limits/holder.go
+++ b/internal/limits/holder.go
@@ -50,15 +50,15 @@
 	quota *quota.Holder
 	epoch uint64 // of the set of owners
 	// floors are the connections that need no lease, by service.
-	floors map[string]int
+	connectionFloors map[string]int
 	// rates are the floors of rates, by workspace.
-	rates map[string]*floor
+	rateFloors map[string]*floorBucket
 	// asked is when the last round began.
-	asked time.Time
+	lastRound time.Time
 	// followed is the state from which the floors are.
-	followed *agreed.State
-	queues   map[string]*queue
-	wake     chan struct{}
+	appliedState *agreed.State
+	queues       map[string]*queue
+	wake         chan struct{}
 }
 
 // NewHolder returns a Holder and registers its handler with the peer node. Call
@@ -66,10 +66,10 @@
 func NewHolder(peers *peer.Node, src view.Source, cfg Config, logger *log.Logger) *Holder {
 	h := &Holder{
 		peers: peers, view: src, log: logger, cfg: cfg,
-		quota:  quota.NewHolder(quotaConfig(cfg.Lease), peers.Host(), peers.Incarnation()),
-		queues: make(map[string]*queue),
-		rates:  make(map[string]*floor),
-		wake:   make(chan struct{}, 1),
+		quota:      quota.NewHolder(quotaConfig(cfg.Lease), peers.Host(), peers.Incarnation()),
+		queues:     make(map[string]*queue),
+		rateFloors: make(map[string]*floorBucket),
+		wake:       make(chan struct{}, 1),
 	}
 	peer.On(peers, peer.KindQuotaOK, func(_ peer.Identity, r quota.Reply) { h.receive(r) })
 	return h
@@ -82,7 +82,7 @@
 func (h *Holder) Connections(service, endpoint string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
-	return h.floors[service] + h.units(connectionKey(endpoint))
+	return h.connectionFloors[service] + h.units(connectionKey(endpoint))
 }
 
 // Slots returns how many statements the host may run at once on an endpoint. A
@@ -100,20 +100,20 @@
 }
 
 // follow takes over a change of the agreed state. The caller holds the lock.
-func (h *Holder) follow(state *agreed.State) {
-	if state == h.followed {
+func (h *Holder) applyState(state *agreed.State) {
+	if state == h.appliedState {
 		return
 	}
-	h.followed = state
+	h.appliedState = state
 	size := sizeOf(h.cfg, state)
-	h.floors = make(map[string]int, len(state.Catalog.Services))
+	h.connectionFloors = make(map[string]int, len(state.Catalog.Services))
 	for name, service := range state.Catalog.Services {
-		h.floors[name] = size.floor(service.Connections)
+		h.connectionFloors[name] = size.connectionFloor(service.Connections)
 	}
-	h.setRates(clock.Now(), state, size)
+	h.updateRateFloors(clock.Now(), state, size)
 	if state.OwnersEpoch != h.epoch {
 		h.epoch = state.OwnersEpoch
-		h.quota.SetEpoch(h.epoch, owners(state))
+		h.quota.SetEpoch(h.epoch, ownerHosts(state))
 	}
 }
 
@@ -128,17 +128,17 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-ticker.C:
-			h.round(clock.Now())
+			h.requestRound(clock.Now())
 		case <-h.wake:
 		case <-timer.C:
 		}
 		now := clock.Now()
 		next := h.serve(now)
-		if h.urgent() {
-			if due := urgentInterval - now.Sub(h.asked); due > 0 {
+		if h.hasUrgent() {
+			if due := urgentInterval - now.Sub(h.lastRound); due > 0 {
 				next = min(next, due)
 			} else {
-				h.round(now)
+				h.requestRound(now)
 			}
 		}
 		timer.Reset(next)
@@ -152,11 +152,11 @@
 
 // urgent reports whether requests wait for tokens that the fleet has. Those of a
 // workspace over its rate wait for the next tick.
-func (h *Holder) urgent() bool {
+func (h *Holder) hasUrgent() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for _, q := range h.queues {
-		if !q.over {
+		if !q.overloaded {
 			return true
 		}
 	}
@@ -164,17 +164,17 @@
 }
 
 // round reports the use of units and sends the requests that are due.
-func (h *Holder) round(now time.Time) {
+func (h *Holder) requestRound(now time.Time) {
 	state := h.view.Current().State
 	if state == nil {
 		return
 	}
 	usage := h.pool.Usage()
 	h.mu.Lock()
-	h.asked = now
-	h.follow(state)
+	h.lastRound = now
+	h.applyState(state)
 	for _, u := range usage {
-		floor := h.floors[u.Service]
+		floor := h.connectionFloors[u.Service]
 		h.quota.ReportUsage(now, connectionKey(u.Endpoint), float64(max(u.Connections-floor, 0)), float64(max(u.ConnectionDemand-floor, 0)))
 		if !u.NoSlotLease {
 			h.quota.ReportUsage(now, slotKey(u.Endpoint), float64(u.Slots), float64(u.SlotDemand))
--- a/internal/limits/keys.go
+++ b/internal/limits/keys.go
@@ -39,7 +39,7 @@
 	all := make(map[string]quota.Limit)
 	size := sizeOf(cfg, state)
 	for name, w := range state.Catalog.Workspaces {
-		floor := size.rateFloor(w)
+		floor := size.rateFloorFraction(w)
 		leased := 1 - floor*float64(size.entryHosts)
 		all[rateKey(name)] = quota.Limit{Rate: w.Rate * leased, Burst: w.Burst * leased}
 	}
@@ -48,7 +48,7 @@
 		if !ok {
 			continue
 		}
-		all[connectionKey(id)] = quota.Limit{Burst: float64(size.sharedConnections(service.Connections))}
+		all[connectionKey(id)] = quota.Limit{Burst: float64(size.leasedConnections(service.Connections))}
 		all[slotKey(id)] = quota.Limit{Burst: float64(service.Slots)}
 	}
 	return all
@@ -94,7 +94,7 @@
 
 // reserveShare is the part of the tolerance that the hosts hold in reserve. Each
 // may spend its reserve once more in a window after a restart: both halves fit.
-const reserveShare = 0.5
+const reserveFraction = 0.5
 
 // DefaultConfig returns the sharing of endpoints that are probed by watchers: a
 // host has one connection for its monitor and one for requests.
@@ -128,7 +128,7 @@
 // available is the number of an endpoint's connections that entry hosts may
 // use. The others are for probes: one watcher for each watching failure domain
 // and the control leader.
-func (f fleetSize) available(connections int) int {
+func (f fleetSize) availableConnections(connections int) int {
 	probes := f.cfg.ProbeConnections
 	if probes < 0 {
 		probes = min(f.domains, failover.MaxWatcherDomains) + 1
@@ -142,8 +142,8 @@
 
 // floor is the number of connections that each entry host may have without a
 // lease. It is zero when the endpoint has too few for all.
-func (f fleetSize) floor(connections int) int {
-	if f.available(connections) < f.cfg.FloorConnections*f.entryHosts {
+func (f fleetSize) connectionFloor(connections int) int {
+	if f.availableConnections(connections) < f.cfg.FloorConnections*f.entryHosts {
 		return 0
 	}
 	return f.cfg.FloorConnections
@@ -151,9 +151,9 @@
 
 // rateFloor is the part of a workspace's rate and burst that each entry host has
 // without a lease. It is zero when the part could not hold one token.
-func (f fleetSize) rateFloor(w note.Workspace) float64 {
+func (f fleetSize) rateFloorFraction(w note.Workspace) float64 {
 	part := f.cfg.RateFloor / float64(max(f.entryHosts, 1))
-	if w.Burst*part+f.reserve(w) < 1 {
+	if w.Burst*part+f.tokenReserve(w) < 1 {
 		return 0
 	}
 	return part
@@ -161,17 +161,17 @@
 
 // reserve is the number of tokens beside its part of the burst that each entry
 // host may hold of a workspace's rate without a lease.
-func (f fleetSize) reserve(w note.Workspace) float64 {
-	return f.cfg.Tolerance.allowance(w) * reserveShare / float64(max(f.entryHosts, 1))
+func (f fleetSize) tokenReserve(w note.Workspace) float64 {
+	return f.cfg.Tolerance.allowance(w) * reserveFraction / float64(max(f.entryHosts, 1))
 }
 
 // sharedConnections is the number of connections that are leased by need.
-func (f fleetSize) sharedConnections(connections int) int {
-	return f.available(connections) - f.floor(connections)*f.entryHosts
+func (f fleetSize) leasedConnections(connections int) int {
+	return f.availableConnections(connections) - f.connectionFloor(connections)*f.entryHosts
 }
 
 // owners returns the hosts among which the owners of keys are chosen.
-func owners(state *agreed.State) []string {
+func ownerHosts(state *agreed.State) []string {
 	var hosts []string
 	for _, id := range slices.Sorted(maps.Keys(state.Hosts)) {
 		if state.Hosts[id].Control {
@@ -182,7 +182,7 @@
 }
 
 // holders are the processes that may hold leases.
-func holders(state *agreed.State) []quota.HolderID {
+func holderIDs(state *agreed.State) []quota.HolderID {
 	var all []quota.HolderID
 	for _, h := range state.Hosts {
 		if h.Entry {
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -124,7 +124,7 @@
 	f.publish()
 }
 
-func TestFleetNeverPassesTheRate(t *testing.T) {
+func TestFleetStaysWithinRate(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -153,9 +153,9 @@
 	}
 }
 
-// TestAnOwnerIsReplaced kills the owner of the workspace's rate. Callers who can
+// TestAcquireDuringOwnerReplacement kills the owner of the workspace's rate. Callers who can
 // wait are served all the time.
-func TestAnOwnerIsReplaced(t *testing.T) {
+func TestAcquireDuringOwnerReplacement(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -176,7 +176,7 @@
 	acquire(20)
 }
 
-func TestAHopelessRequestIsRefusedAtOnce(t *testing.T) {
+func TestAcquireRefusesEarlyWhenDeadlineUnreachable(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	holder := f.hosts["entry-0"].holder
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -204,16 +204,16 @@
 
 // ownerOf returns the owner of a key in a state.
 func ownerOf(state *agreed.State, key string) string {
-	return rendezvous.Owner(owners(state), key)
+	return rendezvous.Owner(ownerHosts(state), key)
 }
 
-// TestFloorsAndSharesFitTheCap adds up what all hosts may use of an endpoint.
-func TestFloorsAndSharesFitTheCap(t *testing.T) {
+// TestConnectionFloorsAndLeasesFitEndpoint adds up what all hosts may use of an endpoint.
+func TestConnectionFloorsAndLeasesFitEndpoint(t *testing.T) {
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: DefaultConfig(), entryHosts: hosts, domains: min(hosts, 4)}
-			floors := size.floor(connections) * hosts
-			shared := size.sharedConnections(connections)
+			floors := size.connectionFloor(connections) * hosts
+			shared := size.leasedConnections(connections)
 			if shared < 0 || floors+shared > max(connections-size.domains-1, 1) {
 				t.Errorf("%d connections, %d hosts: floors %d, shared %d", connections, hosts, floors, shared)
 			}
@@ -221,14 +221,14 @@
 	}
 }
 
-// TestAQuietHostNeedsNoLease asks for the units of a host that no owner has
+// TestHolderFloorsWithoutLease asks for the units of a host that no owner has
 // answered.
-func TestAQuietHostNeedsNoLease(t *testing.T) {
+func TestHolderFloorsWithoutLease(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.state.Catalog.Services = map[string]note.Service{"s": {Name: "s", Connections: 30, Slots: 5}}
 	holder := f.hosts["entry-0"].holder
 	holder.mu.Lock()
-	holder.follow(f.state)
+	holder.applyState(f.state)
 	holder.mu.Unlock()
 	if n := holder.Connections("s", "e"); n != DefaultConfig().FloorConnections {
 		t.Errorf("%d connections", n)
@@ -238,23 +238,23 @@
 	}
 }
 
-// TestTheNewestRequestIsServedFirst lets two requests wait for one token.
-func TestTheNewestRequestIsServedFirst(t *testing.T) {
+// TestQueueServesNewestRequestFirst lets two requests wait for one token.
+func TestQueueServesNewestRequestFirst(t *testing.T) {
 	f := newFleet(t, 0, 1) // no owner answers
 	h := f.hosts["entry-0"].holder
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	first, err := h.offer(ctx, testWorkspace)
+	first, err := h.takeOrEnqueue(ctx, testWorkspace)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := h.offer(ctx, testWorkspace)
+	second, err := h.takeOrEnqueue(ctx, testWorkspace)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := clock.Now()
 	h.mu.Lock()
-	h.rates[testWorkspace] = &floor{bucket: rate.NewLimiter(1, 1)}
+	h.rateFloors[testWorkspace] = &floorBucket{bucket: rate.NewLimiter(1, 1)}
 	h.mu.Unlock()
 	h.serve(now)
 	if len(first.ready) != 0 || len(second.ready) != 1 {
@@ -262,14 +262,14 @@
 	}
 }
 
-// TestHeadroomIsLeftWhereItCanBe adds up what all hosts may use beside it.
-func TestHeadroomIsLeftWhereItCanBe(t *testing.T) {
+// TestHeadroomLeftWhenConnectionsSuffice adds up what all hosts may use beside it.
+func TestHeadroomLeftWhenConnectionsSuffice(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom = 1, 2, 1
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: cfg, entryHosts: hosts, domains: min(hosts, 4)}
-			used := size.floor(connections)*hosts + size.sharedConnections(connections)
+			used := size.connectionFloor(connections)*hosts + size.leasedConnections(connections)
 			left := max(connections-cfg.ProbeConnections, 1) - used
 			if left < 0 || left == 0 && connections-cfg.ProbeConnections >= 2*hosts {
 				t.Errorf("%d connections, %d hosts: %d left", connections, hosts, left)
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -29,9 +29,9 @@
 	state  *agreed.State
 	limits map[string]quota.Limit
 	// started is when this process began to follow the agreed state.
-	started time.Time
+	startedAt time.Time
 	// known tells, as last logged, that all leases are known.
-	known bool
+	leasesKnown bool
 }
 
 type ownerRequest struct {
@@ -61,13 +61,13 @@
 	// A restarted task has forgotten its grants and counts as a new process. The
 	// time of day orders processes: the suspended clock starts anew with a machine.
 	o.quota = quota.NewOwner(quotaConfig(o.cfg.Lease), o.peers.Host(), uint64(time.Now().UnixNano()), now)
-	o.state, o.limits, o.started = nil, map[string]quota.Limit{}, now
+	o.state, o.limits, o.startedAt = nil, map[string]quota.Limit{}, now
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
 	for {
 		changed := o.view.Changed()
-		o.follow(clock.Now())
-		o.noteKnown(clock.Now())
+		o.applyState(clock.Now())
+		o.logLeasesKnown(clock.Now())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -75,27 +75,27 @@
 		case <-ticker.C:
 			o.quota.Tick(clock.Now())
 		case r := <-o.requests:
-			o.answer(clock.Now(), r)
+			o.handle(clock.Now(), r)
 		}
 	}
 }
 
 // noteKnown logs when the owner comes to know all leases of its keys, or has to
 // learn them anew.
-func (o *Owner) noteKnown(now time.Time) {
+func (o *Owner) logLeasesKnown(now time.Time) {
 	known, quiet := o.quota.LeasesKnown()
-	if known == o.known {
+	if known == o.leasesKnown {
 		return
 	}
-	o.known = known
+	o.leasesKnown = known
 	if !known {
 		o.log.Info("limits_unknown")
 		return
 	}
-	o.log.Info("limits_known", "after_ms", now.Sub(o.started).Milliseconds(), "quiet_ms", now.Sub(quiet).Milliseconds())
+	o.log.Info("limits_known", "after_ms", now.Sub(o.startedAt).Milliseconds(), "quiet_ms", now.Sub(quiet).Milliseconds())
 }
 
-func (o *Owner) answer(now time.Time, r ownerRequest) {
+func (o *Owner) handle(now time.Time, r ownerRequest) {
 	if r.request.Host != r.from.Host || r.request.Incarnation != r.from.Incarnation {
 		return // a host asks for itself only
 	}
@@ -107,21 +107,21 @@
 }
 
 // follow takes over a change of the agreed state.
-func (o *Owner) follow(now time.Time) {
+func (o *Owner) applyState(now time.Time) {
 	state := o.view.Current().State
 	if state == nil || state == o.state {
 		return
 	}
-	o.quota.SetEpoch(now, state.OwnersEpoch, owners(state))
-	o.quota.SetHolders(now, holders(state))
+	o.quota.SetEpoch(now, state.OwnersEpoch, ownerHosts(state))
+	o.quota.SetHolders(now, holderIDs(state))
 	o.setLimits(now, state)
-	o.forgetDeparted(now, state)
+	o.removeDeparted(now, state)
 	o.state = state
 }
 
 func (o *Owner) setLimits(now time.Time, state *agreed.State) {
 	next := limitsOf(o.cfg, state)
-	fresh := o.mayBeFresh(now, state)
+	fresh := o.newKeysNeverLeased(now, state)
 	for key, limit := range next {
 		old, known := o.limits[key]
 		if !known || old != limit {
@@ -139,16 +139,16 @@
 // mayBeFresh reports whether a key that appears now cannot have leases that
 // were granted before this process followed the state: either the fleet has its
 // first catalog, or the process is older than any lease.
-func (o *Owner) mayBeFresh(now time.Time, state *agreed.State) bool {
+func (o *Owner) newKeysNeverLeased(now time.Time, state *agreed.State) bool {
 	if state.Catalog.Stamp.Number <= 1 || o.state != nil && o.state.Catalog.Stamp.Number == 0 {
 		return true
 	}
-	return o.state != nil && now.Sub(o.started) > 2*(o.cfg.Lease.Duration+quota.DefaultLease)
+	return o.state != nil && now.Sub(o.startedAt) > 2*(o.cfg.Lease.Duration+quota.DefaultLease)
 }
 
 // forgetDeparted reclaims the shares of processes that are no longer
 // registered: a host is removed only after its configuration lease has ended.
-func (o *Owner) forgetDeparted(now time.Time, state *agreed.State) {
+func (o *Owner) removeDeparted(now time.Time, state *agreed.State) {
 	if o.state == nil {
 		return
 	}
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -17,7 +17,7 @@
 // overPatience bounds the wait of a request whose workspace is over its rate
 // across the fleet: half of the shortest target of a route (200 ms). Those that
 // are served are then served in time, and the others told early.
-const overPatience = 100 * time.Millisecond
+const overloadPatience = 100 * time.Millisecond
 
 // queue holds the requests of one workspace that wait for tokens, in order of
 // arrival. The last is served first: while more arrive than the rate allows, as
@@ -27,9 +27,9 @@
 	waiters []*waiter
 	// over tells that the demand of the fleet has been above the workspace's rate
 	// for long.
-	over bool
+	overloaded bool
 	// next is when the next token is expected.
-	next time.Time
+	nextToken time.Time
 }
 
 type waiter struct {
@@ -41,7 +41,7 @@
 // deadline. It is refused early only when the workspace is over its rate across
 // the fleet and the requests ahead already fill the time until the deadline.
 func (h *Holder) Acquire(ctx context.Context, workspace string) error {
-	w, err := h.offer(ctx, workspace)
+	w, err := h.takeOrEnqueue(ctx, workspace)
 	if w == nil {
 		return err
 	}
@@ -57,13 +57,13 @@
 }
 
 // offer takes a token, or returns the waiter that stands for the request.
-func (h *Holder) offer(ctx context.Context, workspace string) (*waiter, error) {
+func (h *Holder) takeOrEnqueue(ctx context.Context, workspace string) (*waiter, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	now := clock.Now()
 	key := rateKey(workspace)
-	q, floor := h.queues[workspace], h.rates[workspace]
-	if q == nil && floor.takeSurplus(now) {
+	q, floor := h.queues[workspace], h.rateFloors[workspace]
+	if q == nil && floor.takeIfFull(now) {
 		return nil, nil
 	}
 	h.quota.Offer(now, key, 1)
@@ -76,17 +76,17 @@
 			h.quota.Withdraw(key, 1)
 			return nil, nil
 		}
-		q = &queue{over: decision.Overloaded, next: now.Add(min(decision.Wait, floor.wait()))}
+		q = &queue{overloaded: decision.Overloaded, nextToken: now.Add(min(decision.Wait, floor.maxWait()))}
 		h.queues[workspace] = q
 	}
 	deadline := now.Add(idleWait)
 	if end, ok := ctx.Deadline(); ok {
 		deadline = clock.Deadline(end)
 	}
-	if q.over {
-		deadline = earlier(deadline, now.Add(overPatience))
+	if q.overloaded {
+		deadline = earlier(deadline, now.Add(overloadPatience))
 	}
-	if wait, hopeless := h.hopeless(now, workspace, q, deadline); hopeless {
+	if wait, hopeless := h.exceedsDeadline(now, workspace, q, deadline); hopeless {
 		h.quota.Withdraw(key, 1)
 		return nil, rateExceeded(workspace, wait)
 	}
@@ -105,15 +105,15 @@
 
 // hopeless reports whether a new request cannot be served before its deadline,
 // and how long it would have to wait.
-func (h *Holder) hopeless(now time.Time, workspace string, q *queue, deadline time.Time) (time.Duration, bool) {
-	if !q.over {
+func (h *Holder) exceedsDeadline(now time.Time, workspace string, q *queue, deadline time.Time) (time.Duration, bool) {
+	if !q.overloaded {
 		return 0, false
 	}
 	rate := h.quota.Rate(now, rateKey(workspace))
 	if rate <= 0 {
 		return 0, false
 	}
-	wait := max(q.next.Sub(now), 0) + time.Duration(float64(len(q.waiters))/rate*float64(time.Second))
+	wait := max(q.nextToken.Sub(now), 0) + time.Duration(float64(len(q.waiters))/rate*float64(time.Second))
 	return wait, now.Add(wait).After(deadline)
 }
 
@@ -126,7 +126,7 @@
 		return <-w.ready // served meanwhile
 	}
 	h.quota.Withdraw(rateKey(workspace), 1)
-	over := q.over
+	over := q.overloaded
 	if len(q.waiters) == 0 {
 		delete(h.queues, workspace)
 	}
@@ -176,14 +176,14 @@
 }
 
 func (h *Holder) serveQueue(now time.Time, workspace string, q *queue) time.Duration {
-	floor := h.rates[workspace]
+	floor := h.rateFloors[workspace]
 	for len(q.waiters) > 0 {
 		decision := h.quota.Take(now, rateKey(workspace), 1)
-		q.over = decision.Overloaded
+		q.overloaded = decision.Overloaded
 		if !decision.Granted {
 			if !floor.take(now) {
-				wait := min(decision.Wait, floor.wait())
-				q.next = now.Add(wait)
+				wait := min(decision.Wait, floor.maxWait())
+				q.nextToken = now.Add(wait)
 				return wait
 			}
 			h.quota.Withdraw(rateKey(workspace), 1)
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -28,17 +28,17 @@
 }
 
 // decrease is the part of the limit that is left by a reduction.
-const decrease = 0.75
+const decreaseFactor = 0.75
 
 // Limit is the number of statements in progress at one endpoint. It is not safe
 // for concurrent use. The zero value with a Config has no bound yet.
 type Limit struct {
-	cfg     Config
-	bounded bool
-	limit   float64
-	sum     time.Duration
-	count   int
-	changed time.Time
+	cfg       Config
+	bounded   bool
+	limit     float64
+	sum       time.Duration
+	count     int
+	changedAt time.Time
 }
 
 // NewLimit returns a Limit without a bound.
@@ -58,14 +58,14 @@
 func (l *Limit) Observe(now time.Time, excess time.Duration, most int) {
 	l.sum += excess
 	l.count++
-	if l.count < l.cfg.Samples || now.Sub(l.changed) < l.cfg.Interval {
+	if l.count < l.cfg.Samples || now.Sub(l.changedAt) < l.cfg.Interval {
 		return
 	}
 	mean := l.sum / time.Duration(l.count)
-	l.sum, l.count, l.changed = 0, 0, now
+	l.sum, l.count, l.changedAt = 0, 0, now
 	switch {
 	case mean > l.cfg.High:
-		l.limit = max(1, float64(l.Allowed(most))*decrease)
+		l.limit = max(1, float64(l.Allowed(most))*decreaseFactor)
 		l.bounded = true
 	case mean < l.cfg.Low && l.bounded:
 		l.limit++
--- a/internal/pacing/sim_test.go
+++ b/internal/pacing/sim_test.go
@@ -16,11 +16,11 @@
 	events []simEvent
 	order  int
 
-	slots   int
-	running int
-	queue   []job
-	hosts   []*simHost
-	most    int
+	slots         int
+	running       int
+	queue         []job
+	hosts         []*simHost
+	maxInProgress int
 
 	// atEndpoint and atHost are the times that statements waited in the queues.
 	atEndpoint, atHost time.Duration
@@ -35,11 +35,11 @@
 }
 
 type simHost struct {
-	rate    float64 // statements a second
-	limit   *Limit
-	usual   *Baseline
-	waiting []time.Duration // arrivals
-	running int
+	rate     float64 // statements a second
+	limit    *Limit
+	baseline *Baseline
+	waiting  []time.Duration // arrivals
+	running  int
 }
 
 type job struct {
@@ -55,16 +55,16 @@
 )
 
 func newSim(seed uint64, load float64, rates []float64) *sim {
-	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), slots: simSlots, most: 9}
+	s := &sim{rng: rand.New(rand.NewPCG(seed, 1)), slots: simSlots, maxInProgress: 9}
 	total := 0.0
 	for _, r := range rates {
 		total += r
 	}
 	for _, r := range rates {
-		h := &simHost{rate: load * simSlots / simWork.Seconds() * r / total, limit: NewLimit(DefaultConfig()), usual: NewBaseline()}
+		h := &simHost{rate: load * simSlots / simWork.Seconds() * r / total, limit: NewLimit(DefaultConfig()), baseline: NewBaseline()}
 		s.hosts = append(s.hosts, h)
-		for range 2 * batch { // usual times from before
-			h.usual.Excess("read", s.draw())
+		for range 2 * batchSize { // usual times from before
+			h.baseline.Excess("read", s.draw())
 		}
 		s.arrive(h)
 	}
@@ -97,7 +97,7 @@
 }
 
 func (s *sim) pump(h *simHost) {
-	for len(h.waiting) > 0 && h.running < h.limit.Allowed(s.most) {
+	for len(h.waiting) > 0 && h.running < h.limit.Allowed(s.maxInProgress) {
 		s.atHost += s.now - h.waiting[0]
 		h.waiting = h.waiting[1:]
 		h.running++
@@ -118,7 +118,7 @@
 			s.served++
 			j.host.running--
 			took := s.now - j.sent
-			j.host.limit.Observe(time.Unix(0, int64(s.now)), j.host.usual.Excess("read", took), s.most)
+			j.host.limit.Observe(time.Unix(0, int64(s.now)), j.host.baseline.Excess("read", took), s.maxInProgress)
 			s.start()
 			s.pump(j.host)
 		})
@@ -135,13 +135,13 @@
 }
 
 // uneven are the shares of nine hosts' load.
-var uneven = []float64{1, 1, 2, 3, 1, 2, 1, 4, 2}
+var unevenRates = []float64{1, 1, 2, 3, 1, 2, 1, 4, 2}
 
-// TestOverloadWaitsAtTheHosts offers half as much again as the endpoint can run.
-func TestOverloadWaitsAtTheHosts(t *testing.T) {
+// TestLimitOverloadQueuesAtHosts offers half as much again as the endpoint can run.
+func TestLimitOverloadQueuesAtHosts(t *testing.T) {
 	const length = 20 * time.Second
 	for seed := range uint64(5) {
-		s := newSim(seed, 1.5, uneven)
+		s := newSim(seed, 1.5, unevenRates)
 		s.run(length)
 		wait := s.atEndpoint / time.Duration(s.served)
 		used := s.busy.Seconds() / (simSlots * length.Seconds())
@@ -151,10 +151,10 @@
 	}
 }
 
-// TestAUsualLoadDoesNotWait offers 0.7 of what the endpoint can run.
-func TestAUsualLoadDoesNotWait(t *testing.T) {
+// TestLimitNormalLoadDoesNotWait offers 0.7 of what the endpoint can run.
+func TestLimitNormalLoadDoesNotWait(t *testing.T) {
 	for seed := range uint64(5) {
-		s := newSim(seed, 0.7, uneven)
+		s := newSim(seed, 0.7, unevenRates)
 		s.run(20 * time.Second)
 		if wait := s.atHost / time.Duration(s.served); wait > 20*time.Millisecond {
 			t.Errorf("seed %d: %v in the queues of the hosts", seed, wait)
@@ -162,16 +162,16 @@
 	}
 }
 
-// TestTheBoundEndsWithTheQueue brings the load back to the usual.
-func TestTheBoundEndsWithTheQueue(t *testing.T) {
-	s := newSim(1, 1.5, uneven)
+// TestLimitBoundLiftedAfterOverload brings the load back to the usual.
+func TestLimitBoundLiftedAfterOverload(t *testing.T) {
+	s := newSim(1, 1.5, unevenRates)
 	s.run(10 * time.Second)
 	for _, h := range s.hosts {
 		h.rate /= 3
 	}
 	s.run(25 * time.Second)
 	for i, h := range s.hosts {
-		if n := h.limit.Allowed(s.most); n < s.most/2 {
+		if n := h.limit.Allowed(s.maxInProgress); n < s.maxInProgress/2 {
 			t.Errorf("host %d may still have only %d in progress", i, n)
 		}
 	}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -4,16 +4,16 @@
 
 // bucket is a token bucket that is refilled on use.
 type bucket struct {
-	share  Share
-	level  float64
-	filled time.Time
+	share      Share
+	level      float64
+	refilledAt time.Time
 }
 
 // refill adds the tokens of the time since the last refill.
 func (b *bucket) refill(now time.Time) {
-	if now.After(b.filled) {
-		b.level = min(b.share.Burst, b.level+b.share.Rate*now.Sub(b.filled).Seconds())
-		b.filled = now
+	if now.After(b.refilledAt) {
+		b.level = min(b.share.Burst, b.level+b.share.Rate*now.Sub(b.refilledAt).Seconds())
+		b.refilledAt = now
 	}
 }
 
@@ -32,12 +32,12 @@
 }
 
 // credit sets the level to what a time without any spending has left at least.
-func (b *bucket) credit(quiet time.Duration) {
+func (b *bucket) creditQuietPeriod(quiet time.Duration) {
 	b.level = max(b.level, min(b.share.Burst, b.share.Rate*quiet.Seconds()))
 }
 
 // until returns the time until the bucket holds n tokens.
-func (b *bucket) until(n float64) time.Duration {
+func (b *bucket) timeUntil(n float64) time.Duration {
 	if b.level >= n {
 		return 0
 	}
--- a/internal/quota/census_test.go
+++ b/internal/quota/census_test.go
@@ -8,10 +8,10 @@
 	"pgregory.net/rapid"
 )
 
-// TestANewOwnerNeedNotWaitForHoldersThatHaveToldAll takes a key over from an
+// TestOwnerTakeoverGrantsOnceAllLeasesReported takes a key over from an
 // owner while every holder can be reached: the rest of the limit is granted
 // long before unknown leases would have run out.
-func TestANewOwnerNeedNotWaitForHoldersThatHaveToldAll(t *testing.T) {
+func TestOwnerTakeoverGrantsOnceAllLeasesReported(t *testing.T) {
 	f := newFleet(1, 2, 3, map[string]Limit{"k": {Rate: 100, Burst: 100}})
 	f.step(time.Millisecond)
 	f.take(f.entries[0], "k")
@@ -29,7 +29,7 @@
 		}
 	}
 	f.changeOwners(rest)
-	f.learnAll()
+	f.propagateEpoch()
 	granted := 0
 	for range 40 { // two seconds, below the time of authority alone
 		f.step(50 * time.Millisecond)
@@ -48,9 +48,9 @@
 	}
 }
 
-// TestASilentHolderIsWaitedFor isolates a holder with a lease while the owner
+// TestOwnerTakeoverIsolatedHolderStaysWithinLimit isolates a holder with a lease while the owner
 // changes.
-func TestASilentHolderIsWaitedFor(t *testing.T) {
+func TestOwnerTakeoverIsolatedHolderStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 2, 3, map[string]Limit{"k": {Rate: 20, Burst: 20}})
 		f.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
@@ -61,7 +61,7 @@
 		}
 		f.entries[0].isolated = true
 		f.changeOwners([]string{f.controls[rapid.IntRange(0, 1).Draw(t, "owner")].name})
-		f.learnAll()
+		f.propagateEpoch()
 		for range 200 {
 			f.step(50 * time.Millisecond)
 			f.take(f.entries[0], "k") // goes on under its lease
@@ -74,9 +74,9 @@
 	})
 }
 
-// TestAFleetThatStartsAgainHasFilledMeanwhile restarts every process and then
+// TestFleetRestartBucketsRefillWhileDown restarts every process and then
 // asks for what a second without any spending has left.
-func TestAFleetThatStartsAgainHasFilledMeanwhile(t *testing.T) {
+func TestFleetRestartBucketsRefillWhileDown(t *testing.T) {
 	f := newFleet(1, 2, 3, map[string]Limit{"k": {Rate: 100, Burst: 100}})
 	for range 200 {
 		f.take(f.entries[0], "k")
@@ -122,9 +122,9 @@
 	}
 }
 
-// TestAHolderMayTellBeforeItIsRegistered names its leases to an owner that
+// TestOwnerAcceptsLeaseReportBeforeRegistration names its leases to an owner that
 // learns of the process only then.
-func TestAHolderMayTellBeforeItIsRegistered(t *testing.T) {
+func TestOwnerAcceptsLeaseReportBeforeRegistration(t *testing.T) {
 	now := start
 	o := NewOwner(Config{}, "c", 1, now)
 	o.SetEpoch(now, 1, []string{"c"})
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -15,9 +15,9 @@
 	name  string
 	drift float64
 	// epoch numbers the set of owners that the machine knows.
-	epoch    uint64
-	isolated bool
-	procs    uint64 // processes started so far
+	epoch       uint64
+	isolated    bool
+	incarnation uint64 // processes started so far
 }
 
 // clock returns the machine's time at a true time since the start.
@@ -37,7 +37,7 @@
 }
 
 // parcel is a message on its way.
-type parcel struct {
+type message struct {
 	due      time.Duration
 	from, to string
 	request  *Request
@@ -51,13 +51,13 @@
 	now      time.Duration // true time since the start
 	controls []*control
 	entries  []*entry
-	net      []parcel
+	net      []message
 	limits   map[string]Limit
 	epoch    uint64
 	owners   map[uint64][]string // by epoch
 	loss     float64
 	maxDelay time.Duration
-	check    map[string]*spendCheck
+	checks   map[string]*spendCheck
 	bytes    func(any) // counts messages, when set
 	// noQuarantine plants the fault of owners that grant at once after a start.
 	noQuarantine bool
@@ -86,7 +86,7 @@
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 3)), limits: limits, epoch: 1,
 		cfg:    Config{Drift: 0.01}.withDefaults(),
-		owners: map[uint64][]string{}, check: map[string]*spendCheck{}, maxDelay: 5 * time.Millisecond,
+		owners: map[uint64][]string{}, checks: map[string]*spendCheck{}, maxDelay: 5 * time.Millisecond,
 	}
 	for i := range controls {
 		f.controls = append(f.controls, &control{machine: f.machine(fmt.Sprintf("c%d", i))})
@@ -104,7 +104,7 @@
 		c.owner.SetHolders(c.clock(f.now), f.holderIDs())
 	}
 	for key, l := range limits {
-		f.check[key] = &spendCheck{limit: l, level: l.Burst}
+		f.checks[key] = &spendCheck{limit: l, level: l.Burst}
 	}
 	return f
 }
@@ -122,9 +122,9 @@
 }
 
 func (f *fleet) startOwner(c *control) {
-	c.procs++
+	c.incarnation++
 	now := c.clock(f.now)
-	c.owner = NewOwner(f.cfg, c.name, c.procs, now)
+	c.owner = NewOwner(f.cfg, c.name, c.incarnation, now)
 	c.owner.SetEpoch(now, c.epoch, f.owners[c.epoch])
 	c.owner.SetHolders(c.clock(f.now), f.holderIDs())
 	for key, l := range f.limits {
@@ -138,13 +138,13 @@
 			// The end of a process is agreed in the order of the log: an owner that
 			// does not know the present epoch does not know of it either.
 			if c.epoch == f.epoch && !c.isolated {
-				c.owner.RemoveHolder(c.clock(f.now), e.name, e.procs)
+				c.owner.RemoveHolder(c.clock(f.now), e.name, e.incarnation)
 			}
 		}
 	}
-	e.procs++
+	e.incarnation++
 	e.waiting = nil
-	e.holder = NewHolder(f.cfg, e.name, e.procs)
+	e.holder = NewHolder(f.cfg, e.name, e.incarnation)
 	e.holder.SetEpoch(e.epoch, f.owners[e.epoch])
 	for key, l := range f.limits {
 		if l.Rate == 0 {
@@ -157,7 +157,7 @@
 func (f *fleet) holderIDs() []HolderID {
 	var ids []HolderID
 	for _, e := range f.entries {
-		ids = append(ids, HolderID{e.name, e.procs})
+		ids = append(ids, HolderID{e.name, e.incarnation})
 	}
 	return ids
 }
@@ -180,14 +180,14 @@
 	for _, e := range f.entries {
 		f.enforceUnits(e)
 		for _, b := range e.holder.Requests(e.clock(f.now)) {
-			f.send(parcel{from: e.name, to: b.Owner, request: &b.Request})
+			f.send(message{from: e.name, to: b.Owner, request: &b.Request})
 		}
 	}
 	f.deliver()
 }
 
 // learn tells a machine of the present owners.
-func (f *fleet) learn(m *machine) bool {
+func (f *fleet) adoptEpoch(m *machine) bool {
 	if m.isolated || m.epoch == f.epoch {
 		return false
 	}
@@ -195,21 +195,21 @@
 	return true
 }
 
-func (f *fleet) learnAll() {
+func (f *fleet) propagateEpoch() {
 	for _, c := range f.controls {
-		if f.learn(&c.machine) {
+		if f.adoptEpoch(&c.machine) {
 			c.owner.SetEpoch(c.clock(f.now), c.epoch, f.owners[c.epoch])
 			c.owner.SetHolders(c.clock(f.now), f.holderIDs())
 		}
 	}
 	for _, e := range f.entries {
-		if f.learn(&e.machine) {
+		if f.adoptEpoch(&e.machine) {
 			e.holder.SetEpoch(e.epoch, f.owners[e.epoch])
 		}
 	}
 }
 
-func (f *fleet) send(p parcel) {
+func (f *fleet) send(p message) {
 	if f.bytes != nil {
 		if p.request != nil {
 			f.bytes(*p.request)
@@ -230,7 +230,7 @@
 
 func (f *fleet) deliver() {
 	due := slices.Clone(f.net)
-	f.net = slices.DeleteFunc(f.net, func(p parcel) bool { return p.due <= f.now })
+	f.net = slices.DeleteFunc(f.net, func(p message) bool { return p.due <= f.now })
 	for _, p := range due {
 		if p.due <= f.now {
 			f.receive(p)
@@ -238,7 +238,7 @@
 	}
 }
 
-func (f *fleet) receive(p parcel) {
+func (f *fleet) receive(p message) {
 	if p.reply != nil {
 		e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == p.to })]
 		e.holder.Receive(e.clock(f.now), *p.reply)
@@ -251,7 +251,7 @@
 		return
 	}
 	reply := c.owner.Handle(c.clock(f.now), *p.request)
-	f.send(parcel{from: p.to, to: p.from, reply: &reply})
+	f.send(message{from: p.to, to: p.from, reply: &reply})
 }
 
 // take lets an entry host have one request for a key and try it once. If it
@@ -264,7 +264,7 @@
 }
 
 // giveUp ends the requests that wait at an entry host.
-func (f *fleet) giveUp(e *entry) {
+func (f *fleet) withdrawAll(e *entry) {
 	for _, key := range e.waiting {
 		e.holder.Withdraw(key, 1)
 	}
@@ -276,7 +276,7 @@
 		return false
 	}
 	if f.limits[key].Rate > 0 {
-		f.check[key].spend(f.now, 1)
+		f.checks[key].spend(f.now, 1)
 		return true
 	}
 	f.checkUnits(key)
@@ -299,13 +299,13 @@
 		_, inUse := e.holder.Units(e.clock(f.now), key)
 		sum += inUse
 	}
-	if c := f.check[key]; sum > c.limit.Burst && c.failed == "" {
+	if c := f.checks[key]; sum > c.limit.Burst && c.failed == "" {
 		c.failed = fmt.Sprintf("%v units in use at %v", sum, f.now)
 	}
 }
 
 func (f *fleet) violation() string {
-	for key, c := range f.check {
+	for key, c := range f.checks {
 		if c.failed != "" {
 			return key + ": " + c.failed
 		}
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -11,38 +11,38 @@
 // Holder spends the shares of one entry host. It is not safe for concurrent
 // use.
 type Holder struct {
-	cfg         Config
-	host        string
-	incarnation uint64
-	epoch       uint64
-	owners      []string
-	processes   map[string]uint64 // incarnations of the owners, by host
-	seq         uint64
-	sent        []sentRequest   // oldest first
-	units       map[string]bool // keys that are limits of units
-	keys        map[string]*heldKey
-	order       []*heldKey // the keys in the order of their first use
+	cfg               Config
+	host              string
+	incarnation       uint64
+	epoch             uint64
+	owners            []string
+	ownerIncarnations map[string]uint64 // incarnations of the owners, by host
+	seq               uint64
+	sent              []sentRequest   // oldest first
+	unitKeys          map[string]bool // keys that are limits of units
+	keys              map[string]*heldKey
+	order             []*heldKey // the keys in the order of their first use
 	// census tells, by owner, whether it has been told of all leases.
-	census map[string]*census
+	leaseReports map[string]*leaseReport
 	// quiet is since when no token was spent, at most since the process started.
-	quiet time.Time
+	quietSince time.Time
 }
 
 // census is what a holder has told an owner of its leases.
-type census struct {
+type leaseReport struct {
 	// process is the owner's, zero while it is not known.
-	process uint64
-	seq     uint64 // of the last request that named all
-	done    bool
-	next    time.Time
+	incarnation uint64
+	seq         uint64 // of the last request that named all
+	confirmed   bool
+	nextAttempt time.Time
 }
 
 // maxQuiet bounds the time that a holder tells, far above the time in which any
 // burst fills.
-const maxQuiet = time.Hour
+const maxQuietPeriod = time.Hour
 
 // censusInterval is the time between two attempts to tell an owner.
-const censusInterval = 100 * time.Millisecond
+const leaseReportInterval = 100 * time.Millisecond
 
 // sentRequest remembers when a request was sent.
 type sentRequest struct {
@@ -65,8 +65,8 @@
 func NewHolder(cfg Config, host string, incarnation uint64) *Holder {
 	return &Holder{
 		cfg: cfg.withDefaults(), host: host, incarnation: incarnation,
-		processes: map[string]uint64{}, units: map[string]bool{}, keys: map[string]*heldKey{},
-		census: map[string]*census{},
+		ownerIncarnations: map[string]uint64{}, unitKeys: map[string]bool{}, keys: map[string]*heldKey{},
+		leaseReports: map[string]*leaseReport{},
 	}
 }
 
@@ -78,14 +78,14 @@
 		return
 	}
 	h.epoch, h.owners = epoch, slices.Clone(owners)
-	clear(h.census)
+	clear(h.leaseReports)
 	for _, k := range h.keys {
-		k.nextAsk = time.Time{}
+		k.nextRequest = time.Time{}
 	}
 }
 
 // SetUnits declares that a key is a limit of units, which are returned by Put.
-func (h *Holder) SetUnits(key string) { h.units[key] = true }
+func (h *Holder) SetUnits(key string) { h.unitKeys[key] = true }
 
 // Offer notes the arrival of a request for n tokens. It is called once per
 // request, however often Take is tried for it, and followed by a granted Take or
@@ -111,23 +111,23 @@
 	k.lastUse = now
 	switch {
 	case !k.valid(now):
-		k.short = true
-		return Decision{Wait: askInterval, Overloaded: k.over}
-	case k.units && k.inUse+n <= k.bucket.share.Burst:
+		k.needsMore = true
+		return Decision{Wait: requestInterval, Overloaded: k.overloaded}
+	case k.isUnits && k.inUse+n <= k.bucket.share.Burst:
 		k.inUse += n
 		k.backlog = max(0, k.backlog-n)
 		return Decision{Granted: true}
-	case k.units:
-		k.short = true
-		return Decision{Wait: askInterval, Overloaded: k.over}
+	case k.isUnits:
+		k.needsMore = true
+		return Decision{Wait: requestInterval, Overloaded: k.overloaded}
 	case k.bucket.level >= n:
 		k.bucket.level -= n
-		h.quiet = now
+		h.quietSince = now
 		k.backlog = max(0, k.backlog-n)
 		return Decision{Granted: true}
 	}
-	k.short = true
-	return Decision{Wait: k.wait(n), Overloaded: k.over}
+	k.needsMore = true
+	return Decision{Wait: k.waitTime(n), Overloaded: k.overloaded}
 }
 
 // Release returns n units.
@@ -144,7 +144,7 @@
 // holds them.
 func (h *Holder) Refund(now time.Time, key string, n float64) {
 	k := h.keys[key]
-	if k == nil || k.units || !k.valid(now) {
+	if k == nil || k.isUnits || !k.valid(now) {
 		return
 	}
 	k.advance(now)
@@ -167,8 +167,8 @@
 func (h *Holder) key(now time.Time, name string) *heldKey {
 	k := h.keys[name]
 	if k == nil {
-		k = &heldKey{name: name, units: h.units[name], measured: now}
-		k.bucket.filled = now
+		k = &heldKey{name: name, isUnits: h.unitKeys[name], measuredAt: now}
+		k.bucket.refilledAt = now
 		h.keys[name] = k
 		h.order = append(h.order, k)
 	}
@@ -184,29 +184,29 @@
 // Requests returns the requests that are due, one per owner. It should be
 // called every 100 ms.
 func (h *Holder) Requests(now time.Time) []Batch {
-	if h.quiet.IsZero() {
-		h.quiet = now
+	if h.quietSince.IsZero() {
+		h.quietSince = now
 	}
-	h.forgetSent(now)
-	b := batcher{holder: h, at: map[string]int{}}
+	h.pruneSent(now)
+	b := batcher{holder: h, index: map[string]int{}}
 	kept := h.order[:0]
 	for _, k := range h.order {
 		k.advance(now)
 		k.measure(now)
-		if h.idle(now, k) {
+		if h.isIdle(now, k) {
 			b.add(k, KeyRequest{Key: k.name, Release: true, Returned: k.bucket.level + k.returned})
 			delete(h.keys, k.name)
 			continue
 		}
 		kept = append(kept, k)
 		if k.due(now) {
-			b.add(k, k.ask(now))
-			k.asked(now, h.cfg)
+			b.add(k, k.request(now))
+			k.requested(now, h.cfg)
 		}
 	}
 	clear(h.order[len(kept):])
 	h.order = kept
-	h.takeCensus(now, &b)
+	h.reportAllLeases(now, &b)
 	for _, r := range b.batches {
 		h.sent = append(h.sent, sentRequest{seq: r.Request.Seq, at: now})
 	}
@@ -215,44 +215,44 @@
 
 // takeCensus names all leases to the owners that have not been told. An owner
 // whose process is not known yet is asked for it.
-func (h *Holder) takeCensus(now time.Time, b *batcher) {
+func (h *Holder) reportAllLeases(now time.Time, b *batcher) {
 	for _, owner := range h.owners {
-		c := h.census[owner]
-		if c == nil || c.process != h.processes[owner] {
-			c = &census{process: h.processes[owner]}
-			h.census[owner] = c
+		c := h.leaseReports[owner]
+		if c == nil || c.incarnation != h.ownerIncarnations[owner] {
+			c = &leaseReport{incarnation: h.ownerIncarnations[owner]}
+			h.leaseReports[owner] = c
 		}
-		if c.done || now.Before(c.next) {
+		if c.confirmed || now.Before(c.nextAttempt) {
 			continue
 		}
-		c.next = now.Add(censusInterval)
+		c.nextAttempt = now.Add(leaseReportInterval)
 		i := b.request(owner)
 		r := &b.batches[i].Request
-		r.Complete, c.seq = c.process != 0, r.Seq
+		r.Complete, c.seq = c.incarnation != 0, r.Seq
 		if r.Complete {
-			r.QuietMS = uint32(min(now.Sub(h.quiet), maxQuiet).Milliseconds())
+			r.QuietMS = uint32(min(now.Sub(h.quietSince), maxQuietPeriod).Milliseconds())
 		}
 		r.Keys = slices.DeleteFunc(r.Keys, func(a KeyRequest) bool { return !a.Release })
 		for _, k := range h.order {
 			if rendezvous.Owner(h.owners, k.name) == owner {
-				b.add(k, k.ask(now))
-				k.asked(now, h.cfg)
+				b.add(k, k.request(now))
+				k.requested(now, h.cfg)
 			}
 		}
 	}
 }
 
 // told notes that an owner has answered the request that named all leases.
-func (h *Holder) told(r Reply) {
-	if c := h.census[r.Owner]; c != nil && r.Complete && c.process == r.Incarnation && c.seq == r.Seq {
-		c.done = true
+func (h *Holder) confirmLeaseReport(r Reply) {
+	if c := h.leaseReports[r.Owner]; c != nil && r.Complete && c.incarnation == r.Incarnation && c.seq == r.Seq {
+		c.confirmed = true
 	}
 }
 
 // idle reports whether a share should be given back. The holder then forgets
 // the key and ignores answers to earlier requests: when the key comes into use
 // again, only answers to later requests count.
-func (h *Holder) idle(now time.Time, k *heldKey) bool {
+func (h *Holder) isIdle(now time.Time, k *heldKey) bool {
 	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.IdleTimeout
 }
 
@@ -260,7 +260,7 @@
 type batcher struct {
 	holder  *Holder
 	batches []Batch
-	at      map[string]int // by owner
+	index   map[string]int // by owner
 }
 
 func (b *batcher) add(k *heldKey, a KeyRequest) {
@@ -278,22 +278,22 @@
 
 // request returns the index of the request to an owner, which it begins.
 func (b *batcher) request(owner string) int {
-	if i, ok := b.at[owner]; ok {
+	if i, ok := b.index[owner]; ok {
 		return i
 	}
 	h := b.holder
 	h.seq++
 	i := len(b.batches)
-	b.at[owner] = i
+	b.index[owner] = i
 	b.batches = append(b.batches, Batch{Owner: owner, Request: Request{
 		Host: h.host, Incarnation: h.incarnation, Epoch: h.epoch,
-		OwnerIncarnation: h.processes[owner], Seq: h.seq,
+		OwnerIncarnation: h.ownerIncarnations[owner], Seq: h.seq,
 	}})
 	return i
 }
 
 // forgetSent drops requests whose answers could only grant ended leases.
-func (h *Holder) forgetSent(now time.Time) {
+func (h *Holder) pruneSent(now time.Time) {
 	old := 0
 	for old < len(h.sent) && now.Sub(h.sent[old].at) > h.cfg.Lease {
 		old++
@@ -314,13 +314,13 @@
 // changes nothing.
 func (h *Holder) Receive(now time.Time, r Reply) {
 	at, known := h.sentAt(r.Seq)
-	if !known || r.Epoch != h.epoch || r.HolderIncarnation != h.incarnation || r.Incarnation < h.processes[r.Owner] {
+	if !known || r.Epoch != h.epoch || r.HolderIncarnation != h.incarnation || r.Incarnation < h.ownerIncarnations[r.Owner] {
 		return
 	}
-	if r.Incarnation > h.processes[r.Owner] {
-		h.meet(r.Owner, r.Incarnation)
+	if r.Incarnation > h.ownerIncarnations[r.Owner] {
+		h.noteOwnerRestart(r.Owner, r.Incarnation)
 	}
-	h.told(r)
+	h.confirmLeaseReport(r)
 	expires := at.Add(time.Duration(r.LeaseMS) * time.Millisecond)
 	for _, g := range r.Grants {
 		k := h.keys[g.Key]
@@ -332,11 +332,11 @@
 }
 
 // meet notes a new process of an owner and asks it for its keys at once.
-func (h *Holder) meet(owner string, incarnation uint64) {
-	h.processes[owner] = incarnation
+func (h *Holder) noteOwnerRestart(owner string, incarnation uint64) {
+	h.ownerIncarnations[owner] = incarnation
 	for _, k := range h.order {
 		if rendezvous.Owner(h.owners, k.name) == owner {
-			k.nextAsk = time.Time{}
+			k.nextRequest = time.Time{}
 		}
 	}
 }
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -16,29 +16,29 @@
 	epoch       uint64
 	owners      []string
 	// since is when this process last took keys over.
-	since     time.Time
-	authority time.Time
-	limits    map[string]Limit
-	fresh     map[string]bool // limits without any former lease
-	keys      map[string]*ownedKey
-	lastID    uint64
+	ownedSince  time.Time
+	leaseEnd    time.Time
+	limits      map[string]Limit
+	neverLeased map[string]bool // limits without any former lease
+	keys        map[string]*ownedKey
+	lastID      uint64
 	// holders are the processes that may hold leases, told those that have named
 	// all their leases to this owner in this epoch, and known is set once all have.
-	holders []HolderID
-	told    map[HolderID]bool
-	known   bool
+	holders     []HolderID
+	reported    map[HolderID]bool
+	leasesKnown bool
 	// quiet is since when no process that was told of has spent a token, as it
 	// said when it named its leases.
-	quiet time.Time
+	quietSince time.Time
 }
 
 // NewOwner returns the owner of a control host. The incarnation must be greater
 // than that of any former process of the host.
 func NewOwner(cfg Config, host string, incarnation uint64, now time.Time) *Owner {
 	return &Owner{
-		cfg: cfg.withDefaults(), host: host, incarnation: incarnation, since: now,
-		limits: map[string]Limit{}, fresh: map[string]bool{}, keys: map[string]*ownedKey{},
-		told: map[HolderID]bool{},
+		cfg: cfg.withDefaults(), host: host, incarnation: incarnation, ownedSince: now,
+		limits: map[string]Limit{}, neverLeased: map[string]bool{}, keys: map[string]*ownedKey{},
+		reported: map[HolderID]bool{},
 	}
 }
 
@@ -51,10 +51,10 @@
 		return
 	}
 	next := epoch == o.epoch+1
-	o.epoch, o.owners, o.since = epoch, slices.Clone(owners), now
-	clear(o.fresh)
-	clear(o.told)
-	o.known, o.quiet = false, time.Time{}
+	o.epoch, o.owners, o.ownedSince = epoch, slices.Clone(owners), now
+	clear(o.neverLeased)
+	clear(o.reported)
+	o.leasesKnown, o.quietSince = false, time.Time{}
 	for key := range o.keys {
 		if !next || rendezvous.Owner(o.owners, key) != o.host {
 			delete(o.keys, key)
@@ -64,7 +64,7 @@
 
 // SetOwnerLease tells until when the host may act as an owner: the end of its
 // configuration lease.
-func (o *Owner) SetOwnerLease(until time.Time) { o.authority = until }
+func (o *Owner) SetOwnerLease(until time.Time) { o.leaseEnd = until }
 
 // SetLimit sets the limit of a key. Fresh tells that no lease of the key can
 // exist because the key is new in the fleet; its whole burst is then available
@@ -73,12 +73,12 @@
 	if limit == (Limit{}) {
 		delete(o.limits, key)
 		delete(o.keys, key)
-		o.quiet = now // leases of the key may be spent on
+		o.quietSince = now // leases of the key may be spent on
 		return
 	}
 	o.limits[key] = limit
 	if fresh {
-		o.fresh[key] = true
+		o.neverLeased[key] = true
 	}
 	if k := o.keys[key]; k != nil {
 		k.setLimit(now, limit)
@@ -89,41 +89,41 @@
 // registered when its epoch began, at least.
 func (o *Owner) SetHolders(now time.Time, holders []HolderID) {
 	o.holders = holders
-	o.open(now)
+	o.endQuarantine(now)
 }
 
 // learn notes that a holder has named all its leases and for how long it has
 // spent nothing. When all holders have, no unknown lease is left to wait for, and
 // keys without any lease have filled since the last of them has spent.
-func (o *Owner) learn(now time.Time, id HolderID, quiet time.Duration) {
-	o.told[id] = true
-	if since := now.Add(-quiet); since.After(o.quiet) {
-		o.quiet = since
+func (o *Owner) recordLeaseReport(now time.Time, id HolderID, quiet time.Duration) {
+	o.reported[id] = true
+	if since := now.Add(-quiet); since.After(o.quietSince) {
+		o.quietSince = since
 	}
-	o.open(now)
+	o.endQuarantine(now)
 }
 
 // LeasesKnown reports whether every holder has named its leases to this owner in the
 // present epoch, and since when none of them has spent a token by then.
-func (o *Owner) LeasesKnown() (bool, time.Time) { return o.known, o.quiet }
+func (o *Owner) LeasesKnown() (bool, time.Time) { return o.leasesKnown, o.quietSince }
 
 // open ends the wait for unknown leases once every holder has named its own.
-func (o *Owner) open(now time.Time) {
-	if o.known || len(o.holders) == 0 {
+func (o *Owner) endQuarantine(now time.Time) {
+	if o.leasesKnown || len(o.holders) == 0 {
 		return
 	}
 	for _, holder := range o.holders {
-		if !o.told[holder] {
+		if !o.reported[holder] {
 			return
 		}
 	}
-	o.known = true
+	o.leasesKnown = true
 	for _, k := range o.keys {
-		k.quarantine = now
+		k.quarantineEnd = now
 		k.advance(now)
-		k.opened, k.holders = now, len(o.holders)
+		k.openedAt, k.holderCount = now, len(o.holders)
 		if k.unleased() {
-			k.pool.credit(now.Sub(o.quiet))
+			k.pool.creditQuietPeriod(now.Sub(o.quietSince))
 		}
 	}
 }
@@ -137,37 +137,37 @@
 		HolderIncarnation: req.Incarnation, Seq: req.Seq,
 		LeaseMS: uint32(o.cfg.Lease.Milliseconds()),
 	}
-	if req.Epoch != o.epoch || req.OwnerIncarnation != o.incarnation || !now.Before(o.authority) {
+	if req.Epoch != o.epoch || req.OwnerIncarnation != o.incarnation || !now.Before(o.leaseEnd) {
 		return reply
 	}
 	if reply.Complete = req.Complete; reply.Complete {
 		quiet := time.Duration(req.QuietMS) * time.Millisecond
-		defer o.learn(now, HolderID{req.Host, req.Incarnation}, o.cfg.shorter(quiet))
+		defer o.recordLeaseReport(now, HolderID{req.Host, req.Incarnation}, o.cfg.subtractDrift(quiet))
 	}
 	for _, a := range req.Keys {
-		if g, ok := o.ask(now, HolderID{req.Host, req.Incarnation}, req.Seq, a); ok {
+		if g, ok := o.handleKey(now, HolderID{req.Host, req.Incarnation}, req.Seq, a); ok {
 			reply.Grants = append(reply.Grants, g)
 		}
 	}
 	return reply
 }
 
-func (o *Owner) ask(now time.Time, id HolderID, seq uint64, a KeyRequest) (Grant, bool) {
+func (o *Owner) handleKey(now time.Time, id HolderID, seq uint64, a KeyRequest) (Grant, bool) {
 	k := o.key(now, a.Key)
 	if k == nil {
 		return Grant{}, false
 	}
-	g := k.grantees[id]
+	g := k.holders[id]
 	if g == nil {
-		g = &grantee{}
-		k.grantees[id] = g
+		g = &holderState{}
+		k.holders[id] = g
 	}
 	if seq <= g.seq {
 		return Grant{}, false
 	}
 	g.seq = seq
 	k.advance(now)
-	k.report(now, g, a)
+	k.applyRequest(now, g, a)
 	if a.Release {
 		return Grant{}, false
 	}
@@ -184,19 +184,19 @@
 	if !known || rendezvous.Owner(o.owners, key) != o.host {
 		return nil
 	}
-	quarantine := o.since.Add(o.cfg.longer(o.cfg.OwnerLease + o.cfg.Lease))
-	if o.fresh[key] || o.known {
-		quarantine = o.since
+	quarantine := o.ownedSince.Add(o.cfg.addDrift(o.cfg.OwnerLease + o.cfg.Lease))
+	if o.neverLeased[key] || o.leasesKnown {
+		quarantine = o.ownedSince
 	}
 	k := newOwnedKey(o.cfg, key, limit, now, quarantine)
-	if o.fresh[key] {
+	if o.neverLeased[key] {
 		k.pool.level = limit.Burst
-		delete(o.fresh, key)
-	} else if o.known {
-		k.pool.credit(now.Sub(o.quiet))
+		delete(o.neverLeased, key)
+	} else if o.leasesKnown {
+		k.pool.creditQuietPeriod(now.Sub(o.quietSince))
 	}
-	if o.known {
-		k.opened, k.holders = now, len(o.holders)
+	if o.leasesKnown {
+		k.openedAt, k.holderCount = now, len(o.holders)
 	}
 	o.keys[key] = k
 	return k
@@ -206,9 +206,9 @@
 // caller knows that its configuration lease has run out.
 func (o *Owner) RemoveHolder(now time.Time, host string, incarnation uint64) {
 	for _, k := range o.keys {
-		if g := k.grantees[HolderID{host, incarnation}]; g != nil {
+		if g := k.holders[HolderID{host, incarnation}]; g != nil {
 			k.advance(now)
-			k.drop(HolderID{host, incarnation}, g)
+			k.removeHolder(HolderID{host, incarnation}, g)
 		}
 	}
 }
@@ -224,7 +224,7 @@
 func (o *Owner) Pairs() int {
 	n := 0
 	for _, k := range o.keys {
-		n += len(k.grantees)
+		n += len(k.holders)
 	}
 	return n
 }
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -21,14 +21,14 @@
 	maxSeed       = 1 << 40
 	stepTime      = 20 * time.Millisecond
 	takesPerStep  = 4
-	chaosLoss     = 0.1
-	chaosMaxDelay = 600 * time.Millisecond
+	faultLoss     = 0.1
+	faultMaxDelay = 600 * time.Millisecond
 )
 
 // chaos runs random faults for a number of steps: owners crash, are replaced
 // and isolated, entry hosts restart, messages are lost, late and duplicated.
-func (f *fleet) chaos(steps int) {
-	f.loss, f.maxDelay = chaosLoss, chaosMaxDelay
+func (f *fleet) runRandomFaults(steps int) {
+	f.loss, f.maxDelay = faultLoss, faultMaxDelay
 	for i := 0; i < steps && f.violation() == ""; i++ {
 		f.step(time.Duration(f.rng.Int64N(int64(2 * stepTime))))
 		f.randomUse()
@@ -39,7 +39,7 @@
 func (f *fleet) randomUse() {
 	for range takesPerStep {
 		e := f.entries[f.rng.IntN(len(f.entries))]
-		f.giveUp(e)
+		f.withdrawAll(e)
 		f.take(e, "workspace/a")
 		f.take(e, "workspace/a")
 		f.take(e, "workspace/b")
@@ -67,7 +67,7 @@
 	case 5, 6:
 		e.isolated = !e.isolated
 	case 7, 8, 9, 10, 11, 12:
-		f.learnAll()
+		f.propagateEpoch()
 	}
 }
 
@@ -82,7 +82,7 @@
 		first := rapid.Uint64Range(0, maxSeed).Draw(rt, "first seed")
 		for seed := first; seed < first+runsPerCheck; seed++ {
 			f := newFleet(seed, 3, 4, testLimits)
-			f.chaos(stepsPerRun)
+			f.runRandomFaults(stepsPerRun)
 			if v := f.violation(); v != "" {
 				rt.Fatalf("seed %d: %s", seed, v)
 			}
@@ -90,10 +90,10 @@
 	})
 }
 
-// TestCheckFindsPlantedFaults shows that the check fails when an owner grants
+// TestSpendCheckDetectsInjectedFaults shows that the check fails when an owner grants
 // without waiting for the leases of its predecessor, or when clocks drift more
 // than is allowed for.
-func TestCheckFindsPlantedFaults(t *testing.T) {
+func TestSpendCheckDetectsInjectedFaults(t *testing.T) {
 	faults := map[string]func(f *fleet){
 		"no quarantine": func(f *fleet) { f.noQuarantine = true },
 		"drift": func(f *fleet) {
@@ -107,7 +107,7 @@
 			for seed := range uint64(500) {
 				f := newFleet(seed, 3, 4, testLimits)
 				plant(f)
-				f.chaos(stepsPerRun)
+				f.runRandomFaults(stepsPerRun)
 				if v := f.violation(); v != "" {
 					t.Logf("seed %d: %s", seed, v)
 					return
@@ -121,14 +121,14 @@
 // load is a stream of requests that are retried until they are granted or have
 // waited for too long.
 type load struct {
-	fleet   *fleet
-	key     string
-	rate    float64 // requests per second over all hosts
-	patient time.Duration
-	waiting []waiting
-	served  int
-	refused int
-	perHost map[string]int
+	fleet    *fleet
+	key      string
+	rate     float64 // requests per second over all hosts
+	patience time.Duration
+	waiting  []waiting
+	served   int
+	refused  int
+	perHost  map[string]int
 }
 
 type waiting struct {
@@ -167,7 +167,7 @@
 		switch {
 		case l.fleet.retry(w.entry, l.key):
 			l.done(w.entry)
-		case l.fleet.now-w.since > l.patient:
+		case l.fleet.now-w.since > l.patience:
 			l.refused++
 			w.entry.holder.Withdraw(l.key, 1)
 		default:
@@ -178,12 +178,12 @@
 }
 
 func newLoad(f *fleet, key string, rate float64) *load {
-	return &load{fleet: f, key: key, rate: rate, patient: 3 * time.Second, perHost: map[string]int{}}
+	return &load{fleet: f, key: key, rate: rate, patience: 3 * time.Second, perHost: map[string]int{}}
 }
 
-// TestLoadInsideRateIsServed offers 85% of a rate through 9 hosts while an owner
+// TestLoadWithinRateIsServed offers 85% of a rate through 9 hosts while an owner
 // restarts and a set of owners is replaced: nothing may be refused.
-func TestLoadInsideRateIsServed(t *testing.T) {
+func TestLoadWithinRateIsServed(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 3, 9, map[string]Limit{"workspace/a": {Rate: 200, Burst: 100}})
 		l := newLoad(f, "workspace/a", 170)
@@ -194,7 +194,7 @@
 		}
 		l.run(rng, 10*time.Second)
 		f.changeOwners([]string{"c1"})
-		f.learnAll()
+		f.propagateEpoch()
 		l.run(rng, 20*time.Second)
 		if l.refused > 0 || f.violation() != "" {
 			t.Errorf("seed %d: %d refused of %d, violation %q", seed, l.refused, l.served+l.refused, f.violation())
@@ -202,8 +202,8 @@
 	}
 }
 
-// TestOverloadUsesTheWholeRate offers three times a rate.
-func TestOverloadUsesTheWholeRate(t *testing.T) {
+// TestOverloadUsesFullRate offers three times a rate.
+func TestOverloadUsesFullRate(t *testing.T) {
 	f := newFleet(1, 3, 9, map[string]Limit{"workspace/a": {Rate: 200, Burst: 100}})
 	l := newLoad(f, "workspace/a", 600)
 	l.run(rand.New(rand.NewPCG(1, 9)), 60*time.Second)
@@ -215,10 +215,10 @@
 	}
 }
 
-// TestAnInterruptionIsNotOverload lets callers come back together with the
+// TestReconnectSurgeIsNotOverload lets callers come back together with the
 // requests of two seconds: the workspace is told that it is over its rate only
 // when that lasts.
-func TestAnInterruptionIsNotOverload(t *testing.T) {
+func TestReconnectSurgeIsNotOverload(t *testing.T) {
 	f := newFleet(1, 3, 3, map[string]Limit{"k": {Rate: 160, Burst: 10}})
 	f.step(time.Millisecond)
 	for i := range 200 {
@@ -237,22 +237,22 @@
 		}
 		return over
 	}
-	if offered(comebackTime - 100*time.Millisecond) {
+	if offered(reconnectWindow - 100*time.Millisecond) {
 		t.Error("callers who came back together count as overload")
 	}
-	if offered(comebackTime); offered(comebackTime) {
+	if offered(reconnectWindow); offered(reconnectWindow) {
 		t.Error("the usual load counts as overload")
 	}
 }
 
-// TestDeadHoldersShareIsReclaimed checks that units held by a process that has
+// TestDeadHolderShareIsReclaimed checks that units held by a process that has
 // ended can be used by another host.
-func TestDeadHoldersShareIsReclaimed(t *testing.T) {
+func TestDeadHolderShareIsReclaimed(t *testing.T) {
 	f := newFleet(1, 1, 2, map[string]Limit{"endpoint/x": {Burst: 4}})
 	taken := func(e *entry) float64 {
 		for range 200 {
 			f.step(stepTime)
-			f.giveUp(e)
+			f.withdrawAll(e)
 			f.take(e, "endpoint/x")
 		}
 		_, inUse := e.holder.Units(e.clock(f.now), "endpoint/x")
@@ -270,17 +270,17 @@
 	}
 }
 
-// TestImpatientCallersUseASmallRate offers twice a rate of a few tokens a second
+// TestSmallRateIsUsedByImpatientCallers offers twice a rate of a few tokens a second
 // for each host, by callers who wait for a tenth of a second: seven eighths of the
 // rate are to be used.
-func TestImpatientCallersUseASmallRate(t *testing.T) {
+func TestSmallRateIsUsedByImpatientCallers(t *testing.T) {
 	const rate = 20.0
 	used := 0.0
 	const seeds = 5
 	for seed := range uint64(seeds) {
 		f := newFleet(seed, 3, 9, map[string]Limit{"workspace/a": {Rate: rate, Burst: rate}})
 		l := newLoad(f, "workspace/a", 2*rate)
-		l.patient = 100 * time.Millisecond
+		l.patience = 100 * time.Millisecond
 		l.run(rand.New(rand.NewPCG(seed, 9)), 60*time.Second)
 		used += float64(l.served) / (rate * 60) / seeds
 		if v := f.violation(); v != "" {
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -8,10 +8,10 @@
 // against the limit until they are given up.
 func (h *Holder) ReportUsage(now time.Time, key string, inUse, wanted float64) {
 	k := h.key(now, key)
-	k.units, k.counted = true, true
-	k.inUse, k.wanted = inUse, wanted
+	k.isUnits, k.callerCounts = true, true
+	k.inUse, k.unitDemand = inUse, wanted
 	if !k.valid(now) || wanted > k.bucket.share.Burst {
-		k.short = true
+		k.needsMore = true
 	}
 	if wanted > 0 {
 		k.lastUse = now
--- a/internal/quota/types.go
+++ b/internal/quota/types.go
@@ -44,12 +44,12 @@
 }
 
 // longer returns d prolonged by the drift allowance.
-func (c Config) longer(d time.Duration) time.Duration {
+func (c Config) addDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*c.Drift)
 }
 
 // shorter returns d cut by the drift allowance.
-func (c Config) shorter(d time.Duration) time.Duration {
+func (c Config) subtractDrift(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*c.Drift)
 }
 
