--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -24,7 +24,7 @@
 	benchDemand = 10
 )
 
-// newPairBench gives each key a limit so that its demand is the given part.
+// newPairBench gives each key a limit of which the demand is the fraction load.
 func newPairBench(b *testing.B, holders, keys int, load float64) *pairBench {
 	p := &pairBench{b: b, now: start}
 	p.owner = NewOwner(Config{}, "c0", 1, start)
@@ -56,7 +56,7 @@
 	return to
 }
 
-// offer lets every pair have one request; it is not part of what is measured.
+// offer issues one request per pair. The benchmark timer is stopped meanwhile.
 func (p *pairBench) offer() {
 	for _, h := range p.holders {
 		for _, key := range p.keys {
@@ -68,7 +68,7 @@
 	}
 }
 
-// exchange runs one interval of messages.
+// exchange sends the requests that are due and delivers the replies.
 func (p *pairBench) exchange() {
 	for _, h := range p.holders {
 		for _, batch := range h.Requests(p.now) {
@@ -78,6 +78,7 @@
 	}
 }
 
+// second runs one simulated second of load and messages.
 func (p *pairBench) second() {
 	for range int(time.Second / benchInterval) {
 		p.now = p.now.Add(benchInterval)
@@ -90,8 +91,8 @@
 	p.owner.Tick(p.now)
 }
 
-// BenchmarkActivePair measures what an active (host, key) pair costs its holder
-// and its owner together in one second of steady load.
+// BenchmarkActivePair measures the cost of an active (host, key) pair for its
+// holder and its owner together during one second of steady load.
 func BenchmarkActivePair(b *testing.B) {
 	for _, keys := range []int{100, 1000} {
 		for _, load := range []float64{0.4, 0.9} {
@@ -103,7 +104,7 @@
 func benchPairs(b *testing.B, keys int, load float64) {
 	b.Run(fmt.Sprintf("hosts=10/keys=%d/load=%.1f", keys, load), func(b *testing.B) {
 		p := newPairBench(b, 10, keys, load)
-		for range 10 { // settles the shares
+		for range 10 { // until the shares are stable
 			p.second()
 		}
 		p.bytes = 0
@@ -126,7 +127,7 @@
 	o.SetOwnerLease(start.Add(time.Hour))
 	o.SetLimit(start, "workspace/a", Limit{Rate: 1e12, Burst: 1e12}, true)
 	h.Offer(start, "workspace/a", 1)
-	for range 2 { // the first answer only names the owner's process
+	for range 2 { // the first reply carries only the owner's incarnation
 		for _, batch := range h.Requests(start) {
 			h.Receive(start, o.Handle(start, batch.Request))
 		}
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -2,14 +2,15 @@
 
 import "time"
 
-// bucket is a token bucket that is refilled on use.
+// bucket is a token bucket that is refilled on use. Its level never exceeds the
+// burst of its share.
 type bucket struct {
 	share      Share
 	level      float64
 	refilledAt time.Time
 }
 
-// refill adds the tokens of the time since the last refill.
+// refill adds the tokens accrued since the last refill.
 func (b *bucket) refill(now time.Time) {
 	if now.After(b.refilledAt) {
 		b.level = min(b.share.Burst, b.level+b.share.Rate*now.Sub(b.refilledAt).Seconds())
@@ -17,7 +18,8 @@
 	}
 }
 
-// resize changes the share and returns the tokens that no longer fit.
+// resize changes the share and returns the number of tokens that exceed the new
+// burst.
 func (b *bucket) resize(now time.Time, share Share) float64 {
 	b.refill(now)
 	b.share = share
@@ -26,17 +28,18 @@
 	return excess
 }
 
-// add puts tokens in, up to the burst.
+// add adds tokens up to the burst.
 func (b *bucket) add(tokens float64) {
 	b.level = min(b.share.Burst, b.level+tokens)
 }
 
-// credit sets the level to what a time without any spending has left at least.
+// creditQuietPeriod raises the level to the tokens accrued during a period in
+// which none were spent.
 func (b *bucket) creditQuietPeriod(quiet time.Duration) {
 	b.level = max(b.level, min(b.share.Burst, b.share.Rate*quiet.Seconds()))
 }
 
-// until returns the time until the bucket holds n tokens.
+// timeUntil returns the time until the bucket holds n tokens.
 func (b *bucket) timeUntil(n float64) time.Duration {
 	if b.level >= n {
 		return 0
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -10,14 +10,14 @@
 // start is the true time at which a simulated fleet starts.
 var start = time.Unix(1_700_000_000, 0)
 
-// machine has a clock that runs at a rate of its own.
+// machine is a simulated host whose clock runs at its own rate.
 type machine struct {
 	name  string
 	drift float64
-	// epoch numbers the set of owners that the machine knows.
+	// epoch is the number of the set of owners that the machine uses.
 	epoch       uint64
 	isolated    bool
-	incarnation uint64 // processes started so far
+	incarnation uint64 // number of processes started so far
 }
 
 // clock returns the machine's time at a true time since the start.
@@ -36,7 +36,7 @@
 	waiting []string // keys of requests that wait
 }
 
-// parcel is a message on its way.
+// message is a message in transit.
 type message struct {
 	due      time.Duration
 	from, to string
@@ -59,11 +59,12 @@
 	maxDelay time.Duration
 	checks   map[string]*spendCheck
 	bytes    func(any) // counts messages, when set
-	// noQuarantine plants the fault of owners that grant at once after a start.
+	// noQuarantine injects a fault: owners grant immediately after a start.
 	noQuarantine bool
 }
 
-// spendCheck replays what all hosts spend of a key on one exact bucket.
+// spendCheck charges the tokens of a key that all hosts spend to one exact bucket,
+// and records the first violation of the limit.
 type spendCheck struct {
 	limit  Limit
 	level  float64
@@ -78,7 +79,7 @@
 	c.level = min(c.limit.Burst, c.level+c.limit.Rate*(now-c.last).Seconds()) - n
 	c.last = now
 	if c.level < -rounding && c.failed == "" {
-		c.failed = fmt.Sprintf("%.3f tokens too many at %v", -c.level, now)
+		c.failed = fmt.Sprintf("%.3f tokens over the limit at %v", -c.level, now)
 	}
 }
 
@@ -135,8 +136,8 @@
 func (f *fleet) startHolder(e *entry) {
 	if e.holder != nil {
 		for _, c := range f.controls {
-			// The end of a process is agreed in the order of the log: an owner that
-			// does not know the present epoch does not know of it either.
+			// The end of a process is committed to the replicated log: an owner that has
+			// not applied the current epoch has not applied the end of the process either.
 			if c.epoch == f.epoch && !c.isolated {
 				c.owner.RemoveHolder(c.clock(f.now), e.name, e.incarnation)
 			}
@@ -153,7 +154,7 @@
 	}
 }
 
-// holderIDs are the present processes of the entry hosts.
+// holderIDs returns the current processes of the entry hosts.
 func (f *fleet) holderIDs() []HolderID {
 	var ids []HolderID
 	for _, e := range f.entries {
@@ -162,13 +163,13 @@
 	return ids
 }
 
-// changeOwners puts another set of owners in force. Machines learn of it later.
+// changeOwners starts an epoch with another set of owners. Machines adopt it later.
 func (f *fleet) changeOwners(owners []string) {
 	f.epoch++
 	f.owners[f.epoch] = owners
 }
 
-// step advances the true time and delivers what is due.
+// step advances the true time, sends due requests and delivers due messages.
 func (f *fleet) step(d time.Duration) {
 	f.now += d
 	for _, c := range f.controls {
@@ -186,7 +187,8 @@
 	f.deliver()
 }
 
-// learn tells a machine of the present owners.
+// adoptEpoch moves a reachable machine to the current epoch and reports whether its
+// epoch changed.
 func (f *fleet) adoptEpoch(m *machine) bool {
 	if m.isolated || m.epoch == f.epoch {
 		return false
@@ -195,6 +197,7 @@
 	return true
 }
 
+// propagateEpoch announces the current epoch to all reachable machines.
 func (f *fleet) propagateEpoch() {
 	for _, c := range f.controls {
 		if f.adoptEpoch(&c.machine) {
@@ -209,53 +212,53 @@
 	}
 }
 
-func (f *fleet) send(p message) {
+func (f *fleet) send(m message) {
 	if f.bytes != nil {
-		if p.request != nil {
-			f.bytes(*p.request)
+		if m.request != nil {
+			f.bytes(*m.request)
 		} else {
-			f.bytes(*p.reply)
+			f.bytes(*m.reply)
 		}
 	}
 	if f.rng.Float64() < f.loss {
 		return
 	}
-	p.due = f.now + time.Duration(f.rng.Float64()*float64(f.maxDelay))
-	f.net = append(f.net, p)
+	m.due = f.now + time.Duration(f.rng.Float64()*float64(f.maxDelay))
+	f.net = append(f.net, m)
 	if f.rng.Float64() < f.loss/4 { // duplicated
-		p.due += f.maxDelay
-		f.net = append(f.net, p)
+		m.due += f.maxDelay
+		f.net = append(f.net, m)
 	}
 }
 
 func (f *fleet) deliver() {
 	due := slices.Clone(f.net)
-	f.net = slices.DeleteFunc(f.net, func(p message) bool { return p.due <= f.now })
-	for _, p := range due {
-		if p.due <= f.now {
-			f.receive(p)
+	f.net = slices.DeleteFunc(f.net, func(m message) bool { return m.due <= f.now })
+	for _, m := range due {
+		if m.due <= f.now {
+			f.receive(m)
 		}
 	}
 }
 
-func (f *fleet) receive(p message) {
-	if p.reply != nil {
-		e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == p.to })]
-		e.holder.Receive(e.clock(f.now), *p.reply)
+func (f *fleet) receive(m message) {
+	if m.reply != nil {
+		e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == m.to })]
+		e.holder.Receive(e.clock(f.now), *m.reply)
 		return
 	}
-	c := f.controls[slices.IndexFunc(f.controls, func(c *control) bool { return c.name == p.to })]
-	e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == p.from })]
+	c := f.controls[slices.IndexFunc(f.controls, func(c *control) bool { return c.name == m.to })]
+	e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == m.from })]
 	// An isolated control host reaches only isolated entry hosts.
 	if c.isolated != e.isolated {
 		return
 	}
-	reply := c.owner.Handle(c.clock(f.now), *p.request)
-	f.send(message{from: p.to, to: p.from, reply: &reply})
+	reply := c.owner.Handle(c.clock(f.now), *m.request)
+	f.send(message{from: m.to, to: m.from, reply: &reply})
 }
 
-// take lets an entry host have one request for a key and try it once. If it
-// is not granted it waits until giveUp.
+// take issues one request for a key at an entry host and tries it once. If it is
+// not granted, it waits until withdrawAll.
 func (f *fleet) take(e *entry, key string) {
 	e.holder.Offer(e.clock(f.now), key, 1)
 	if !f.retry(e, key) {
@@ -263,7 +266,7 @@
 	}
 }
 
-// giveUp ends the requests that wait at an entry host.
+// withdrawAll withdraws all requests that wait at an entry host.
 func (f *fleet) withdrawAll(e *entry) {
 	for _, key := range e.waiting {
 		e.holder.Withdraw(key, 1)
@@ -283,7 +286,7 @@
 	return true
 }
 
-// enforceUnits gives units back whose lease has ended.
+// enforceUnits releases the units of expired leases.
 func (f *fleet) enforceUnits(e *entry) {
 	for key, l := range f.limits {
 		now := e.clock(f.now)
--- a/internal/quota/held.go
+++ b/internal/quota/held.go
@@ -6,15 +6,16 @@
 )
 
 const (
-	// askInterval is the interval of requests while a holder is short.
+	// requestInterval is the interval between requests while a holder's share does
+	// not cover its demand.
 	requestInterval = 100 * time.Millisecond
-	// demandStep is the relative change of demand that is reported at once.
+	// demandChange is the relative change of demand that is reported at once.
 	demandChange = 0.25
-	// demandWindow is the time constant of the estimate of demand.
+	// demandTimeConstant is the time constant of the demand estimate.
 	demandTimeConstant = 500 * time.Millisecond
-	// catchUp is the time within which requests that wait should be served.
+	// backlogTarget is the time within which waiting requests should be served.
 	backlogTarget = time.Second
-	// measureInterval is the least time over which demand is measured.
+	// minMeasureInterval is the minimum time over which demand is measured.
 	minMeasureInterval = 100 * time.Millisecond
 )
 
@@ -22,17 +23,17 @@
 type heldKey struct {
 	name    string
 	isUnits bool
-	// counted tells that the host counts its units itself; wanted is how many
-	// it wants in all.
+	// callerCounts is set if the caller counts units itself (ReportUsage);
+	// unitDemand is then its total demand.
 	callerCounts bool
 	unitDemand   float64
 	stamp        Stamp
 	expires      time.Time
 	bucket       bucket
 	inUse        float64
-	// returned tokens await the next request.
+	// returned is the number of tokens to return with the next request.
 	returned float64
-	// over and calm are what the owner said of the demand of all holders.
+	// overloaded and lowDemand are the values of the latest grant.
 	overloaded bool
 	lowDemand  bool
 
@@ -50,7 +51,7 @@
 
 func (k *heldKey) valid(now time.Time) bool { return now.Before(k.expires) }
 
-// advance refills the bucket up to now, or empties it when the lease has ended.
+// advance refills the bucket up to now, or empties it if the lease has expired.
 func (k *heldKey) advance(now time.Time) {
 	if k.valid(now) {
 		k.bucket.refill(now)
@@ -60,8 +61,8 @@
 	k.returned = 0
 }
 
-// measure updates the estimate of demand: an exponential moving average of the
-// arrivals, and what it takes to serve those that wait within catchUp.
+// measure updates the demand estimate: an exponential moving average of the
+// arrival rate, plus the rate that serves the backlog within backlogTarget.
 func (k *heldKey) measure(now time.Time) {
 	if k.callerCounts {
 		k.demand = k.unitDemand
@@ -79,26 +80,27 @@
 	k.demand = k.arrivalRate + k.backlog/backlogTarget.Seconds()
 }
 
-// due reports whether the owner should be asked now.
+// due reports whether a request to the owner is due.
 func (k *heldKey) due(now time.Time) bool {
 	changed := math.Abs(k.demand-k.reportedDemand) > demandChange*max(k.reportedDemand, 1)
 	return k.needsMore || changed || !now.Before(k.nextRequest)
 }
 
-// ask describes the key to its owner.
+// request returns the part of a request to the owner that describes the key.
 func (k *heldKey) request(now time.Time) KeyRequest {
-	a := KeyRequest{
+	kr := KeyRequest{
 		Key: k.name, Demand: float32(k.demand), Level: float32(k.bucket.level), Returned: k.returned,
 	}
 	if k.valid(now) || k.inUse > 0 {
 		share := k.bucket.share
 		share.Burst = max(share.Burst, k.inUse)
 		remaining := max(0, (k.expires.Sub(now) + time.Millisecond - 1).Milliseconds())
-		a.Lease = &HeldLease{Stamp: k.stamp, Share: share, RemainingMS: uint32(remaining)}
+		kr.Lease = &HeldLease{Stamp: k.stamp, Share: share, RemainingMS: uint32(remaining)}
 	}
-	return a
+	return kr
 }
 
+// requested records that the key was included in a request sent now.
 func (k *heldKey) requested(now time.Time, cfg Config) {
 	renew := cfg.RenewInterval
 	if k.lowDemand && k.valid(now) {
@@ -108,7 +110,8 @@
 	k.nextRequest = now.Add(renew)
 }
 
-// apply replaces the share by a newer grant.
+// apply replaces the share by that of a newer grant. It ignores a grant that is
+// not newer than the current one or that has already expired.
 func (k *heldKey) apply(now time.Time, g Grant, stamp Stamp, expires time.Time) {
 	if stamp.Compare(k.stamp) <= 0 || !now.Before(expires) {
 		return
@@ -119,8 +122,8 @@
 	k.bucket.add(g.Tokens)
 }
 
-// wait estimates the time until n tokens are there. Tokens beyond the burst of
-// the share can come only from the owner.
+// waitTime estimates the time until n tokens are available. Tokens beyond the
+// burst of the share can come only from the owner.
 func (k *heldKey) waitTime(n float64) time.Duration {
 	if k.bucket.share.Rate <= 0 || n > k.bucket.share.Burst {
 		return requestInterval
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -8,8 +8,8 @@
 	"github.com/galenabridge/galenabridge/internal/rendezvous"
 )
 
-// Holder spends the shares of one entry host. It is not safe for concurrent
-// use.
+// Holder requests and spends the shares of one entry host. It is not safe for
+// concurrent use.
 type Holder struct {
 	cfg               Config
 	host              string
@@ -22,26 +22,27 @@
 	unitKeys          map[string]bool // keys that are limits of units
 	keys              map[string]*heldKey
 	order             []*heldKey // the keys in the order of their first use
-	// census tells, by owner, whether it has been told of all leases.
+	// leaseReports tracks, by owner, the report of all leases.
 	leaseReports map[string]*leaseReport
-	// quiet is since when no token was spent, at most since the process started.
+	// quietSince is when a token was last spent, or when the process started.
 	quietSince time.Time
 }
 
-// census is what a holder has told an owner of its leases.
+// leaseReport tracks whether an owner has acknowledged a request that lists all
+// leases of its keys (Request.Complete).
 type leaseReport struct {
-	// process is the owner's, zero while it is not known.
+	// incarnation is the owner's, zero while unknown.
 	incarnation uint64
 	seq         uint64 // of the last request that named all
 	confirmed   bool
 	nextAttempt time.Time
 }
 
-// maxQuiet bounds the time that a holder tells, far above the time in which any
-// burst fills.
+// maxQuietPeriod bounds the reported quiet period. It is far longer than the time
+// in which any burst refills.
 const maxQuietPeriod = time.Hour
 
-// censusInterval is the time between two attempts to tell an owner.
+// leaseReportInterval is the retry interval of the report of all leases.
 const leaseReportInterval = 100 * time.Millisecond
 
 // sentRequest remembers when a request was sent.
@@ -50,14 +51,14 @@
 	at  time.Time
 }
 
-// Decision answers Take.
+// Decision is the result of Take.
 type Decision struct {
-	// Granted tells that the tokens are spent. Otherwise Wait is the time after
-	// which another attempt makes sense.
+	// Granted is set if the tokens were spent. Otherwise Wait is the time after
+	// which to retry.
 	Granted bool
 	Wait    time.Duration
-	// Overloaded tells that the demand of all hosts is above the limit, so that a
-	// request which cannot wait is refused for its workspace's own load.
+	// Overloaded is set if the demand of all hosts exceeds the limit: a request
+	// that cannot wait may then be refused because of its workspace's own load.
 	Overloaded bool
 }
 
@@ -70,9 +71,9 @@
 	}
 }
 
-// SetEpoch tells the holder which hosts own keys in an epoch. It
-// refuses grants of earlier epochs from then on, and goes on using the leases
-// that it has.
+// SetEpoch sets the hosts that own keys in an epoch. The holder rejects grants of
+// earlier epochs from then on, but keeps using its current leases. It ignores an
+// epoch that is not newer than the current one.
 func (h *Holder) SetEpoch(epoch uint64, owners []string) {
 	if epoch <= h.epoch {
 		return
@@ -84,12 +85,13 @@
 	}
 }
 
-// SetUnits declares that a key is a limit of units, which are returned by Put.
+// SetUnits declares that a key is a limit of units, which are given back by
+// Release. It must be called before the first use of the key.
 func (h *Holder) SetUnits(key string) { h.unitKeys[key] = true }
 
-// Offer notes the arrival of a request for n tokens. It is called once per
-// request, however often Take is tried for it, and followed by a granted Take or
-// by Withdraw.
+// Offer records the arrival of a request for n tokens. It is called once per
+// request, however often Take is retried for it, and is followed by a granted
+// Take or by Withdraw.
 func (h *Holder) Offer(now time.Time, key string, n float64) {
 	k := h.key(now, key)
 	k.offered += n
@@ -97,14 +99,14 @@
 	k.lastUse = now
 }
 
-// Withdraw notes that a request for n tokens gave up.
+// Withdraw records that a request for n tokens no longer waits.
 func (h *Holder) Withdraw(key string, n float64) {
 	if k := h.keys[key]; k != nil {
 		k.backlog = max(0, k.backlog-n)
 	}
 }
 
-// Take spends n tokens, or takes n units, if the holder's share allows it.
+// Take spends n tokens, or takes n units, if the holder's share covers them.
 func (h *Holder) Take(now time.Time, key string, n float64) Decision {
 	k := h.key(now, key)
 	k.advance(now)
@@ -130,7 +132,7 @@
 	return Decision{Wait: k.waitTime(n), Overloaded: k.overloaded}
 }
 
-// Release returns n units.
+// Release gives back n units that were taken by Take.
 func (h *Holder) Release(now time.Time, key string, n float64) {
 	k := h.keys[key]
 	if k == nil {
@@ -140,8 +142,8 @@
 	k.lastUse = now
 }
 
-// Refund gives back n tokens that were taken and not used, as far as the share
-// holds them.
+// Refund returns n tokens that were taken but not used, up to the burst of the
+// share.
 func (h *Holder) Refund(now time.Time, key string, n float64) {
 	k := h.keys[key]
 	if k == nil || k.isUnits || !k.valid(now) {
@@ -151,8 +153,8 @@
 	k.bucket.add(n)
 }
 
-// Units returns how many units of a key the holder may use now, and how many
-// are in use. A holder that uses more must give some back.
+// Units returns how many units of a key the holder may use now, and how many are
+// in use. If inUse exceeds allowed, the caller must release the difference.
 func (h *Holder) Units(now time.Time, key string) (allowed, inUse float64) {
 	k := h.keys[key]
 	if k == nil {
@@ -164,6 +166,7 @@
 	return allowed, k.inUse
 }
 
+// key returns the state of a key, which it creates on first use.
 func (h *Holder) key(now time.Time, name string) *heldKey {
 	k := h.keys[name]
 	if k == nil {
@@ -175,7 +178,7 @@
 	return k
 }
 
-// Batch is a request and the owner that it is for.
+// Batch is a request together with the host name of the owner it is addressed to.
 type Batch struct {
 	Owner   string
 	Request Request
@@ -213,8 +216,9 @@
 	return b.batches
 }
 
-// takeCensus names all leases to the owners that have not been told. An owner
-// whose process is not known yet is asked for it.
+// reportAllLeases adds requests that list all leases, for the owners that have
+// not acknowledged one. An owner whose incarnation is still unknown gets a request
+// that is not complete; its reply carries the incarnation.
 func (h *Holder) reportAllLeases(now time.Time, b *batcher) {
 	for _, owner := range h.owners {
 		c := h.leaseReports[owner]
@@ -242,41 +246,42 @@
 	}
 }
 
-// told notes that an owner has answered the request that named all leases.
+// confirmLeaseReport records that an owner has acknowledged the latest request
+// that listed all leases.
 func (h *Holder) confirmLeaseReport(r Reply) {
 	if c := h.leaseReports[r.Owner]; c != nil && r.Complete && c.incarnation == r.Incarnation && c.seq == r.Seq {
 		c.confirmed = true
 	}
 }
 
-// idle reports whether a share should be given back. The holder then forgets
-// the key and ignores answers to earlier requests: when the key comes into use
-// again, only answers to later requests count.
+// isIdle reports whether a share should be released. The holder then drops the
+// key. Once the key is in use again, only replies to later requests are applied.
 func (h *Holder) isIdle(now time.Time, k *heldKey) bool {
 	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.IdleTimeout
 }
 
-// batcher collects asks into one request per owner.
+// batcher collects key requests into one request per owner.
 type batcher struct {
 	holder  *Holder
 	batches []Batch
-	index   map[string]int // by owner
+	index   map[string]int // into batches, by owner
 }
 
-func (b *batcher) add(k *heldKey, a KeyRequest) {
+// add appends a key request to the request for the key's owner, if it has one.
+func (b *batcher) add(k *heldKey, kr KeyRequest) {
 	h := b.holder
 	owner := rendezvous.Owner(h.owners, k.name)
 	if owner == "" {
 		return
 	}
 	r := &b.batches[b.request(owner)].Request
-	r.Keys = append(r.Keys, a)
+	r.Keys = append(r.Keys, kr)
 	if k.firstSeq == 0 {
 		k.firstSeq = r.Seq
 	}
 }
 
-// request returns the index of the request to an owner, which it begins.
+// request returns the index of the request to an owner and creates it if needed.
 func (b *batcher) request(owner string) int {
 	if i, ok := b.index[owner]; ok {
 		return i
@@ -292,7 +297,8 @@
 	return i
 }
 
-// forgetSent drops requests whose answers could only grant ended leases.
+// pruneSent drops the send times of requests whose replies could only grant
+// expired leases.
 func (h *Holder) pruneSent(now time.Time) {
 	old := 0
 	for old < len(h.sent) && now.Sub(h.sent[old].at) > h.cfg.Lease {
@@ -301,6 +307,7 @@
 	h.sent = slices.Delete(h.sent, 0, old)
 }
 
+// sentAt returns when a request was sent, or false if it was pruned or never sent.
 func (h *Holder) sentAt(seq uint64) (time.Time, bool) {
 	i, found := slices.BinarySearchFunc(h.sent, seq, func(s sentRequest, seq uint64) int { return cmp.Compare(s.seq, seq) })
 	if !found {
@@ -309,9 +316,9 @@
 	return h.sent[i].at, true
 }
 
-// Receive applies the grants of a reply. A reply of an earlier epoch or of a
-// former process of the owner, and one whose leases have already run out,
-// changes nothing.
+// Receive applies the grants of a reply. It ignores replies of another epoch, of a
+// former process of the owner, to a former process of this host, and those whose
+// leases have already expired.
 func (h *Holder) Receive(now time.Time, r Reply) {
 	at, known := h.sentAt(r.Seq)
 	if !known || r.Epoch != h.epoch || r.HolderIncarnation != h.incarnation || r.Incarnation < h.ownerIncarnations[r.Owner] {
@@ -331,7 +338,8 @@
 	}
 }
 
-// meet notes a new process of an owner and asks it for its keys at once.
+// noteOwnerRestart records a new incarnation of an owner and makes requests for
+// all its keys due at once.
 func (h *Holder) noteOwnerRestart(owner string, incarnation uint64) {
 	h.ownerIncarnations[owner] = incarnation
 	for _, k := range h.order {
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -7,32 +7,34 @@
 	"github.com/galenabridge/galenabridge/internal/rendezvous"
 )
 
-// Owner grants shares of the keys that belong to one control host. It is not
-// safe for concurrent use.
+// Owner grants shares of the keys that one control host owns. It is not safe for
+// concurrent use.
 type Owner struct {
 	cfg         Config
 	host        string
 	incarnation uint64
 	epoch       uint64
 	owners      []string
-	// since is when this process last took keys over.
+	// ownedSince is when this process last took over keys: its start or the latest
+	// change of the epoch.
 	ownedSince  time.Time
 	leaseEnd    time.Time
 	limits      map[string]Limit
 	neverLeased map[string]bool // limits without any former lease
 	keys        map[string]*ownedKey
 	lastID      uint64
-	// holders are the processes that may hold leases, told those that have named
-	// all their leases to this owner in this epoch, and known is set once all have.
+	// holders are the processes that may hold leases. reported are those that have
+	// reported all their leases to this owner in this epoch; leasesKnown is set once
+	// all holders have.
 	holders     []HolderID
 	reported    map[HolderID]bool
 	leasesKnown bool
-	// quiet is since when no process that was told of has spent a token, as it
-	// said when it named its leases.
+	// quietSince is the latest time at which a token may have been spent, according
+	// to the holders' lease reports.
 	quietSince time.Time
 }
 
-// NewOwner returns the owner of a control host. The incarnation must be greater
+// NewOwner returns the Owner of a control host. The incarnation must be greater
 // than that of any former process of the host.
 func NewOwner(cfg Config, host string, incarnation uint64, now time.Time) *Owner {
 	return &Owner{
@@ -42,10 +44,10 @@
 	}
 }
 
-// SetEpoch tells the owner which hosts own keys in an epoch. Keys that it
-// already serves and keeps go on without interruption if the epoch is the next
-// one; after a gap another host may have served them in between, and they are
-// taken over as if new.
+// SetEpoch sets the hosts that own keys in an epoch. If the epoch directly follows
+// the current one, keys that stay with this host keep their state. After a gap
+// another host may have owned them in between, so they are taken over as if new.
+// It ignores an epoch that is not newer than the current one.
 func (o *Owner) SetEpoch(now time.Time, epoch uint64, owners []string) {
 	if epoch <= o.epoch {
 		return
@@ -62,18 +64,18 @@
 	}
 }
 
-// SetOwnerLease tells until when the host may act as an owner: the end of its
-// configuration lease.
+// SetOwnerLease sets the time until which the host may act as owner: the end of
+// its configuration lease.
 func (o *Owner) SetOwnerLease(until time.Time) { o.leaseEnd = until }
 
-// SetLimit sets the limit of a key. Fresh tells that no lease of the key can
-// exist because the key is new in the fleet; its whole burst is then available
-// at once. A zero limit removes the key.
+// SetLimit sets the limit of a key. If fresh is set, no lease of the key can exist
+// because the key is new in the fleet; its whole burst is then available at once.
+// A zero limit removes the key.
 func (o *Owner) SetLimit(now time.Time, key string, limit Limit, fresh bool) {
 	if limit == (Limit{}) {
 		delete(o.limits, key)
 		delete(o.keys, key)
-		o.quietSince = now // leases of the key may be spent on
+		o.quietSince = now // holders may still spend their leases of the key
 		return
 	}
 	o.limits[key] = limit
@@ -85,16 +87,16 @@
 	}
 }
 
-// SetHolders tells the owner which processes may hold leases: all that were
-// registered when its epoch began, at least.
+// SetHolders sets the processes that may hold leases. They must include all that
+// were registered when the epoch began.
 func (o *Owner) SetHolders(now time.Time, holders []HolderID) {
 	o.holders = holders
 	o.endQuarantine(now)
 }
 
-// learn notes that a holder has named all its leases and for how long it has
-// spent nothing. When all holders have, no unknown lease is left to wait for, and
-// keys without any lease have filled since the last of them has spent.
+// recordLeaseReport records that a holder has reported all its leases and how long
+// ago it last spent a token. Once all holders have reported, no lease is unknown,
+// and the buckets of keys without a lease have refilled since the last spending.
 func (o *Owner) recordLeaseReport(now time.Time, id HolderID, quiet time.Duration) {
 	o.reported[id] = true
 	if since := now.Add(-quiet); since.After(o.quietSince) {
@@ -103,11 +105,13 @@
 	o.endQuarantine(now)
 }
 
-// LeasesKnown reports whether every holder has named its leases to this owner in the
-// present epoch, and since when none of them has spent a token by then.
+// LeasesKnown reports whether every holder has reported its leases to this owner in
+// the current epoch, and the latest time at which any of them may have spent a
+// token before its report.
 func (o *Owner) LeasesKnown() (bool, time.Time) { return o.leasesKnown, o.quietSince }
 
-// open ends the wait for unknown leases once every holder has named its own.
+// endQuarantine makes the whole limit of all keys available once every holder has
+// reported its leases.
 func (o *Owner) endQuarantine(now time.Time) {
 	if o.leasesKnown || len(o.holders) == 0 {
 		return
@@ -128,9 +132,9 @@
 	}
 }
 
-// Handle answers a request. A request of another epoch or for another process
-// of this host, or one that arrives while the host has no authority, gets no
-// grants; its answer tells the holder which process it must address.
+// Handle answers a request. A request for another epoch or another incarnation of
+// this host, or one that arrives after the owner's lease has ended, gets a reply
+// without grants; the reply carries the incarnation that the holder must address.
 func (o *Owner) Handle(now time.Time, req Request) Reply {
 	reply := Reply{
 		Owner: o.host, Epoch: o.epoch, Incarnation: o.incarnation,
@@ -144,38 +148,42 @@
 		quiet := time.Duration(req.QuietMS) * time.Millisecond
 		defer o.recordLeaseReport(now, HolderID{req.Host, req.Incarnation}, o.cfg.subtractDrift(quiet))
 	}
-	for _, a := range req.Keys {
-		if g, ok := o.handleKey(now, HolderID{req.Host, req.Incarnation}, req.Seq, a); ok {
+	for _, kr := range req.Keys {
+		if g, ok := o.handleKey(now, HolderID{req.Host, req.Incarnation}, req.Seq, kr); ok {
 			reply.Grants = append(reply.Grants, g)
 		}
 	}
 	return reply
 }
 
-func (o *Owner) handleKey(now time.Time, id HolderID, seq uint64, a KeyRequest) (Grant, bool) {
-	k := o.key(now, a.Key)
+// handleKey applies the request for one key. It returns no grant for a release, for
+// a key that this host does not own, and for a request that is not newer than the
+// latest one of the holder.
+func (o *Owner) handleKey(now time.Time, id HolderID, seq uint64, kr KeyRequest) (Grant, bool) {
+	k := o.key(now, kr.Key)
 	if k == nil {
 		return Grant{}, false
 	}
-	g := k.holders[id]
-	if g == nil {
-		g = &holderState{}
-		k.holders[id] = g
+	hs := k.holders[id]
+	if hs == nil {
+		hs = &holderState{}
+		k.holders[id] = hs
 	}
-	if seq <= g.seq {
+	if seq <= hs.seq {
 		return Grant{}, false
 	}
-	g.seq = seq
+	hs.seq = seq
 	k.advance(now)
-	k.applyRequest(now, g, a)
-	if a.Release {
+	k.applyRequest(now, hs, kr)
+	if kr.Release {
 		return Grant{}, false
 	}
 	o.lastID++
-	return k.grant(now, g, a, Stamp{Epoch: o.epoch, Incarnation: o.incarnation, ID: o.lastID}), true
+	return k.grant(now, hs, kr, Stamp{Epoch: o.epoch, Incarnation: o.incarnation, ID: o.lastID}), true
 }
 
-// key returns the state of a key that this host owns, or nil.
+// key returns the state of a key, which it creates if needed, or nil if this host
+// does not own the key.
 func (o *Owner) key(now time.Time, key string) *ownedKey {
 	if k := o.keys[key]; k != nil {
 		return k
@@ -184,11 +192,11 @@
 	if !known || rendezvous.Owner(o.owners, key) != o.host {
 		return nil
 	}
-	quarantine := o.ownedSince.Add(o.cfg.addDrift(o.cfg.OwnerLease + o.cfg.Lease))
+	quarantineEnd := o.ownedSince.Add(o.cfg.addDrift(o.cfg.OwnerLease + o.cfg.Lease))
 	if o.neverLeased[key] || o.leasesKnown {
-		quarantine = o.ownedSince
+		quarantineEnd = o.ownedSince
 	}
-	k := newOwnedKey(o.cfg, key, limit, now, quarantine)
+	k := newOwnedKey(o.cfg, key, limit, now, quarantineEnd)
 	if o.neverLeased[key] {
 		k.pool.level = limit.Burst
 		delete(o.neverLeased, key)
@@ -202,25 +210,25 @@
 	return k
 }
 
-// RemoveHolder reclaims the shares of a process that can no longer use them: the
-// caller knows that its configuration lease has run out.
+// RemoveHolder reclaims the shares of a process that can no longer use them. The
+// caller must be certain that the configuration lease of the process has expired.
 func (o *Owner) RemoveHolder(now time.Time, host string, incarnation uint64) {
 	for _, k := range o.keys {
-		if g := k.holders[HolderID{host, incarnation}]; g != nil {
+		if hs := k.holders[HolderID{host, incarnation}]; hs != nil {
 			k.advance(now)
-			k.removeHolder(HolderID{host, incarnation}, g)
+			k.removeHolder(HolderID{host, incarnation}, hs)
 		}
 	}
 }
 
-// Tick reclaims leases that have run out. It should be called every second.
+// Tick reclaims expired leases. It should be called at least once a second.
 func (o *Owner) Tick(now time.Time) {
 	for _, k := range o.keys {
 		k.expire(now)
 	}
 }
 
-// Pairs returns the number of (holder, key) pairs that the owner keeps.
+// Pairs returns the number of (holder, key) pairs in the owner's state.
 func (o *Owner) Pairs() int {
 	n := 0
 	for _, k := range o.keys {
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -25,8 +25,9 @@
 	faultMaxDelay = 600 * time.Millisecond
 )
 
-// chaos runs random faults for a number of steps: owners crash, are replaced
-// and isolated, entry hosts restart, messages are lost, late and duplicated.
+// runRandomFaults runs a number of steps with random use and random faults: owners
+// crash, are replaced and isolated, entry hosts restart, messages are lost, delayed
+// and duplicated. It stops at the first violation of a limit.
 func (f *fleet) runRandomFaults(steps int) {
 	f.loss, f.maxDelay = faultLoss, faultMaxDelay
 	for i := 0; i < steps && f.violation() == ""; i++ {
@@ -77,6 +78,8 @@
 	return all[:1+f.rng.IntN(len(all))]
 }
 
+// TestLimitsHoldUnderRandomFaults checks that the hosts together never exceed a
+// limit, whatever faults occur.
 func TestLimitsHoldUnderRandomFaults(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		first := rapid.Uint64Range(0, maxSeed).Draw(rt, "first seed")
@@ -90,9 +93,9 @@
 	})
 }
 
-// TestSpendCheckDetectsInjectedFaults shows that the check fails when an owner grants
-// without waiting for the leases of its predecessor, or when clocks drift more
-// than is allowed for.
+// TestSpendCheckDetectsInjectedFaults verifies that spendCheck reports a violation
+// if an owner grants without waiting for the leases of its predecessor, or if clocks
+// drift more than the configured allowance.
 func TestSpendCheckDetectsInjectedFaults(t *testing.T) {
 	faults := map[string]func(f *fleet){
 		"no quarantine": func(f *fleet) { f.noQuarantine = true },
@@ -102,24 +105,24 @@
 			}
 		},
 	}
-	for name, plant := range faults {
+	for name, inject := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(500) {
 				f := newFleet(seed, 3, 4, testLimits)
-				plant(f)
+				inject(f)
 				f.runRandomFaults(stepsPerRun)
 				if v := f.violation(); v != "" {
 					t.Logf("seed %d: %s", seed, v)
 					return
 				}
 			}
-			t.Fatal("no run broke a limit")
+			t.Fatal("no run exceeded a limit")
 		})
 	}
 }
 
 // load is a stream of requests that are retried until they are granted or have
-// waited for too long.
+// waited longer than patience.
 type load struct {
 	fleet    *fleet
 	key      string
@@ -136,7 +139,7 @@
 	since time.Duration
 }
 
-// run offers requests with exponential gaps, more of them to the first hosts.
+// run issues requests with exponential gaps, more of them at the first hosts.
 func (l *load) run(rng *rand.Rand, d time.Duration) {
 	end := l.fleet.now + d
 	next := l.fleet.now
@@ -181,8 +184,8 @@
 	return &load{fleet: f, key: key, rate: rate, patience: 3 * time.Second, perHost: map[string]int{}}
 }
 
-// TestLoadWithinRateIsServed offers 85% of a rate through 9 hosts while an owner
-// restarts and a set of owners is replaced: nothing may be refused.
+// TestLoadWithinRateIsServed issues 85% of a rate through 9 hosts while the owners
+// restart and the set of owners is replaced. No request may be refused.
 func TestLoadWithinRateIsServed(t *testing.T) {
 	for seed := range uint64(5) {
 		f := newFleet(seed, 3, 9, map[string]Limit{"workspace/a": {Rate: 200, Burst: 100}})
@@ -202,7 +205,8 @@
 	}
 }
 
-// TestOverloadUsesFullRate offers three times a rate.
+// TestOverloadUsesFullRate issues three times a rate. It guards against tokens that
+// are lost under overload, and checks that the overload is reported.
 func TestOverloadUsesFullRate(t *testing.T) {
 	f := newFleet(1, 3, 9, map[string]Limit{"workspace/a": {Rate: 200, Burst: 100}})
 	l := newLoad(f, "workspace/a", 600)
@@ -211,13 +215,13 @@
 		t.Fatalf("used %.2f of the rate, violation %q", used, f.violation())
 	}
 	if !f.entries[0].holder.Take(f.entries[0].clock(f.now), "workspace/a", 1000).Overloaded {
-		t.Fatal("the workspace is not told that it is over its rate")
+		t.Fatal("overload of the workspace is not reported")
 	}
 }
 
-// TestReconnectSurgeIsNotOverload lets callers come back together with the
-// requests of two seconds: the workspace is told that it is over its rate only
-// when that lasts.
+// TestReconnectSurgeIsNotOverload issues the requests of two seconds at once, as
+// callers do that reconnect after an interruption. Overload must not be reported
+// for such a surge, nor for the normal load that follows.
 func TestReconnectSurgeIsNotOverload(t *testing.T) {
 	f := newFleet(1, 3, 3, map[string]Limit{"k": {Rate: 160, Burst: 10}})
 	f.step(time.Millisecond)
@@ -238,15 +242,15 @@
 		return over
 	}
 	if offered(reconnectWindow - 100*time.Millisecond) {
-		t.Error("callers who came back together count as overload")
+		t.Error("a surge of reconnecting callers is reported as overload")
 	}
 	if offered(reconnectWindow); offered(reconnectWindow) {
-		t.Error("the usual load counts as overload")
+		t.Error("normal load is reported as overload")
 	}
 }
 
 // TestDeadHolderShareIsReclaimed checks that units held by a process that has
-// ended can be used by another host.
+// ended become available to another host.
 func TestDeadHolderShareIsReclaimed(t *testing.T) {
 	f := newFleet(1, 1, 2, map[string]Limit{"endpoint/x": {Burst: 4}})
 	taken := func(e *entry) float64 {
@@ -270,9 +274,10 @@
 	}
 }
 
-// TestSmallRateIsUsedByImpatientCallers offers twice a rate of a few tokens a second
-// for each host, by callers who wait for a tenth of a second: seven eighths of the
-// rate are to be used.
+// TestSmallRateIsUsedByImpatientCallers issues twice a rate of a few tokens per
+// second and host, from callers that wait at most 100 ms. It guards against tokens
+// lost in the buckets of hosts without requests: at least seven eighths of the rate
+// must be used.
 func TestSmallRateIsUsedByImpatientCallers(t *testing.T) {
 	const rate = 20.0
 	used := 0.0
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -2,10 +2,10 @@
 
 import "time"
 
-// ReportUsage sets how many units of a key the host has in use and how many it
-// wants. It serves callers that count their units themselves, in place of Take
-// and Put. Units that are in use but not wanted, such as idle connections, count
-// against the limit until they are given up.
+// ReportUsage sets how many units of a key the host has in use and its demand for
+// units. It is for callers that count their units themselves, in place of Take and
+// Release. Units in use beyond the demand, such as idle connections, count against
+// the limit until they are given up.
 func (h *Holder) ReportUsage(now time.Time, key string, inUse, wanted float64) {
 	k := h.key(now, key)
 	k.isUnits, k.callerCounts = true, true
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -5,66 +5,69 @@
 	"time"
 )
 
-// Shares change only when they differ from the aim by this part of the mean
-// share, unless the holder is short.
+// hysteresis is the minimum change of a share's rate, as a fraction of the mean
+// share. Smaller changes keep the rate of the latest grant.
 const hysteresis = 0.1
 
-// spareShare is the part of what nobody asks for that holders get in advance.
-// The rest stays with the owner, a round trip from any holder that is short.
+// spareFraction is the fraction of the unrequested rate that holders get in
+// advance. The rest stays with the owner, one round trip from any holder that
+// needs more.
 const spareFraction = 0.5
 
-// openingTime is how long after the whole limit has become available the holders
-// count as equal: the first to ask would get all, and give it up only after a
-// round trip or two (100 ms each).
+// equalShareTime is how long after the whole limit has become available a holder's
+// target is at most an equal share. Otherwise the first to request would get
+// everything, and give it up only after a round trip or two (100 ms each).
 const equalShareTime = 400 * time.Millisecond
 
-// pooled is the part of a rate that stays with the owner where each holder gets
-// few tokens a second, and while the demand is above the rate. Holders that are
-// short ask for its tokens, which so reach whoever has requests: tokens that are
-// spread over many small shares lie where nobody comes, and are lost once the
-// shares are full.
+// pooledFraction is the fraction of a rate that stays in the owner's pool if each
+// holder gets few tokens a second, and while the demand exceeds the rate. Holders
+// that need more request tokens from the pool, so the tokens go where requests
+// arrive. Tokens spread over many small shares accrue at hosts without requests,
+// and are lost once those buckets are full.
 const pooledFraction = 0.5
 
-// smallShare is the rate of a mean share, in tokens a second, below which the rate
-// is pooled: an ask and its answer for each token are below 5 KB/s then.
+// smallShareRate is the rate of a mean share, in tokens per second, below which the
+// rate is pooled. One request and reply per token then cost less than 5 KB/s.
 const smallShareRate = 20
 
-// poolTime is the least time of its rate that a burst must cover for that: what
-// the owner hands out between two requests of a holder (askInterval) is bounded by
-// the burst.
+// minPoolTime is the minimum time of its rate that a burst must cover for the rate
+// to be pooled: the burst bounds the tokens that the owner can grant between two
+// requests of a holder (requestInterval).
 const minPoolTime = 5 * requestInterval
 
 // minBurst is the smallest useful share: a bucket must hold one token.
 const minBurst = 1
 
-// choose returns the share that the holder should have, as far as it is free.
-func (k *ownedKey) chooseShare(now time.Time, g *holderState) Share {
-	room := g.leased.plus(k.free())
+// chooseShare returns the share that the holder should have. It never exceeds the
+// holder's current lease plus the free part of the limit.
+func (k *ownedKey) chooseShare(now time.Time, hs *holderState) Share {
+	available := hs.leased.plus(k.free())
 	if k.limit.Rate == 0 {
-		return k.chooseUnits(g, room)
+		return k.chooseUnits(hs, available)
 	}
-	aim := k.targetRate(g)
-	whole := k.total()
+	target := k.targetFor(hs)
+	total := k.total()
 	if k.holderCount > 0 && now.Sub(k.openedAt) < equalShareTime {
-		aim = min(aim, whole.Rate/float64(k.holderCount))
+		target = min(target, total.Rate/float64(k.holderCount))
 	}
-	share := Share{Rate: aim}
-	last := g.currentShare()
-	if mean := whole.Rate / float64(len(k.holders)); abs(aim-last.Rate) < hysteresis*mean {
+	share := Share{Rate: target}
+	last := hs.currentShare()
+	if mean := total.Rate / float64(len(k.holders)); abs(target-last.Rate) < hysteresis*mean {
 		share.Rate = last.Rate
 	}
-	share.Rate = min(share.Rate, room.Rate)
-	share.Burst = min(max(minBurst, whole.Burst*share.Rate/whole.Rate), room.Burst)
-	if share.Burst < min(minBurst, whole.Burst) || share.Rate <= 0 {
+	share.Rate = min(share.Rate, available.Rate)
+	share.Burst = min(max(minBurst, total.Burst*share.Rate/total.Rate), available.Burst)
+	if share.Burst < min(minBurst, total.Burst) || share.Rate <= 0 {
 		return Share{}
 	}
 	return share
 }
 
-// aim divides the capacity that is not pooled: in proportion to demand when it is
-// short, and otherwise the demand and an equal part of the rest, of which one part
-// stays with the owner for holders to come.
-func (k *ownedKey) targetRate(g *holderState) float64 {
+// targetFor returns the holder's part of the capacity that is not pooled. If the
+// demand exceeds it, the capacity is divided in proportion to demand. Otherwise
+// the holder gets its demand plus an equal part of the spare capacity, of which one
+// part stays with the owner for new holders.
+func (k *ownedKey) targetFor(hs *holderState) float64 {
 	capacity := k.total().Rate
 	if k.limit.Rate == 0 {
 		capacity = k.limit.Burst
@@ -73,16 +76,16 @@
 		capacity *= 1 - pooledFraction
 	}
 	if k.demand > capacity {
-		return capacity * g.demand / k.demand
+		return capacity * hs.demand / k.demand
 	}
 	spare := capacity - k.demand
 	if k.limit.Rate > 0 {
 		spare *= spareFraction
 	}
-	return g.demand + spare/float64(len(k.holders)+1)
+	return hs.demand + spare/float64(len(k.holders)+1)
 }
 
-// isPooled reports whether a part of the rate stays with the owner.
+// isPooled reports whether a fraction of the rate stays in the owner's pool.
 func (k *ownedKey) isPooled(capacity float64) bool {
 	if k.limit.Rate == 0 || k.limit.Burst < k.limit.Rate*minPoolTime.Seconds() {
 		return false
@@ -90,25 +93,26 @@
 	return k.demand > capacity || capacity < smallShareRate*float64(len(k.holders))
 }
 
-// chooseUnits returns whole units, at least one for a holder that has demand. A
-// unit that rounding left over goes to a holder that wants it.
-func (k *ownedKey) chooseUnits(g *holderState, room Share) Share {
-	aim := math.Floor(k.targetRate(g))
-	if g.demand > 0 {
-		aim = max(aim, 1)
+// chooseUnits returns whole units, and aims at one or more for a holder that has
+// demand. A unit left over by rounding goes to a holder that has demand for it.
+func (k *ownedKey) chooseUnits(hs *holderState, available Share) Share {
+	target := math.Floor(k.targetFor(hs))
+	if hs.demand > 0 {
+		target = max(target, 1)
 	}
-	if aim+1 <= g.demand && room.Burst-k.owedToOthers(g) >= aim+1 {
-		aim++
+	if target+1 <= hs.demand && available.Burst-k.owedToOthers(hs) >= target+1 {
+		target++
 	}
-	return Share{Burst: math.Floor(min(aim, room.Burst))}
+	return Share{Burst: math.Floor(min(target, available.Burst))}
 }
 
-// owed is the number of units that the other holders may still ask for.
-func (k *ownedKey) owedToOthers(g *holderState) float64 {
+// owedToOthers returns the number of units that the other holders may still
+// request within their targets.
+func (k *ownedKey) owedToOthers(hs *holderState) float64 {
 	total := 0.0
 	for _, other := range k.holders {
-		if other != g {
-			total += max(0, math.Floor(min(k.targetRate(other), other.demand))-other.leased.Burst)
+		if other != hs {
+			total += max(0, math.Floor(min(k.targetFor(other), other.demand))-other.leased.Burst)
 		}
 	}
 	return total
--- a/internal/quota/census_test.go
+++ b/internal/quota/takeover_test.go
@@ -8,9 +8,9 @@
 	"pgregory.net/rapid"
 )
 
-// TestOwnerTakeoverGrantsOnceAllLeasesReported takes a key over from an
-// owner while every holder can be reached: the rest of the limit is granted
-// long before unknown leases would have run out.
+// TestOwnerTakeoverGrantsOnceAllLeasesReported moves a key to a new owner while
+// every holder is reachable. It guards against a new owner that waits until unknown
+// leases have expired although all holders have reported theirs.
 func TestOwnerTakeoverGrantsOnceAllLeasesReported(t *testing.T) {
 	f := newFleet(1, 2, 3, map[string]Limit{"k": {Rate: 100, Burst: 100}})
 	f.step(time.Millisecond)
@@ -18,22 +18,22 @@
 	for range 20 {
 		f.step(50 * time.Millisecond)
 	}
-	was := f.controls[0]
-	if was.owner.keys["k"] == nil {
-		was = f.controls[1]
+	former := f.controls[0]
+	if former.owner.keys["k"] == nil {
+		former = f.controls[1]
 	}
-	var rest []string
+	var remaining []string
 	for _, c := range f.controls {
-		if c != was {
-			rest = append(rest, c.name)
+		if c != former {
+			remaining = append(remaining, c.name)
 		}
 	}
-	f.changeOwners(rest)
+	f.changeOwners(remaining)
 	f.propagateEpoch()
 	granted := 0
-	for range 40 { // two seconds, below the time of authority alone
+	for range 40 { // two seconds, less than the owner lease alone
 		f.step(50 * time.Millisecond)
-		f.take(f.entries[1], "k") // had no share before
+		f.take(f.entries[1], "k") // had no share under the former owner
 	}
 	for _, e := range f.entries {
 		if e.holder.Rate(e.clock(f.now), "k") > 0 {
@@ -41,15 +41,16 @@
 		}
 	}
 	if granted == 0 || f.entries[1].holder.Rate(f.entries[1].clock(f.now), "k") == 0 {
-		t.Error("the new holder got no share within two seconds")
+		t.Error("new holder got no share within two seconds")
 	}
 	if v := f.violation(); v != "" {
 		t.Error(v)
 	}
 }
 
-// TestOwnerTakeoverIsolatedHolderStaysWithinLimit isolates a holder with a lease while the owner
-// changes.
+// TestOwnerTakeoverIsolatedHolderStaysWithinLimit isolates a holder with a lease
+// while the owner changes. The holder keeps spending under its lease, so the new
+// owner must not grant that share to others before the lease has expired.
 func TestOwnerTakeoverIsolatedHolderStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 2, 3, map[string]Limit{"k": {Rate: 20, Burst: 20}})
@@ -64,7 +65,7 @@
 		f.propagateEpoch()
 		for range 200 {
 			f.step(50 * time.Millisecond)
-			f.take(f.entries[0], "k") // goes on under its lease
+			f.take(f.entries[0], "k") // keeps spending under its lease
 			f.take(f.entries[1], "k")
 			f.take(f.entries[2], "k")
 		}
@@ -74,8 +75,9 @@
 	})
 }
 
-// TestFleetRestartBucketsRefillWhileDown restarts every process and then
-// asks for what a second without any spending has left.
+// TestFleetRestartBucketsRefillWhileDown restarts every process, lets a second pass
+// without spending, and then requests the tokens accrued meanwhile. It guards
+// against buckets that start empty after a restart of the whole fleet.
 func TestFleetRestartBucketsRefillWhileDown(t *testing.T) {
 	f := newFleet(1, 2, 3, map[string]Limit{"k": {Rate: 100, Burst: 100}})
 	for range 200 {
@@ -90,7 +92,7 @@
 		f.startOwner(c)
 	}
 	const down = time.Second
-	f.loss = 1 // no host reaches another yet
+	f.loss = 1 // hosts cannot reach each other yet
 	for range 20 {
 		f.step(down / 20)
 	}
@@ -115,15 +117,16 @@
 		waiting += len(e.waiting)
 	}
 	if served := offered - waiting; served < 150 { // three quarters
-		t.Errorf("%d of some 200 tokens in the second after one without spending", served)
+		t.Errorf("served %d of about 200 tokens in the second after a quiet second", served)
 	}
 	if v := f.violation(); v != "" {
 		t.Error(v)
 	}
 }
 
-// TestOwnerAcceptsLeaseReportBeforeRegistration names its leases to an owner that
-// learns of the process only then.
+// TestOwnerAcceptsLeaseReportBeforeRegistration reports all leases of a process to
+// an owner that is informed of the process only afterwards. The report must still
+// end the quarantine.
 func TestOwnerAcceptsLeaseReportBeforeRegistration(t *testing.T) {
 	now := start
 	o := NewOwner(Config{}, "c", 1, now)
--- a/internal/quota/types.go
+++ b/internal/quota/types.go
@@ -9,27 +9,27 @@
 const (
 	DefaultLease      = 8 * time.Second
 	DefaultOwnerLease = 3 * time.Second
-	// DefaultRenewInterval bounds how long a host that comes new to a contended key
-	// waits for the others to give way.
+	// DefaultRenewInterval bounds how long a new holder of a contended key waits
+	// until the other holders' shares shrink.
 	DefaultRenewInterval = time.Second
 	DefaultIdleTimeout   = 2 * time.Second
-	// DefaultDrift is the greatest relative difference between the clock rates
+	// DefaultDrift is the maximum relative difference between the clock rates
 	// of two hosts.
 	DefaultDrift = 0.001
 )
 
-// Config holds the settings that owners and holders share. Zero values select
+// Config holds the settings shared by owners and holders. Zero values select
 // the defaults.
 type Config struct {
 	// Lease is how long a holder may use a share after its request was sent.
 	Lease time.Duration
-	// OwnerLease is how long a control host may act as owner after it was
-	// replaced without knowing, which is the length of a configuration lease.
+	// OwnerLease is how long a control host that has been replaced may still act
+	// as owner before it notices: the duration of a configuration lease.
 	OwnerLease time.Duration
-	// RenewInterval is the interval of requests for a key whose demand is steady. For a
-	// key that the owner calls calm it is half the lease.
+	// RenewInterval is the interval between requests for a key with steady demand.
+	// For a key with low demand (Grant.LowDemand) it is half the lease.
 	RenewInterval time.Duration
-	// IdleTimeout is the time without demand after which a holder gives a share back.
+	// IdleTimeout is the time without demand after which a holder releases a share.
 	IdleTimeout time.Duration
 	Drift       float64
 }
@@ -43,26 +43,26 @@
 	return c
 }
 
-// longer returns d prolonged by the drift allowance.
+// addDrift returns d extended by the drift allowance.
 func (c Config) addDrift(d time.Duration) time.Duration {
 	return d + time.Duration(float64(d)*c.Drift)
 }
 
-// shorter returns d cut by the drift allowance.
+// subtractDrift returns d reduced by the drift allowance.
 func (c Config) subtractDrift(d time.Duration) time.Duration {
 	return d - time.Duration(float64(d)*c.Drift)
 }
 
-// Limit is what all hosts together may use of a key. A limit without a rate is
-// a number of units that are returned after use, such as connections.
+// Limit is the fleet-wide limit of a key. A limit without a rate is a number of
+// units that are released after use, such as connections.
 type Limit struct {
 	// Rate is in tokens per second.
 	Rate float64
-	// Burst is in tokens, or the number of units.
+	// Burst is in tokens, or is the number of units.
 	Burst float64
 }
 
-// Share is a part of a limit.
+// Share is the part of a limit granted to one holder, in the units of Limit.
 type Share struct {
 	Rate  float64 `cbor:"1,keyasint,omitempty"`
 	Burst float64 `cbor:"2,keyasint,omitempty"`
@@ -86,50 +86,52 @@
 	return cmp.Or(cmp.Compare(s.Epoch, o.Epoch), cmp.Compare(s.Incarnation, o.Incarnation), cmp.Compare(s.ID, o.ID))
 }
 
-// Request is sent by a holder to an owner, for all keys that are due.
+// Request is sent by a holder to an owner and covers all keys whose renewal is
+// due.
 type Request struct {
 	Host        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Epoch numbers the set of owners that the holder knows.
+	// Epoch is the number of the set of owners that the holder uses.
 	Epoch uint64 `cbor:"3,keyasint"`
-	// OwnerIncarnation is the incarnation of the owner that the holder knows. An owner
-	// believes no request that names another one: it may have been sent to a
-	// former process, and report shares that were passed on since.
+	// OwnerIncarnation is the incarnation of the owner last seen by the holder. An
+	// owner ignores a request for another incarnation: it may have been sent to a
+	// former process and report shares that have been granted to others since.
 	OwnerIncarnation uint64 `cbor:"4,keyasint,omitempty"`
-	// Seq grows with each request of the holder.
+	// Seq increases with each request of the holder.
 	Seq  uint64       `cbor:"5,keyasint"`
 	Keys []KeyRequest `cbor:"6,keyasint"`
-	// Complete tells that the request names every key of the owner of which the
-	// holder has a lease. An owner that all holders have told so in its epoch
-	// knows all leases and need not wait for unknown ones.
+	// Complete is set if the request lists every lease that the holder has of the
+	// owner's keys. Once all holders have sent such a request in the current epoch,
+	// the owner need not wait for unreported leases to expire.
 	Complete bool `cbor:"7,keyasint,omitempty"`
-	// QuietMS is how long the process has spent no token, in milliseconds, rounded
-	// down. It is sent with Complete.
+	// QuietMS is the time since the process last spent a token, in milliseconds,
+	// rounded down. It is sent with Complete.
 	QuietMS uint32 `cbor:"8,keyasint,omitempty"`
 }
 
 // KeyRequest is the part of a request for one key.
 type KeyRequest struct {
 	Key string `cbor:"1,keyasint"`
-	// Demand is in tokens per second, or units wanted.
+	// Demand is in tokens per second, or in units.
 	Demand float32 `cbor:"2,keyasint,omitempty"`
-	// Level is the number of unspent tokens of the holder.
+	// Level is the number of unspent tokens in the holder's bucket.
 	Level float32 `cbor:"3,keyasint,omitempty"`
-	// Returned tokens no longer fit the holder's share.
+	// Returned is the number of tokens that exceed the holder's new burst and go
+	// back to the owner.
 	Returned float64 `cbor:"4,keyasint,omitempty"`
 	// Lease is the lease in use, nil for none.
 	Lease *HeldLease `cbor:"5,keyasint,omitempty"`
-	// Release tells that the holder no longer uses any lease of the key.
+	// Release is set if the holder no longer uses any lease of the key.
 	Release bool `cbor:"6,keyasint,omitempty"`
 }
 
-// HolderID names a process that holds shares.
+// HolderID identifies a process that holds shares.
 type HolderID struct {
 	Host        string
 	Incarnation uint64
 }
 
-// HeldLease reports a lease.
+// HeldLease is a lease as its holder reports it.
 type HeldLease struct {
 	Stamp Stamp `cbor:"1,keyasint"`
 	// Share includes units still in use beyond the granted ones.
@@ -144,13 +146,13 @@
 	Owner       string `cbor:"1,keyasint"`
 	Epoch       uint64 `cbor:"2,keyasint"`
 	Incarnation uint64 `cbor:"3,keyasint"`
-	// HolderIncarnation is the incarnation in the request, so that an answer to a former
-	// process of the host is not taken for one to the present process.
+	// HolderIncarnation is the incarnation in the request. It lets a restarted host
+	// discard replies to its former process.
 	HolderIncarnation uint64  `cbor:"4,keyasint"`
 	Seq               uint64  `cbor:"5,keyasint"`
 	LeaseMS           uint32  `cbor:"6,keyasint"`
 	Grants            []Grant `cbor:"7,keyasint,omitempty"`
-	// Complete confirms a complete request.
+	// Complete acknowledges a complete request.
 	Complete bool `cbor:"8,keyasint,omitempty"`
 }
 
@@ -159,11 +161,11 @@
 	Key   string `cbor:"1,keyasint"`
 	ID    uint64 `cbor:"2,keyasint"`
 	Share Share  `cbor:"3,keyasint"`
-	// Tokens are moved from the owner's bucket to the holder's.
+	// Tokens is the number of tokens moved from the owner's bucket to the holder's.
 	Tokens float64 `cbor:"4,keyasint,omitempty"`
-	// Overloaded reports that the demand of all holders is above the limit.
+	// Overloaded is set if the total demand of all holders exceeds the limit.
 	Overloaded bool `cbor:"5,keyasint,omitempty"`
-	// LowDemand reports that the demand is so far below the limit that a new holder
-	// can be served from what is free.
+	// LowDemand is set if the demand is so far below the limit that a new holder
+	// can be served from the unleased part.
 	LowDemand bool `cbor:"6,keyasint,omitempty"`
 }
