--- a/internal/limits/floor.go
+++ b/internal/limits/floor.go
@@ -9,15 +9,16 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// floor is the part of a workspace's rate that needs no lease: a token bucket
-// with the host's part of the rate, its part of the burst, and its reserve of the
-// tolerance.
+// floorBucket is the part of a workspace's rate that a host may use without a
+// lease: a token bucket with the host's part of the rate, its part of the burst,
+// and its reserve from the tolerance. A nil floorBucket grants nothing.
 type floorBucket struct {
 	bucket *rate.Limiter
 }
 
-// newFloor returns the floor of a process that has just started. The former
-// process may have spent the part of the burst; the reserve allows for that.
+// newFloorBucket returns the bucket of a process that has just started. It holds
+// only the reserve: the former process of the host may have spent the part of the
+// burst.
 func newFloorBucket(now time.Time, w note.Workspace, size fleetSize) *floorBucket {
 	f := &floorBucket{}
 	f.bucket = rate.NewLimiter(f.rateAndBurst(w, size))
@@ -25,9 +26,11 @@
 	return f
 }
 
+// rateAndBurst returns the refill rate in tokens per second and the capacity in
+// tokens.
 func (f *floorBucket) rateAndBurst(w note.Workspace, size fleetSize) (rate.Limit, int) {
-	part := size.rateFloorFraction(w)
-	return rate.Limit(w.Rate * part), int(w.Burst*part + size.tokenReserve(w))
+	fraction := size.rateFloorFraction(w)
+	return rate.Limit(w.Rate * fraction), int(w.Burst*fraction + size.tokenReserve(w))
 }
 
 func (f *floorBucket) resize(now time.Time, w note.Workspace, size fleetSize) {
@@ -36,15 +39,16 @@
 	f.bucket.SetBurstAt(now, burst)
 }
 
-// take takes a token.
+// take spends a token if there is one.
 func (f *floorBucket) take(now time.Time) bool { return f != nil && f.bucket.AllowN(now, 1) }
 
-// takeSurplus takes a token that the bucket could not hold for longer.
+// takeIfFull spends a token only if the bucket is full, when further tokens would
+// be lost.
 func (f *floorBucket) takeIfFull(now time.Time) bool {
 	return f != nil && f.bucket.TokensAt(now) >= float64(f.bucket.Burst()) && f.take(now)
 }
 
-// wait is the time until the next token at the latest.
+// maxWait returns the maximum time until the next token.
 func (f *floorBucket) maxWait() time.Duration {
 	if f == nil || f.bucket.Limit() <= 0 {
 		return idleWait
@@ -52,7 +56,8 @@
 	return time.Duration(float64(time.Second) / float64(f.bucket.Limit()))
 }
 
-// setRates follows changed rates and numbers of hosts. The caller holds the lock.
+// updateRateFloors adjusts the floor buckets to the agreed state. The caller holds
+// h.mu.
 func (h *Holder) updateRateFloors(now time.Time, state *agreed.State, size fleetSize) {
 	for name, w := range state.Catalog.Workspaces {
 		switch f := h.rateFloors[name]; {
--- a/internal/limits/floor_test.go
+++ b/internal/limits/floor_test.go
@@ -16,8 +16,8 @@
 	return cfg
 }
 
-// TestRateFloorsAndLeasesSumToRate adds what all hosts have without a lease to
-// what the owner leases.
+// TestRateFloorsAndLeasesSumToRate checks that the floors of all hosts and the
+// leased part together make up the limit.
 func TestRateFloorsAndLeasesSumToRate(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		state := agreed.New()
@@ -42,7 +42,9 @@
 	})
 }
 
-// TestRateFloorWithoutOwner spends the floor of a host that no owner answers.
+// TestRateFloorWithoutOwner spends the floor of a host that gets no reply from an
+// owner. A new process must start without the part of the burst that its former
+// process may have spent.
 func TestRateFloorWithoutOwner(t *testing.T) {
 	state := agreed.New()
 	state.Catalog.Workspaces["w"] = note.Workspace{Name: "w", Rate: 80, Burst: 80}
@@ -56,14 +58,14 @@
 	now := time.Unix(1000, 0)
 	h.updateRateFloors(now, state, sizeOf(floorConfig(), state))
 	if h.rateFloors["w"].take(now) {
-		t.Error("a new process has tokens that a former one may have spent")
+		t.Error("new process has tokens that its former process may have spent")
 	}
 	if taken := takeAll(h.rateFloors["w"], now.Add(time.Second)); taken != 4 { // a tenth of 80, for one of two hosts
 		t.Errorf("%d tokens after a second", taken)
 	}
 }
 
-// drain takes all tokens that a floor has at a time.
+// takeAll takes all tokens that a bucket holds at a time and returns their number.
 func takeAll(f *floorBucket, now time.Time) (taken int) {
 	for f.take(now) {
 		taken++
@@ -71,9 +73,9 @@
 	return taken
 }
 
-// TestReservesStayWithinTolerance spends whatever the hosts may have of a
-// rate in a window in which each of them is restarted once, everything at the
-// worst time.
+// TestReservesStayWithinTolerance spends all that the hosts may have of a rate in a
+// window in which each of them restarts once, with the worst timing. The total must
+// not exceed the limit plus the tolerance.
 func TestReservesStayWithinTolerance(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := floorConfig()
@@ -112,8 +114,8 @@
 	})
 }
 
-// TestRateFloorNewProcessHasReserve serves callers who come back together after a
-// restart before any owner has answered.
+// TestRateFloorNewProcessHasReserve checks that a restarted host can serve callers
+// that reconnect at once, before any owner has replied.
 func TestRateFloorNewProcessHasReserve(t *testing.T) {
 	cfg := floorConfig()
 	cfg.Tolerance = Tolerance{Window: 5 * time.Second, Overage: 0.1, Slack: 20}
--- a/internal/limits/holder.go
+++ b/internal/limits/holder.go
@@ -14,31 +14,33 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Usage is what a host does with one endpoint.
+// Usage is a host's use of one endpoint.
 type Usage struct {
 	Service  string
 	Endpoint string
-	// Connections are open, ConnectionDemand the most that were lent or asked for
-	// at once since the last report.
+	// Connections is the number of open connections. ConnectionDemand is the maximum
+	// that was checked out or requested at once since the last report.
 	Connections      int
 	ConnectionDemand int
-	// Slots are taken, SlotDemand the most that were taken or asked for.
+	// Slots is the number of slots in use. SlotDemand is the maximum that was in use
+	// or requested at once.
 	Slots      int
 	SlotDemand int
-	// NoSlotLease: the host asks for no slots, since the endpoint has a queue of its
-	// own.
+	// NoSlotLease is set if the host needs no leased slots because the endpoint has a
+	// queue of its own.
 	NoSlotLease bool
 }
 
-// Pool is the part of an entry host that uses connections and slots.
+// Pool is the consumer of connections and slots on an entry host.
 type Pool interface {
 	// Usage lists the endpoints in use.
 	Usage() []Usage
-	// Resize makes the host follow changed shares.
+	// Resize adjusts the pools to changed shares.
 	Resize()
 }
 
-// Holder holds the shares of this entry host. It implements entry.Limiter.
+// Holder holds the shares of this entry host. It implements entry.Limiter and is
+// safe for concurrent use.
 type Holder struct {
 	peers *peer.Node
 	view  view.Source
@@ -49,13 +51,13 @@
 	mu    sync.Mutex
 	quota *quota.Holder
 	epoch uint64 // of the set of owners
-	// floors are the connections that need no lease, by service.
+	// connectionFloors are the numbers of connections that need no lease, by service.
 	connectionFloors map[string]int
-	// rates are the floors of rates, by workspace.
+	// rateFloors are the parts of rates that need no lease, by workspace.
 	rateFloors map[string]*floorBucket
-	// asked is when the last round began.
+	// lastRound is when the last round of requests was sent.
 	lastRound time.Time
-	// followed is the state from which the floors are.
+	// appliedState is the state from which the floors were derived.
 	appliedState *agreed.State
 	queues       map[string]*queue
 	wake         chan struct{}
@@ -75,10 +77,10 @@
 	return h
 }
 
-// SetPool sets the user of connections and slots.
+// SetPool sets the consumer of connections and slots.
 func (h *Holder) SetPool(p Pool) { h.pool = p }
 
-// Connections returns how many connections to an endpoint the host may have.
+// Connections returns how many connections to an endpoint the host may open.
 func (h *Holder) Connections(service, endpoint string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,20 +88,21 @@
 }
 
 // Slots returns how many statements the host may run at once on an endpoint. A
-// host without a lease may run one, so the hosts together may run more than the
-// endpoint's slots when more hosts than that are active.
+// host without a lease may run one (floorSlots), so the hosts together may exceed
+// the endpoint's slots if more hosts than slots are active.
 func (h *Holder) Slots(_, endpoint string) int {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	return max(h.units(slotKey(endpoint)), floorSlots)
 }
 
+// units returns the number of leased units of a key. The caller holds h.mu.
 func (h *Holder) units(key string) int {
 	allowed, _ := h.quota.Units(clock.Now(), key)
 	return int(allowed)
 }
 
-// follow takes over a change of the agreed state. The caller holds the lock.
+// applyState applies a changed agreed state. The caller holds h.mu.
 func (h *Holder) applyState(state *agreed.State) {
 	if state == h.appliedState {
 		return
@@ -117,7 +120,7 @@
 	}
 }
 
-// Run asks owners for shares and serves waiting requests until ctx ends.
+// Run requests shares from the owners and serves waiting requests until ctx ends.
 func (h *Holder) Run(ctx context.Context) error {
 	ticker := time.NewTicker(tickInterval)
 	defer ticker.Stop()
@@ -145,13 +148,14 @@
 	}
 }
 
-// urgentInterval is the least time between two rounds while requests wait: a
-// host that has no share of a rate yet does not wait for the next tick. It is a
-// few round trips between failure domains (3 ms).
+// urgentInterval is the minimum time between two rounds of requests while callers
+// wait, so that a host without a share of a rate need not wait for the next tick.
+// It is a few round trips between failure domains (3 ms).
 const urgentInterval = 10 * time.Millisecond
 
-// urgent reports whether requests wait for tokens that the fleet has. Those of a
-// workspace over its rate wait for the next tick.
+// hasUrgent reports whether a request waits in a workspace that is not overloaded,
+// for which the fleet has tokens. Those of overloaded workspaces wait for the next
+// tick.
 func (h *Holder) hasUrgent() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -163,7 +167,7 @@
 	return false
 }
 
-// round reports the use of units and sends the requests that are due.
+// requestRound reports the use of units and sends the requests that are due.
 func (h *Holder) requestRound(now time.Time) {
 	state := h.view.Current().State
 	if state == nil {
@@ -203,7 +207,7 @@
 	h.notify()
 }
 
-// notify makes Run look at the waiting requests.
+// notify wakes Run to serve waiting requests.
 func (h *Holder) notify() {
 	select {
 	case h.wake <- struct{}{}:
--- a/internal/limits/keys.go
+++ b/internal/limits/keys.go
@@ -1,8 +1,8 @@
-// Package limits shares the fleet's limits among its hosts over the peer
-// connections. The Owner task runs on control hosts and grants shares; the
-// Holder task runs on entry hosts, spends the rates of workspaces and knows how
-// many connections and slots of each endpoint the host may use. The decisions
-// are those of package quota.
+// Package limits distributes the fleet's limits among its hosts over the peer
+// connections. The Owner task runs on control hosts and grants shares. The Holder
+// task runs on entry hosts, spends the rates of workspaces and determines how many
+// connections and slots of each endpoint the host may use. Package quota makes the
+// decisions.
 package limits
 
 import (
@@ -28,8 +28,8 @@
 func connectionKey(endpoint string) string { return connectionPrefix + endpoint }
 func slotKey(endpoint string) string       { return slotPrefix + endpoint }
 
-// quotaConfig derives the settings of quotas from those of the configuration
-// lease, under which owners act.
+// quotaConfig derives the quota settings from the configuration lease under which
+// owners act.
 func quotaConfig(cfg lease.Config) quota.Config {
 	return quota.Config{OwnerLease: cfg.Duration, Drift: cfg.Drift}
 }
@@ -39,9 +39,9 @@
 	all := make(map[string]quota.Limit)
 	size := sizeOf(cfg, state)
 	for name, w := range state.Catalog.Workspaces {
-		floor := size.rateFloorFraction(w)
-		leased := 1 - floor*float64(size.entryHosts)
-		all[rateKey(name)] = quota.Limit{Rate: w.Rate * leased, Burst: w.Burst * leased}
+		floorFraction := size.rateFloorFraction(w)
+		leasedFraction := 1 - floorFraction*float64(size.entryHosts)
+		all[rateKey(name)] = quota.Limit{Rate: w.Rate * leasedFraction, Burst: w.Burst * leasedFraction}
 	}
 	for id, e := range state.Endpoints {
 		service, ok := state.Catalog.Services[e.Service]
@@ -54,58 +54,63 @@
 	return all
 }
 
-// Config tells how limits are shared. All hosts of a fleet use the same.
+// Config holds the settings for the distribution of limits. They must be the same
+// on all hosts of a fleet.
 type Config struct {
 	Lease lease.Config
-	// FloorConnections is what an entry host may have of each endpoint without a
-	// lease, so that a request on a quiet host does not wait for one.
+	// FloorConnections is the number of connections to each endpoint that an entry
+	// host may open without a lease, so that a request on an idle host need not wait
+	// for one.
 	FloorConnections int
-	// ProbeConnections is the number of an endpoint's connections that are left to probes;
-	// negative for one for each watching failure domain and one for the control
-	// leader.
+	// ProbeConnections is the number of an endpoint's connections reserved for probes.
+	// A negative value reserves one for each watching failure domain and one for the
+	// control leader.
 	ProbeConnections int
-	// Headroom is how many connections for each entry host are left unused. After a
-	// loss of power an endpoint counts those of the lost processes for some seconds,
-	// and the hosts that start again need some beside them.
+	// Headroom is the number of connections per entry host that are left unused.
+	// After a power loss an endpoint still counts the connections of the lost
+	// processes for some seconds, while the restarted hosts need new ones.
 	Headroom int
-	// RateFloor is the part of a rate that is divided evenly among the entry hosts
-	// for good: it needs no lease, and is there while a key has no owner.
+	// RateFloor is the fraction of a rate that is permanently divided evenly among
+	// the entry hosts. It needs no lease and is available while a key has no owner.
 	RateFloor float64
-	// Tolerance is how far the fleet may pass a rate.
+	// Tolerance is how far the fleet may exceed a rate.
 	Tolerance Tolerance
 }
 
-// Tolerance is how far the operations of a workspace may pass its limit in any
+// Tolerance is how far the operations of a workspace may exceed its limit in any
 // window of the given length: (rate*Window + burst)*Overage + Slack. The zero
-// value allows nothing. It is spent only on what a host cannot know in time: the
-// share that it is granted next, and what its former process has spent.
+// value allows no excess. It is spent only where a host lacks information: before
+// its next share is granted, and on what its former process has spent.
 type Tolerance struct {
 	Window  time.Duration
 	Overage float64
-	// Slack is in operations.
+	// Slack is a number of operations.
 	Slack float64
 }
 
-// allowance is the number of operations by which a workspace may pass its limit
-// within a window.
+// allowance returns the number of operations by which a workspace may exceed its
+// limit within a window.
 func (t Tolerance) allowance(w note.Workspace) float64 {
 	return (w.Rate*t.Window.Seconds()+w.Burst)*t.Overage + t.Slack
 }
 
-// reserveShare is the part of the tolerance that the hosts hold in reserve. Each
-// may spend its reserve once more in a window after a restart: both halves fit.
+// reserveFraction is the fraction of the tolerance that the hosts hold as reserve.
+// A host may spend its reserve a second time in a window after a restart, so at
+// most half of the tolerance fits.
 const reserveFraction = 0.5
 
-// DefaultConfig returns the sharing of endpoints that are probed by watchers: a
-// host has one connection for its monitor and one for requests.
+// DefaultConfig returns the settings for endpoints that are probed by watchers: an
+// entry host has one connection for its monitor and one for requests.
 func DefaultConfig() Config {
 	return Config{Lease: lease.DefaultConfig(), FloorConnections: 2, ProbeConnections: -1}
 }
 
-// floorSlots is the number of statements that a host without a lease may run.
+// floorSlots is the number of statements that a host without a lease may run at
+// once.
 const floorSlots = 1
 
-// fleetSize is what the shares of connections depend on.
+// fleetSize holds the numbers from which the hosts' floors and the leased parts of
+// limits are computed.
 type fleetSize struct {
 	cfg        Config
 	entryHosts int
@@ -125,9 +130,9 @@
 	return size
 }
 
-// available is the number of an endpoint's connections that entry hosts may
-// use. The others are for probes: one watcher for each watching failure domain
-// and the control leader.
+// availableConnections returns the number of an endpoint's connections that entry
+// hosts may use. The others are reserved for probes, and for headroom if enough
+// connections for the floors remain.
 func (f fleetSize) availableConnections(connections int) int {
 	probes := f.cfg.ProbeConnections
 	if probes < 0 {
@@ -140,8 +145,8 @@
 	return max(connections, 1)
 }
 
-// floor is the number of connections that each entry host may have without a
-// lease. It is zero when the endpoint has too few for all.
+// connectionFloor returns the number of connections that each entry host may open
+// without a lease. It is zero if the endpoint has too few for all hosts.
 func (f fleetSize) connectionFloor(connections int) int {
 	if f.availableConnections(connections) < f.cfg.FloorConnections*f.entryHosts {
 		return 0
@@ -149,28 +154,30 @@
 	return f.cfg.FloorConnections
 }
 
-// rateFloor is the part of a workspace's rate and burst that each entry host has
-// without a lease. It is zero when the part could not hold one token.
+// rateFloorFraction returns the fraction of a workspace's rate and burst that each
+// entry host has without a lease. It is zero if the bucket could not hold one token.
 func (f fleetSize) rateFloorFraction(w note.Workspace) float64 {
-	part := f.cfg.RateFloor / float64(max(f.entryHosts, 1))
-	if w.Burst*part+f.tokenReserve(w) < 1 {
+	fraction := f.cfg.RateFloor / float64(max(f.entryHosts, 1))
+	if w.Burst*fraction+f.tokenReserve(w) < 1 {
 		return 0
 	}
-	return part
+	return fraction
 }
 
-// reserve is the number of tokens beside its part of the burst that each entry
-// host may hold of a workspace's rate without a lease.
+// tokenReserve returns the number of tokens that each entry host may hold without a
+// lease in addition to its part of the burst.
 func (f fleetSize) tokenReserve(w note.Workspace) float64 {
 	return f.cfg.Tolerance.allowance(w) * reserveFraction / float64(max(f.entryHosts, 1))
 }
 
-// sharedConnections is the number of connections that are leased by need.
+// leasedConnections returns the number of an endpoint's connections that are leased
+// by demand: all that are available except the floors.
 func (f fleetSize) leasedConnections(connections int) int {
 	return f.availableConnections(connections) - f.connectionFloor(connections)*f.entryHosts
 }
 
-// owners returns the hosts among which the owners of keys are chosen.
+// ownerHosts returns the control hosts, among which the owners of keys are chosen,
+// in sorted order.
 func ownerHosts(state *agreed.State) []string {
 	var hosts []string
 	for _, id := range slices.Sorted(maps.Keys(state.Hosts)) {
@@ -181,7 +188,7 @@
 	return hosts
 }
 
-// holders are the processes that may hold leases.
+// holderIDs returns the processes that may hold leases.
 func holderIDs(state *agreed.State) []quota.HolderID {
 	var all []quota.HolderID
 	for _, h := range state.Hosts {
@@ -192,5 +199,5 @@
 	return all
 }
 
-// tickInterval is the time between two rounds of a task.
+// tickInterval is the interval of the Owner and Holder tasks.
 const tickInterval = 100 * time.Millisecond
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -44,7 +44,7 @@
 	done   sync.WaitGroup
 }
 
-// noPool uses neither connections nor slots.
+// noPool is a Pool without connections and slots.
 type noPool struct{}
 
 func (noPool) Usage() []Usage { return nil }
@@ -102,14 +102,14 @@
 	f.hosts[id].done.Wait()
 }
 
-// publish gives all hosts the present state with a lease that outlasts the test.
+// publish gives all hosts the current state with a lease that outlasts the test.
 func (f *fleet) publish() {
 	for _, h := range f.hosts {
 		h.view.Publish(view.View{State: f.state, ValidUntil: clock.Now().Add(testTimeout)})
 	}
 }
 
-// remove takes a control host out of the agreed state.
+// remove removes a control host from the agreed state.
 func (f *fleet) remove(id string) {
 	next := *f.state
 	next.Hosts = make(map[string]agreed.Host)
@@ -124,6 +124,7 @@
 	f.publish()
 }
 
+// TestFleetStaysWithinRate has callers on three hosts spend as fast as they can.
 func TestFleetStaysWithinRate(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -153,8 +154,8 @@
 	}
 }
 
-// TestAcquireDuringOwnerReplacement kills the owner of the workspace's rate. Callers who can
-// wait are served all the time.
+// TestAcquireDuringOwnerReplacement kills the owner of the workspace's rate and then
+// removes it from the agreed state. Callers that can wait must be served throughout.
 func TestAcquireDuringOwnerReplacement(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -176,6 +177,8 @@
 	acquire(20)
 }
 
+// TestAcquireRefusesEarlyWhenDeadlineUnreachable overloads a workspace until a request
+// is refused. A request that cannot be served in time must not wait for its deadline.
 func TestAcquireRefusesEarlyWhenDeadlineUnreachable(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	holder := f.hosts["entry-0"].holder
@@ -198,7 +201,7 @@
 	}
 	callers.Wait()
 	if refused.Load() == 0 {
-		t.Error("nobody was refused before the deadline at several times the rate")
+		t.Error("no request was refused before its deadline at several times the rate")
 	}
 }
 
@@ -207,7 +210,8 @@
 	return rendezvous.Owner(ownerHosts(state), key)
 }
 
-// TestConnectionFloorsAndLeasesFitEndpoint adds up what all hosts may use of an endpoint.
+// TestConnectionFloorsAndLeasesFitEndpoint checks that the connections of all hosts,
+// with and without leases, leave those for probes free.
 func TestConnectionFloorsAndLeasesFitEndpoint(t *testing.T) {
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
@@ -221,8 +225,8 @@
 	}
 }
 
-// TestHolderFloorsWithoutLease asks for the units of a host that no owner has
-// answered.
+// TestHolderFloorsWithoutLease checks that a host that has no reply from an owner may
+// use the floors of connections and slots.
 func TestHolderFloorsWithoutLease(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.state.Catalog.Services = map[string]note.Service{"s": {Name: "s", Connections: 30, Slots: 5}}
@@ -238,9 +242,10 @@
 	}
 }
 
-// TestQueueServesNewestRequestFirst lets two requests wait for one token.
+// TestQueueServesNewestRequestFirst has two requests wait for one token. Under
+// overload only the newest can still meet its deadline.
 func TestQueueServesNewestRequestFirst(t *testing.T) {
-	f := newFleet(t, 0, 1) // no owner answers
+	f := newFleet(t, 0, 1) // no owner replies
 	h := f.hosts["entry-0"].holder
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -262,7 +267,8 @@
 	}
 }
 
-// TestHeadroomLeftWhenConnectionsSuffice adds up what all hosts may use beside it.
+// TestHeadroomLeftWhenConnectionsSuffice checks that the hosts together leave unused
+// connections wherever the endpoint has enough for the floors and the headroom.
 func TestHeadroomLeftWhenConnectionsSuffice(t *testing.T) {
 	cfg := DefaultConfig()
 	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom = 1, 2, 1
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -13,11 +13,12 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// requestBacklog bounds the requests that wait for an Owner. Holders repeat
-// what is dropped.
+// requestBacklog bounds the requests that wait for an Owner. Requests beyond it are
+// dropped; holders retry.
 const requestBacklog = 1024
 
-// Owner grants the quotas that belong to this control host. Run owns its state.
+// Owner grants shares of the keys that this control host owns. Its state is
+// accessed only by Run.
 type Owner struct {
 	peers    *peer.Node
 	view     view.Source
@@ -28,9 +29,9 @@
 	quota  *quota.Owner
 	state  *agreed.State
 	limits map[string]quota.Limit
-	// started is when this process began to follow the agreed state.
+	// startedAt is when Run started to follow the agreed state.
 	startedAt time.Time
-	// known tells, as last logged, that all leases are known.
+	// leasesKnown is the last logged value of quota.Owner.LeasesKnown.
 	leasesKnown bool
 }
 
@@ -55,11 +56,11 @@
 	return o
 }
 
-// Run grants quotas until ctx ends.
+// Run grants shares until ctx ends.
 func (o *Owner) Run(ctx context.Context) error {
 	now := clock.Now()
-	// A restarted task has forgotten its grants and counts as a new process. The
-	// time of day orders processes: the suspended clock starts anew with a machine.
+	// A restarted task has lost its grants and counts as a new process. Wall-clock
+	// time orders the incarnations, because clock.Now restarts with the machine.
 	o.quota = quota.NewOwner(quotaConfig(o.cfg.Lease), o.peers.Host(), uint64(time.Now().UnixNano()), now)
 	o.state, o.limits, o.startedAt = nil, map[string]quota.Limit{}, now
 	ticker := time.NewTicker(tickInterval)
@@ -80,8 +81,8 @@
 	}
 }
 
-// noteKnown logs when the owner comes to know all leases of its keys, or has to
-// learn them anew.
+// logLeasesKnown logs when all leases of the owner's keys have become known, and
+// when they are unknown again.
 func (o *Owner) logLeasesKnown(now time.Time) {
 	known, quiet := o.quota.LeasesKnown()
 	if known == o.leasesKnown {
@@ -97,7 +98,7 @@
 
 func (o *Owner) handle(now time.Time, r ownerRequest) {
 	if r.request.Host != r.from.Host || r.request.Incarnation != r.from.Incarnation {
-		return // a host asks for itself only
+		return // a host may request shares only for itself
 	}
 	o.quota.SetOwnerLease(o.view.Current().ValidUntil)
 	reply := o.quota.Handle(now, r.request)
@@ -106,7 +107,7 @@
 	}
 }
 
-// follow takes over a change of the agreed state.
+// applyState applies a changed agreed state.
 func (o *Owner) applyState(now time.Time) {
 	state := o.view.Current().State
 	if state == nil || state == o.state {
@@ -119,6 +120,7 @@
 	o.state = state
 }
 
+// setLimits passes added, changed and removed limits to the quota owner.
 func (o *Owner) setLimits(now time.Time, state *agreed.State) {
 	next := limitsOf(o.cfg, state)
 	fresh := o.newKeysNeverLeased(now, state)
@@ -136,9 +138,9 @@
 	o.limits = next
 }
 
-// mayBeFresh reports whether a key that appears now cannot have leases that
-// were granted before this process followed the state: either the fleet has its
-// first catalog, or the process is older than any lease.
+// newKeysNeverLeased reports whether a key that appears now cannot have leases
+// granted before this process followed the state: either the fleet has its first
+// catalog, or the process is older than any lease.
 func (o *Owner) newKeysNeverLeased(now time.Time, state *agreed.State) bool {
 	if state.Catalog.Stamp.Number <= 1 || o.state != nil && o.state.Catalog.Stamp.Number == 0 {
 		return true
@@ -146,15 +148,15 @@
 	return o.state != nil && now.Sub(o.startedAt) > 2*(o.cfg.Lease.Duration+quota.DefaultLease)
 }
 
-// forgetDeparted reclaims the shares of processes that are no longer
-// registered: a host is removed only after its configuration lease has ended.
+// removeDeparted reclaims the shares of processes that are no longer registered. A
+// host is deregistered only after its configuration lease has ended.
 func (o *Owner) removeDeparted(now time.Time, state *agreed.State) {
 	if o.state == nil {
 		return
 	}
-	for id, was := range o.state.Hosts {
-		if is, ok := state.Hosts[id]; !ok || is.Incarnation != was.Incarnation {
-			o.quota.RemoveHolder(now, id, was.Incarnation)
+	for id, former := range o.state.Hosts {
+		if current, ok := state.Hosts[id]; !ok || current.Incarnation != former.Incarnation {
+			o.quota.RemoveHolder(now, id, former.Incarnation)
 		}
 	}
 }
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -8,27 +8,28 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// idleWait is the pause of the holder's task when no request waits.
+// idleWait is the pause of Holder.Run while no request waits, and the maximum wait
+// of a request without a deadline.
 const idleWait = time.Minute
 
-// minWait is the least pause between two attempts to serve a request.
+// minWait is the minimum pause between two attempts to serve waiting requests.
 const minWait = time.Millisecond
 
-// overPatience bounds the wait of a request whose workspace is over its rate
-// across the fleet: half of the shortest target of a route (200 ms). Those that
-// are served are then served in time, and the others told early.
+// overloadPatience bounds the wait of a request whose workspace exceeds its rate
+// across the fleet. It is half of the shortest latency target of a route (200 ms):
+// requests that are served still meet the target, the others are refused early.
 const overloadPatience = 100 * time.Millisecond
 
 // queue holds the requests of one workspace that wait for tokens, in order of
-// arrival. The last is served first: while more arrive than the rate allows, as
-// after an interruption, those can still be in time, and the others are late
-// already.
+// arrival. The newest is served first: while requests arrive faster than the rate
+// allows, as after an interruption, the newest can still meet their deadlines and
+// the oldest are late already.
 type queue struct {
 	waiters []*waiter
-	// over tells that the demand of the fleet has been above the workspace's rate
-	// for long.
+	// overloaded is set while the demand of the fleet persistently exceeds the
+	// workspace's rate.
 	overloaded bool
-	// next is when the next token is expected.
+	// nextToken is when the next token is expected.
 	nextToken time.Time
 }
 
@@ -37,26 +38,28 @@
 	ready    chan error // buffered
 }
 
-// Acquire implements entry.Limiter. A request waits for tokens until its
-// deadline. It is refused early only when the workspace is over its rate across
-// the fleet and the requests ahead already fill the time until the deadline.
+// Acquire implements entry.Limiter. A request waits for a token until its deadline.
+// It is refused early only if the workspace exceeds its rate across the fleet: after
+// overloadPatience, or at once if the waiting requests already fill the time until
+// the deadline.
 func (h *Holder) Acquire(ctx context.Context, workspace string) error {
 	w, err := h.takeOrEnqueue(ctx, workspace)
 	if w == nil {
 		return err
 	}
-	patience := time.NewTimer(w.deadline.Sub(clock.Now()))
-	defer patience.Stop()
+	timeout := time.NewTimer(w.deadline.Sub(clock.Now()))
+	defer timeout.Stop()
 	select {
 	case err := <-w.ready:
 		return err
 	case <-ctx.Done():
-	case <-patience.C:
+	case <-timeout.C:
 	}
 	return h.abandon(workspace, w)
 }
 
-// offer takes a token, or returns the waiter that stands for the request.
+// takeOrEnqueue takes a token, or returns the waiter for the request. It returns nil
+// and no error if the token was taken, and an error if the request is refused.
 func (h *Holder) takeOrEnqueue(ctx context.Context, workspace string) (*waiter, error) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -86,7 +89,7 @@
 	if q.overloaded {
 		deadline = earlier(deadline, now.Add(overloadPatience))
 	}
-	if wait, hopeless := h.exceedsDeadline(now, workspace, q, deadline); hopeless {
+	if wait, late := h.exceedsDeadline(now, workspace, q, deadline); late {
 		h.quota.Withdraw(key, 1)
 		return nil, rateExceeded(workspace, wait)
 	}
@@ -103,8 +106,9 @@
 	return b
 }
 
-// hopeless reports whether a new request cannot be served before its deadline,
-// and how long it would have to wait.
+// exceedsDeadline returns how long a new request would have to wait, and reports
+// whether that ends after its deadline. It reports false unless the workspace is
+// overloaded and the host has a share.
 func (h *Holder) exceedsDeadline(now time.Time, workspace string, q *queue, deadline time.Time) (time.Duration, bool) {
 	if !q.overloaded {
 		return 0, false
@@ -117,26 +121,26 @@
 	return wait, now.Add(wait).After(deadline)
 }
 
-// abandon ends the wait of a request whose context has ended.
+// abandon ends the wait of a request whose context or timeout has ended.
 func (h *Holder) abandon(workspace string, w *waiter) error {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	q := h.queues[workspace]
 	if q == nil || !q.remove(w) {
-		return <-w.ready // served meanwhile
+		return <-w.ready // served in the meantime
 	}
 	h.quota.Withdraw(rateKey(workspace), 1)
-	over := q.overloaded
+	overloaded := q.overloaded
 	if len(q.waiters) == 0 {
 		delete(h.queues, workspace)
 	}
-	if over {
+	if overloaded {
 		return rateExceeded(workspace, time.Second)
 	}
 	return result.New(result.DeadlineInQueue, "waiting for the rate of workspace %q", workspace)
 }
 
-// Refund gives back the token of an operation that was offered to no endpoint.
+// Refund returns the token of an operation that was not sent to any endpoint.
 func (h *Holder) Refund(workspace string) {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -144,6 +148,7 @@
 	h.notify()
 }
 
+// remove removes a waiter and reports whether it was still in the queue.
 func (q *queue) remove(w *waiter) bool {
 	for i, other := range q.waiters {
 		if other == w {
@@ -175,6 +180,7 @@
 	return max(next, minWait)
 }
 
+// serveQueue serves one queue and returns the time until the next attempt.
 func (h *Holder) serveQueue(now time.Time, workspace string, q *queue) time.Duration {
 	floor := h.rateFloors[workspace]
 	for len(q.waiters) > 0 {
--- a/internal/limits/static.go
+++ b/internal/limits/static.go
@@ -10,8 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Static is an entry.Limiter that gives every entry host an equal share of each
-// workspace's rate. It is a baseline for measurements.
+// Static is an entry.Limiter that gives every entry host an equal, fixed share of
+// each workspace's rate. It is a baseline for measurements.
 type Static struct {
 	view view.Source
 
@@ -19,7 +19,7 @@
 	buckets map[string]*rate.Limiter
 }
 
-// NewStatic returns a Static over the agreed state.
+// NewStatic returns a Static that follows the agreed state of src.
 func NewStatic(src view.Source) *Static {
 	return &Static{view: src, buckets: make(map[string]*rate.Limiter)}
 }
