--- a/internal/admit/bench_test.go
+++ b/internal/admit/bench_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// BenchmarkArriveStartDone is the cost of one request through a queue with a
+// BenchmarkArriveStartDone measures the cost of one request in a queue with a
 // backlog of the given number of workspaces.
 func BenchmarkArriveStartDone(b *testing.B) {
 	for _, workspaces := range []int{1, 8, 200} {
--- a/internal/admit/fair.go
+++ b/internal/admit/fair.go
@@ -9,28 +9,29 @@
 )
 
 const (
-	// initialCost is the assumed slot time of a workspace's first request.
+	// initialCost is the estimated slot time of a workspace's first request.
 	initialCost = 5 * time.Millisecond
-	// minCost is the least slot time that a request is charged.
+	// minCharge is the minimum slot time that a request is charged.
 	minCharge = 50 * time.Microsecond
-	// costGain is the weight of the newest request in the average slot time.
+	// costGain is the weight of the newest request in the moving average of slot time.
 	costGain = 0.2
-	// maxIdleFlows is the number of workspaces without waiting requests whose
-	// accounts are kept before they are examined for removal.
+	// maxIdleFlows is the number of flows without waiting requests from which on idle
+	// flows are pruned.
 	maxIdleFlows = 256
 )
 
 // precedence lists the classes from the highest to the lowest.
 var precedence = []note.Class{note.ClassInteractive, note.ClassCorrection, note.ClassBulk}
 
-// flow is the account of one workspace in one class. Tags are virtual times in
+// flow is the state of one workspace in one class. Tags are virtual times in
 // seconds of slot time per unit of weight.
 type flow struct {
 	workspace string
 	waiters   []*waiter
-	// finish is the tag at which the flow has paid for all it was charged.
+	// finish is the finish tag: the virtual time at which all charged slot time is
+	// accounted for.
 	finish float64
-	// start is the tag of the first waiter.
+	// start is the start tag of the first waiter.
 	start float64
 	// cost is the moving average of the slot time of its requests.
 	cost time.Duration
@@ -38,12 +39,14 @@
 	running int
 }
 
-// classQueue is a start-time fair queue over the workspaces of one class.
+// classQueue is a start-time fair queue (SFQ) over the workspaces of one class.
+// active contains exactly the flows that have waiters.
 type classQueue struct {
 	flows map[string]*flow
 	// active lists the flows with waiters.
 	active []*flow
-	// now is the virtual time: the lowest start tag when a request was last served.
+	// virtualTime is the lowest start tag at the time of the latest pop. It never
+	// decreases.
 	virtualTime float64
 }
 
@@ -72,7 +75,7 @@
 	c.deactivate(f)
 }
 
-// deactivate takes a flow without waiters off the active list.
+// deactivate removes a flow from the active list if it has no waiters.
 func (c *classQueue) deactivate(f *flow) {
 	if len(f.waiters) > 0 {
 		return
@@ -82,15 +85,15 @@
 	c.active = slices.Delete(c.active, i, i+1)
 }
 
-// pop serves the flow with the lowest start tag, or a ready one that is little
-// behind it; ties go to the name.
+// pop takes the next waiter from the flow with the lowest start tag, or from a ready
+// flow whose tag is at most ReadySlack above it. Ties are broken by name.
 func (c *classQueue) pop(now time.Time, ready func(workspace string) bool) *waiter {
 	if len(c.active) == 0 {
 		return nil
 	}
 	next := c.lowestTag(nil, math.Inf(1))
-	// The virtual time is that of the flow whose turn it is: one that is passed
-	// over must not lose its place.
+	// The virtual time advances to the lowest start tag even if another flow is
+	// served: a flow that is passed over must keep its place.
 	c.virtualTime = max(c.virtualTime, next.start)
 	if ready != nil && !ready(next.workspace) {
 		if f := c.lowestTag(ready, next.start+ReadySlack.Seconds()); f != nil {
@@ -105,7 +108,8 @@
 	return w
 }
 
-// take removes the first waiter, or the newest while the first is late.
+// take removes the first waiter, or the newest if the first has waited for
+// lifoAfter.
 func (f *flow) take(now time.Time) *waiter {
 	at := 0
 	if now.Sub(f.waiters[0].arrived) >= lifoAfter {
@@ -116,12 +120,12 @@
 	return w
 }
 
-// first returns the flow with the lowest start tag below most, of those that are
-// ready if that matters, or nil.
-func (c *classQueue) lowestTag(ready func(workspace string) bool, most float64) *flow {
+// lowestTag returns the flow with the lowest start tag, or nil if none is at most
+// maxTag. If ready is not nil, only ready flows are considered.
+func (c *classQueue) lowestTag(ready func(workspace string) bool, maxTag float64) *flow {
 	var next *flow
 	for _, f := range c.active {
-		if f.start > most || next != nil && (f.start > next.start || f.start == next.start && f.workspace > next.workspace) {
+		if f.start > maxTag || next != nil && (f.start > next.start || f.start == next.start && f.workspace > next.workspace) {
 			continue
 		}
 		if ready == nil || ready(f.workspace) {
@@ -133,7 +137,7 @@
 
 func (c *classQueue) charge(r Request) time.Duration { return c.flows[r.Workspace].cost }
 
-// settle replaces the charged slot time by the time that was used.
+// settle replaces the estimated charge by the slot time that was used.
 func (c *classQueue) settle(r runningRequest, used time.Duration) {
 	f := c.flows[r.request.Workspace]
 	f.running--
@@ -144,7 +148,7 @@
 	f.cost += time.Duration(costGain * float64(used-f.cost))
 }
 
-// prune forgets idle flows that owe nothing.
+// prune removes idle flows whose finish tag is not ahead of the virtual time.
 func (c *classQueue) prune() {
 	if len(c.flows)-len(c.active) < maxIdleFlows {
 		return
@@ -156,8 +160,8 @@
 	}
 }
 
-// fair serves classes by precedence with floors and the cap for bulk, and the
-// workspaces of a class by weight.
+// fair serves classes by precedence, subject to the floors and the cap for bulk, and
+// the workspaces of a class by weight.
 type fair struct {
 	cfg     Config
 	classes map[note.Class]*classQueue
@@ -207,7 +211,8 @@
 	return nil
 }
 
-// mayStart reports whether the class has a waiter and a slot that it may use.
+// canStart reports whether the class has a waiter and there is a slot that it may
+// use.
 func (f *fair) canStart(class note.Class, l load) bool {
 	bulk := l.running[note.ClassBulk]
 	switch {
@@ -224,7 +229,7 @@
 
 // bulkSlots returns the number of bulk requests that may run at once. A single
 // slot is shared: a bulk request may run beside one of another class, which
-// would else wait for the whole of a long read.
+// would otherwise wait until a long read has ended.
 func (f *fair) bulkSlots(slots int) int {
 	if slots <= 1 {
 		return slots
--- a/internal/admit/fifo.go
+++ b/internal/admit/fifo.go
@@ -5,7 +5,7 @@
 	"time"
 )
 
-// fifo serves requests in the order of arrival.
+// fifo serves requests in order of arrival, without regard to class and workspace.
 type fifo struct {
 	waiters []*waiter
 }
--- a/internal/admit/floor.go
+++ b/internal/admit/floor.go
@@ -6,23 +6,24 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// maxCredit bounds the slot time that a floor saves up, per slot.
+// maxCredit bounds the slot time that a floor accumulates, per slot.
 const maxCredit = 100 * time.Millisecond
 
-// floor guarantees a class a share of slot time. While the class has waiters
-// it earns credit for its share of all slots; the slot time of its ended
-// requests is spent from the credit.
+// floor guarantees a class a minimum share of slot time. While the class has
+// waiters it accrues credit for its share of all slots. The slot time of its
+// completed requests is deducted from the credit.
 type floor struct {
 	class note.Class
 	share float64
-	// credit is in seconds of slot time; negative when the class had more.
+	// credit is in seconds of slot time, negative if the class used more than its
+	// share. It stays between -maxDebt and maxCredit per slot.
 	credit     float64
 	updated    time.Time
 	wasWaiting bool
 }
 
-// accrue adds the credit earned since the last call, and notes whether the
-// class waits from now on.
+// accrue adds the credit earned since the last call, and records whether the class
+// has waiters from now on. A class without waiters keeps no positive credit.
 func (f *floor) accrue(now time.Time, l load, waits bool) {
 	if f.wasWaiting && now.After(f.updated) {
 		earned := now.Sub(f.updated).Seconds() * f.share * float64(l.slots)
@@ -34,17 +35,17 @@
 	f.updated, f.wasWaiting = now, waits
 }
 
-// spend takes the slot time of an ended request from the credit. The debt is
-// bounded, so that one long request does not shut the class out for long.
+// spend deducts the slot time of a completed request from the credit. The debt is
+// bounded, so that one long request does not cost the class its floor for long.
 func (f *floor) spend(used time.Duration) {
 	f.credit = max(f.credit-used.Seconds(), -maxDebt.Seconds())
 }
 
-// maxDebt bounds the slot time that a class may owe to its floor.
+// maxDebt bounds the negative credit of a floor.
 const maxDebt = time.Second
 
-// due reports whether the floor entitles the class to the next free slot. A
-// class that already holds its share of the slots is not entitled to more.
+// entitled reports whether the floor entitles the class to the next free slot. A
+// class that already holds its share of the slots is not entitled to another.
 func (f *floor) entitled(l load) bool {
 	if f.share <= 0 || f.credit <= 0 {
 		return false
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -9,14 +9,15 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// load is the use of an endpoint's slots.
+// load is the current use of an endpoint's slots.
 type load struct {
 	slots   int
 	total   int
 	running map[note.Class]int
 }
 
-// Queue admits requests to the slots of one endpoint. It is not safe for
+// Queue admits requests to the slots of one endpoint. Each request gets exactly one
+// Start or Refuse unless it is cancelled while it waits. Queue is not safe for
 // concurrent use.
 type Queue struct {
 	cfg        Config
@@ -46,8 +47,8 @@
 	return q
 }
 
-// Arrive adds a request. It is started, queued or refused. An unknown class is
-// served as bulk.
+// Arrive adds a request, which is started, queued or refused. A request of an
+// unknown class is served as bulk.
 func (q *Queue) Arrive(now time.Time, r Request) []Effect {
 	q.expireDeadlines(now)
 	if r.Weight <= 0 {
@@ -67,7 +68,7 @@
 	return q.dispatch(now)
 }
 
-// Done frees the slot of a started request.
+// Done frees the slot of a started request. It ignores an unknown ID.
 func (q *Queue) Done(now time.Time, id uint64) []Effect {
 	q.expireDeadlines(now)
 	if r, ok := q.running[id]; ok {
@@ -78,8 +79,8 @@
 	return q.dispatch(now)
 }
 
-// Cancel takes a waiting request out of the queue without an effect for it. It
-// reports whether the request was still waiting.
+// Cancel removes a waiting request without an effect for it. It reports whether the
+// request was still waiting.
 func (q *Queue) Cancel(now time.Time, id uint64) (bool, []Effect) {
 	q.expireDeadlines(now)
 	w, ok := q.waiting[id]
@@ -90,14 +91,15 @@
 	return ok, q.dispatch(now)
 }
 
-// SetSlots changes the number of slots. Running requests are not affected.
+// SetSlots changes the number of slots. Running requests continue even if they are
+// more than that.
 func (q *Queue) SetSlots(now time.Time, slots int) []Effect {
 	q.expireDeadlines(now)
 	q.cfg.Slots = slots
 	return q.dispatch(now)
 }
 
-// Tick refuses the requests whose deadline has passed.
+// Tick refuses waiting requests whose deadline has passed.
 func (q *Queue) Tick(now time.Time) []Effect {
 	q.expireDeadlines(now)
 	return q.dispatch(now)
@@ -118,8 +120,8 @@
 // Running returns the number of requests that hold a slot.
 func (q *Queue) Running() int { return len(q.running) }
 
-// begin starts an event: deadlines that have passed come first, so that no
-// request starts after its deadline.
+// expireDeadlines clears the effects and refuses requests whose deadline has passed.
+// Each event starts with it, so that no request starts after its deadline.
 func (q *Queue) expireDeadlines(now time.Time) {
 	q.effects = nil
 	for len(q.deadlines) > 0 && !now.Before(q.deadlines[0].Deadline) {
@@ -144,7 +146,8 @@
 	q.discipline.push(w)
 }
 
-// forget drops the accounts of a waiter that the order no longer holds.
+// removeWaiter removes a waiter from all indexes. The discipline must no longer hold
+// it.
 func (q *Queue) removeWaiter(w *waiter) {
 	delete(q.waiting, w.ID)
 	q.queued[w.Workspace]--
@@ -156,7 +159,7 @@
 	}
 }
 
-// dispatch starts waiting requests while the order lets any start.
+// dispatch starts waiting requests until the discipline returns none.
 func (q *Queue) dispatch(now time.Time) []Effect {
 	for {
 		w := q.discipline.pop(now, load{slots: q.cfg.Slots, total: len(q.running), running: q.byClass})
--- a/internal/admit/queue_test.go
+++ b/internal/admit/queue_test.go
@@ -28,7 +28,7 @@
 	return ids
 }
 
-// checker follows the effects of a queue and holds them against its rules.
+// checker tracks the effects of a queue and checks its invariants.
 type checker struct {
 	t        *rapid.T
 	q        *Queue
@@ -44,7 +44,7 @@
 		case Start:
 			r, ok := c.waiting[ef.ID]
 			if !ok {
-				c.t.Fatalf("request %d started, but it does not wait", ef.ID)
+				c.t.Fatalf("request %d started, but was not waiting", ef.ID)
 			}
 			if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
 				c.t.Fatalf("request %d started after its deadline", ef.ID)
@@ -55,7 +55,7 @@
 		case Refuse:
 			r, ok := c.waiting[ef.ID]
 			if !ok {
-				c.t.Fatalf("request %d refused, but it does not wait", ef.ID)
+				c.t.Fatalf("request %d refused, but was not waiting", ef.ID)
 			}
 			if ef.Code == result.DeadlineInQueue && now.Before(r.Deadline) {
 				c.t.Fatalf("request %d refused before its deadline", ef.ID)
@@ -78,8 +78,8 @@
 	return bulk, others
 }
 
-// checkSlots holds the slots after the start of a request of the class. With
-// one slot, one bulk request and one other may run.
+// checkSlots checks the number of running requests after the start of a request of
+// the class. With one slot, one bulk request and one other may run.
 func (c *checker) checkSlots(class note.Class) {
 	bulk, others := c.counts()
 	switch {
@@ -92,9 +92,11 @@
 	}
 }
 
+// check checks the counts of the queue, the cap for bulk, and that no slot is free
+// while requests of the other classes wait.
 func (c *checker) check() {
 	if c.q.Waiting() != len(c.waiting) || c.q.Running() != len(c.running) {
-		c.t.Fatalf("queue counts %d and %d, want %d and %d", c.q.Waiting(), c.q.Running(), len(c.waiting), len(c.running))
+		c.t.Fatalf("queue reports %d waiting and %d running, want %d and %d", c.q.Waiting(), c.q.Running(), len(c.waiting), len(c.running))
 	}
 	bulk, running := c.counts()
 	if c.slots > 1 {
@@ -110,7 +112,7 @@
 		c.t.Fatalf("bulk holds %d slots of %d", bulk, c.maxSlots)
 	}
 	if others > 0 && running < c.slots {
-		c.t.Fatalf("%d requests wait beside free slots", others)
+		c.t.Fatalf("%d requests wait although slots are free", others)
 	}
 }
 
@@ -207,7 +209,7 @@
 
 func TestClassesAreServedByPrecedence(t *testing.T) {
 	q := New(DefaultConfig(2))
-	q.Arrive(epoch, req(9, "a", note.ClassInteractive)) // runs all the time
+	q.Arrive(epoch, req(9, "a", note.ClassInteractive)) // keeps running throughout
 	q.Arrive(epoch, req(1, "a", note.ClassInteractive))
 	q.Arrive(epoch, req(2, "b", note.ClassBulk))
 	q.Arrive(epoch, req(3, "c", note.ClassCorrection))
@@ -255,8 +257,8 @@
 	}
 }
 
-// saturate keeps the given number of requests of each source waiting and
-// returns the slot time that each source got.
+// runSaturated keeps 20 requests of each source in the queue and returns the slot
+// time that each source got.
 func runSaturated(cfg Config, total time.Duration, sources []source) []time.Duration {
 	q := New(cfg)
 	used := make([]time.Duration, len(sources))
@@ -340,8 +342,8 @@
 	}
 }
 
-// nextStarts ends requests of the given slot time one after the other in one
-// slot and returns the workspaces that were started.
+// nextStarts completes n requests of the given slot time one after the other in one
+// slot and returns the workspaces whose requests were started.
 func nextStarts(t *testing.T, q *Queue, now time.Time, running uint64, owner map[uint64]string, n int, service time.Duration) []string {
 	t.Helper()
 	var order []string
@@ -357,6 +359,8 @@
 	return order
 }
 
+// TestLongRequestIsChargedToLaterTurns guards against a workspace that escapes the
+// charge for a long request because none of its requests waits when it completes.
 func TestLongRequestIsChargedToLaterTurns(t *testing.T) {
 	q := New(DefaultConfig(1))
 	owner := map[uint64]string{1: "long"}
@@ -365,7 +369,8 @@
 		owner[id] = "short"
 		q.Arrive(epoch, req(id, "short", note.ClassInteractive))
 	}
-	// The long request ends after 100 ms; its workspace has none waiting then.
+	// The long request completes after 100 ms. Its workspace has no waiting request
+	// at that time.
 	now := epoch.Add(100 * time.Millisecond)
 	running := starts(q.Done(now, 1))[0]
 	owner[100] = "long"
@@ -376,6 +381,8 @@
 	}
 }
 
+// TestIdleWorkspaceAccruesNoCredit checks that a workspace that was idle only gets
+// its fair share afterwards.
 func TestIdleWorkspaceAccruesNoCredit(t *testing.T) {
 	q := New(DefaultConfig(1))
 	owner := map[uint64]string{}
@@ -409,8 +416,8 @@
 	}
 }
 
-// TestNewestServedFirstOnceOldestWaitsTooLong fills one slot and lets three
-// requests of one workspace wait.
+// TestNewestServedFirstOnceOldestWaitsTooLong has three requests of one workspace
+// wait for one slot, for less than lifoAfter and for lifoAfter.
 func TestNewestServedFirstOnceOldestWaitsTooLong(t *testing.T) {
 	for _, c := range []struct {
 		waited time.Duration
@@ -428,9 +435,9 @@
 	}
 }
 
-// TestReadyWorkspaceServedAheadWithinSlack keeps two workspaces waiting for one slot
-// and connection, which serves one workspace at a time: they take turns of several
-// requests, and both get their share.
+// TestReadyWorkspaceServedAheadWithinSlack has two workspaces compete for one slot
+// and one connection, which serves one workspace at a time. They must take turns of
+// several requests, and both must get their share.
 func TestReadyWorkspaceServedAheadWithinSlack(t *testing.T) {
 	const cost = 30 * time.Millisecond
 	now := time.Unix(100, 0)
@@ -466,6 +473,6 @@
 		t.Errorf("served %v", served)
 	}
 	if changes > 50 {
-		t.Errorf("%d changes of the workspace in 100 requests", changes)
+		t.Errorf("the workspace changed %d times in 100 requests", changes)
 	}
 }
--- a/internal/admit/sim_test.go
+++ b/internal/admit/sim_test.go
@@ -13,9 +13,9 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// The simulations below run a queue under open-loop load in simulated time.
-// They are simulations of the policy, not measurements of processes. Latency
-// counts from the arrival, so waiting is not hidden by a slow server.
+// The simulations below run a queue under open-loop load in simulated time. They
+// simulate the policy and do not measure processes. Latency is counted from arrival,
+// so that a slow server does not hide the wait (coordinated omission).
 
 // stream is the load of one workspace.
 type stream struct {
@@ -27,7 +27,7 @@
 	service time.Duration
 }
 
-// outcome is what became of the requests of one stream.
+// outcome holds the results of the requests of one stream.
 type outcome struct {
 	arrived int
 	served  int
@@ -148,8 +148,8 @@
 	}
 }
 
-// crowd is eight workspaces at 70% of the capacity of 1,000 requests a second,
-// of which the first sends factor times its rate.
+// eightWorkspaces returns the streams of eight workspaces at 70% of the capacity of
+// 1,000 requests per second. The first sends factor times its rate.
 func eightWorkspaces(factor float64) []stream {
 	var streams []stream
 	for i := range 8 {
@@ -162,7 +162,8 @@
 	return streams
 }
 
-// worst returns the least share and the greatest p99 of all but the first.
+// worstOfOthers returns the lowest share and the highest p99 of all but the first
+// stream.
 func worstOfOthers(outcomes []outcome) (float64, time.Duration) {
 	rest := outcomes[1:]
 	share := slices.MinFunc(rest, func(a, b outcome) int { return cmp.Compare(a.share(), b.share()) })
@@ -190,7 +191,7 @@
 func TestSimulatedInteractiveBesideBulk(t *testing.T) {
 	var table strings.Builder
 	for _, slots := range []int{simSlots, 1} {
-		// The crew asks for 20% of the slots, the audit for 160%.
+		// The crew needs 20% of the slots, the audit 160%.
 		crew := stream{"crew", note.ClassInteractive, 40 * float64(slots), 5 * time.Millisecond}
 		audit := stream{"audit", note.ClassBulk, 8 * float64(slots), 200 * time.Millisecond}
 		alone := simulate(PolicyFair, 2, slots, []stream{crew})[0].p99()
--- a/internal/admit/types.go
+++ b/internal/admit/types.go
@@ -1,7 +1,7 @@
-// Package admit decides which waiting request gets the next free slot of an
-// endpoint. Each endpoint has one Queue: a deterministic state machine that
-// takes events with the current time and returns effects. The package performs
-// no I/O and reads no clock.
+// Package admit implements admission control: it decides which waiting request gets
+// the next free slot of an endpoint. Each endpoint has one Queue, a deterministic
+// state machine that takes events with the current time and returns effects. The
+// package performs no I/O and reads no clock.
 package admit
 
 import (
@@ -11,15 +11,14 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Policy names an order of service.
+// Policy is the name of a queueing discipline.
 type Policy string
 
 // Policies.
 const (
 	// PolicyFair serves classes by precedence and workspaces by weight.
 	PolicyFair Policy = "fair"
-	// PolicyFIFO serves requests in the order of arrival. It is a baseline for
-	// comparison.
+	// PolicyFIFO serves requests in order of arrival. It is a baseline for comparison.
 	PolicyFIFO Policy = "fifo"
 )
 
@@ -34,27 +33,27 @@
 // Config holds the settings of a Queue.
 type Config struct {
 	Policy Policy
-	// Slots is the number of requests that the endpoint runs at once.
+	// Slots is the number of requests that may run on the endpoint at once.
 	Slots int
 	// QueueLimit is the number of requests of one workspace that may wait.
 	QueueLimit int
-	// CorrectionFloor and BulkFloor are the shares of slot time that a class
-	// gets over time while its requests wait, whatever higher classes ask for.
+	// CorrectionFloor and BulkFloor are the minimum shares of slot time that a class
+	// gets over time while its requests wait, whatever the load of higher classes.
 	CorrectionFloor float64
 	BulkFloor       float64
-	// BulkCap is the share of the slots that bulk requests may hold at once.
-	// With more than one slot, one is always left to the other classes. With
-	// one slot, a bulk request may run beside one of another class.
+	// BulkCap is the maximum share of the slots that bulk requests may hold at once.
+	// With more than one slot, one is always left to the other classes. With one
+	// slot, a bulk request may run beside one of another class.
 	BulkCap float64
-	// Ready reports whether a request of a workspace can start without delay, as
-	// when a connection of the workspace is free; nil: all can. Within ReadySlack
-	// such workspaces go first.
+	// Ready reports whether a request of a workspace can start without delay, for
+	// example because a connection of the workspace is idle. Within ReadySlack such
+	// workspaces are served first. If nil, all workspaces are ready.
 	Ready func(workspace string) bool
 }
 
 // ReadySlack is the slot time by which a workspace may be served ahead of its fair
-// share because it is ready. It is a few statements: opening a connection takes
-// the endpoint the slot time of a third of one.
+// share because it is ready. It is the slot time of a few statements; opening a
+// connection costs the endpoint the slot time of a third of a statement.
 const ReadySlack = 100 * time.Millisecond
 
 // DefaultConfig returns a fair queue for the given number of slots.
@@ -84,10 +83,10 @@
 // Effect is an output of a Queue.
 type Effect interface{ isEffect() }
 
-// Start lets a request run. The caller reports its end with Done.
+// Start starts a request. The caller reports its completion with Done.
 type Start struct{ ID uint64 }
 
-// Refuse ends the wait of a request that was not run.
+// Refuse refuses a request, which was not run.
 type Refuse struct {
 	ID uint64
 	// Code is DeadlineInQueue or QueueFull.
@@ -104,29 +103,30 @@
 	heapIndex int
 }
 
-// lateAfter is how long the first request of a workspace may wait while the order
-// of arrival holds. A workspace with a longer queue gets more requests than it can
-// have served: then the newest go first, which are served in time, and the oldest
-// are refused at their deadline.
+// lifoAfter is the wait of a workspace's oldest request from which on its newest
+// request is served first. A workspace with a longer wait gets more requests than
+// can be served: the newest are then served in time, and the oldest are refused at
+// their deadline.
 const lifoAfter = 100 * time.Millisecond
 
-// runner is a request that holds a slot.
+// runningRequest is a request that holds a slot.
 type runningRequest struct {
 	request Request
 	since   time.Time
-	// estimate is the slot time that was charged to the workspace on start.
+	// estimate is the slot time charged to the workspace at the start.
 	estimate time.Duration
 }
 
-// order decides which waiter is next. An implementation holds the waiters.
+// discipline is a queueing discipline: it holds the waiters and decides which one
+// starts next.
 type discipline interface {
 	push(w *waiter)
-	// remove takes a waiter out that is served no more.
+	// remove removes a waiter that was refused or cancelled.
 	remove(w *waiter)
-	// pop takes out the next waiter that may start, or returns nil.
+	// pop removes and returns the next waiter that may start, or nil.
 	pop(now time.Time, load load) *waiter
-	// charge returns the slot time to charge to a workspace for a request.
+	// charge returns the estimated slot time to charge a workspace for a request.
 	charge(r Request) time.Duration
-	// settle corrects the charge once the request has ended.
+	// settle corrects the charge once the request has completed.
 	settle(r runningRequest, used time.Duration)
 }
--- a/internal/pacing/baseline.go
+++ b/internal/pacing/baseline.go
@@ -3,17 +3,18 @@
 import "time"
 
 const (
-	// batch is the number of statements whose mean is compared with the usual time:
-	// with times that vary by 70% the mean varies by 18%.
+	// batchSize is the number of statements whose mean latency is compared with the
+	// baseline. If the latency of single statements varies by 70%, the mean varies by
+	// 18%.
 	batchSize = 16
-	// rise is how far the usual time follows a slower batch. It is small, so that a
-	// queue at an endpoint does not become usual while it lasts.
+	// riseGain is the gain of the moving average for a slower batch. It is small, so
+	// that a lasting queue at the endpoint does not become part of the baseline.
 	riseGain = 0.05
-	// fall is how far it follows a faster one.
+	// fallGain is the gain for a faster batch.
 	fallGain = 0.5
 )
 
-// Baseline keeps the usual times of statements by kind. It is not safe for
+// Baseline tracks the normal latency of statements by kind. It is not safe for
 // concurrent use.
 type Baseline struct {
 	kinds map[string]*kindBaseline
@@ -26,12 +27,12 @@
 	count    int
 }
 
-// NewBaseline returns a Baseline without any kind.
+// NewBaseline returns an empty Baseline.
 func NewBaseline() *Baseline { return &Baseline{kinds: make(map[string]*kindBaseline)} }
 
-// Excess notes the time of a statement of a kind and returns by how much it is
-// above the usual. It may be negative, and is zero while the usual time is not
-// known.
+// Excess records the latency of a statement and returns by how much it is above the
+// baseline of its kind. The result may be negative, and is zero until the first
+// batch of the kind is complete.
 func (u *Baseline) Excess(kind string, took time.Duration) time.Duration {
 	k := u.kinds[kind]
 	if k == nil {
--- a/internal/pacing/pacing.go
+++ b/internal/pacing/pacing.go
@@ -1,37 +1,39 @@
-// Package pacing bounds how many statements a host has in progress at an
-// endpoint at once. The hosts of a fleet do not know each other's load; each
-// sees it in the time that its own statements take. While they take much longer
-// than usual, the endpoint has a queue, in which nothing can be put first or given
-// up: the host then lets fewer statements go there at once, and the others wait in
-// its own queue. The package performs no I/O and reads no clock.
+// Package pacing limits how many statements a host has in progress at an endpoint
+// at once (adaptive concurrency limit). The hosts of a fleet have no information
+// about each other's load; each infers it from the latency of its own statements.
+// If that is far above the baseline, statements queue at the endpoint, where they
+// can be neither prioritized nor withdrawn. The host then sends fewer statements at
+// once, and the others wait in its own queue. The package performs no I/O and reads
+// no clock.
 package pacing
 
 import "time"
 
 // Config holds the settings of a Limit.
 type Config struct {
-	// High and Low bound the mean time beyond the usual that statements spend at
-	// the endpoint: above High fewer are let go, below Low one more.
+	// High and Low are bounds of the mean excess latency, the time above the baseline.
+	// Above High the limit is reduced by a factor, below Low it is raised by one.
 	High time.Duration
 	Low  time.Duration
-	// Samples and Interval are the least number of statements and the least time
-	// between two changes.
+	// Samples and Interval are the minimum number of statements and the minimum time
+	// between two changes of the limit.
 	Samples  int
 	Interval time.Duration
 }
 
-// DefaultConfig returns bounds for statements of some 10 to 100 ms whose callers
-// expect an answer within 200 ms: a queue of one or two statements is left to the
-// endpoint, so that its slots never fall idle.
+// DefaultConfig returns settings for statements of about 10 to 100 ms whose callers
+// expect a reply within 200 ms. They leave a queue of one or two statements at the
+// endpoint, so that its slots are never idle.
 func DefaultConfig() Config {
 	return Config{High: 50 * time.Millisecond, Low: 20 * time.Millisecond, Samples: 8, Interval: 100 * time.Millisecond}
 }
 
-// decrease is the part of the limit that is left by a reduction.
+// decreaseFactor is the factor by which the limit is multiplied in a reduction.
 const decreaseFactor = 0.75
 
-// Limit is the number of statements in progress at one endpoint. It is not safe
-// for concurrent use. The zero value with a Config has no bound yet.
+// Limit bounds the number of statements in progress at one endpoint. There is no
+// bound until the excess latency first exceeds Config.High, and none again once the
+// limit has risen to the host's maximum. It is not safe for concurrent use.
 type Limit struct {
 	cfg       Config
 	bounded   bool
@@ -44,18 +46,18 @@
 // NewLimit returns a Limit without a bound.
 func NewLimit(cfg Config) *Limit { return &Limit{cfg: cfg} }
 
-// Allowed returns how many statements may be in progress, of most that the host
-// may have for other reasons. It is at least one if most is.
-func (l *Limit) Allowed(most int) int {
-	if !l.bounded || int(l.limit) >= most {
-		return most
+// Allowed returns how many statements may be in progress, given the maximum that
+// other limits of the host allow. It is at least one if the maximum is.
+func (l *Limit) Allowed(maximum int) int {
+	if !l.bounded || int(l.limit) >= maximum {
+		return maximum
 	}
-	return min(max(int(l.limit), 1), most)
+	return min(max(int(l.limit), 1), maximum)
 }
 
-// Observe notes by how much a statement took longer than usual, of most that may
-// be in progress.
-func (l *Limit) Observe(now time.Time, excess time.Duration, most int) {
+// Observe records the excess latency of a completed statement and adjusts the limit.
+// The maximum is the same as for Allowed.
+func (l *Limit) Observe(now time.Time, excess time.Duration, maximum int) {
 	l.sum += excess
 	l.count++
 	if l.count < l.cfg.Samples || now.Sub(l.changedAt) < l.cfg.Interval {
@@ -65,10 +67,10 @@
 	l.sum, l.count, l.changedAt = 0, 0, now
 	switch {
 	case mean > l.cfg.High:
-		l.limit = max(1, float64(l.Allowed(most))*decreaseFactor)
+		l.limit = max(1, float64(l.Allowed(maximum))*decreaseFactor)
 		l.bounded = true
 	case mean < l.cfg.Low && l.bounded:
 		l.limit++
-		l.bounded = int(l.limit) < most
+		l.bounded = int(l.limit) < maximum
 	}
 }
--- a/internal/pacing/sim_test.go
+++ b/internal/pacing/sim_test.go
@@ -9,7 +9,7 @@
 	"time"
 )
 
-// sim runs hosts before one endpoint with slots and a queue in order of arrival.
+// sim simulates hosts in front of one endpoint that has slots and a FIFO queue.
 type sim struct {
 	rng    *rand.Rand
 	now    time.Duration
@@ -22,7 +22,7 @@
 	hosts         []*simHost
 	maxInProgress int
 
-	// atEndpoint and atHost are the times that statements waited in the queues.
+	// atEndpoint and atHost are the total times that statements waited in the queues.
 	atEndpoint, atHost time.Duration
 	served             int
 	busy               time.Duration
@@ -63,7 +63,7 @@
 	for _, r := range rates {
 		h := &simHost{rate: load * simSlots / simWork.Seconds() * r / total, limit: NewLimit(DefaultConfig()), baseline: NewBaseline()}
 		s.hosts = append(s.hosts, h)
-		for range 2 * batchSize { // usual times from before
+		for range 2 * batchSize { // initial baseline
 			h.baseline.Excess("read", s.draw())
 		}
 		s.arrive(h)
@@ -80,7 +80,7 @@
 	s.events = slices.Insert(s.events, i, e)
 }
 
-// draw returns a log-normal time with a spread of 0.7.
+// draw returns a log-normal service time with a sigma of 0.7.
 func (s *sim) draw() time.Duration {
 	return time.Duration(float64(simWork) * math.Exp(0.7*s.rng.NormFloat64()-0.245))
 }
@@ -89,13 +89,14 @@
 	s.after(time.Duration(s.rng.ExpFloat64()/h.rate*float64(time.Second)), func() {
 		h.waiting = append(h.waiting, s.now)
 		if len(h.waiting) > 50 {
-			h.waiting = h.waiting[1:] // gives up
+			h.waiting = h.waiting[1:] // the oldest is withdrawn
 		}
 		s.pump(h)
 		s.arrive(h)
 	})
 }
 
+// pump sends waiting statements of a host up to its limit.
 func (s *sim) pump(h *simHost) {
 	for len(h.waiting) > 0 && h.running < h.limit.Allowed(s.maxInProgress) {
 		s.atHost += s.now - h.waiting[0]
@@ -106,6 +107,7 @@
 	s.start()
 }
 
+// start starts queued statements while the endpoint has free slots.
 func (s *sim) start() {
 	for len(s.queue) > 0 && s.running < s.slots {
 		j := s.queue[0]
@@ -134,10 +136,11 @@
 	}
 }
 
-// uneven are the shares of nine hosts' load.
+// unevenRates are the relative loads of nine hosts.
 var unevenRates = []float64{1, 1, 2, 3, 1, 2, 1, 4, 2}
 
-// TestLimitOverloadQueuesAtHosts offers half as much again as the endpoint can run.
+// TestLimitOverloadQueuesAtHosts applies 1.5 times the load that the endpoint can
+// serve. It guards against a queue at the endpoint and against idle slots.
 func TestLimitOverloadQueuesAtHosts(t *testing.T) {
 	const length = 20 * time.Second
 	for seed := range uint64(5) {
@@ -146,23 +149,25 @@
 		wait := s.atEndpoint / time.Duration(s.served)
 		used := s.busy.Seconds() / (simSlots * length.Seconds())
 		if wait > 2*DefaultConfig().High || used < 0.95 {
-			t.Errorf("seed %d: %v in the endpoint's queue, %.2f of its slots used", seed, wait, used)
+			t.Errorf("seed %d: mean wait in the endpoint's queue %v, %.2f of its slots used", seed, wait, used)
 		}
 	}
 }
 
-// TestLimitNormalLoadDoesNotWait offers 0.7 of what the endpoint can run.
+// TestLimitNormalLoadDoesNotWait applies 0.7 of the load that the endpoint can serve.
+// It guards against a limit that delays statements without need.
 func TestLimitNormalLoadDoesNotWait(t *testing.T) {
 	for seed := range uint64(5) {
 		s := newSim(seed, 0.7, unevenRates)
 		s.run(20 * time.Second)
 		if wait := s.atHost / time.Duration(s.served); wait > 20*time.Millisecond {
-			t.Errorf("seed %d: %v in the queues of the hosts", seed, wait)
+			t.Errorf("seed %d: mean wait in the hosts' queues %v", seed, wait)
 		}
 	}
 }
 
-// TestLimitBoundLiftedAfterOverload brings the load back to the usual.
+// TestLimitBoundLiftedAfterOverload reduces the load from 1.5 to 0.5 of what the
+// endpoint can serve. It guards against a limit that stays low after an overload.
 func TestLimitBoundLiftedAfterOverload(t *testing.T) {
 	s := newSim(1, 1.5, unevenRates)
 	s.run(10 * time.Second)
@@ -172,7 +177,7 @@
 	s.run(25 * time.Second)
 	for i, h := range s.hosts {
 		if n := h.limit.Allowed(s.maxInProgress); n < s.maxInProgress/2 {
-			t.Errorf("host %d may still have only %d in progress", i, n)
+			t.Errorf("host %d is still limited to %d statements in progress", i, n)
 		}
 	}
 }
