--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -245,8 +245,8 @@
 	for _, e := range s.used() {
 		u := limits.Usage{
 			Service: e.record.Service, Endpoint: e.record.ID,
-			Connections: e.pool.Stats().Open, ConnectionDemand: e.pool.TakePeak(),
-			NoSlotLease: true,
+			Connections: e.pool.Stats().Open, WantedConnections: e.pool.TakePeak(),
+			OwnSlots: true,
 		}
 		all = append(all, u)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -115,7 +115,7 @@
 func (d *Daemon) shares() limits.Config {
 	cfg := limits.DefaultConfig()
 	cfg.Lease = timing()
-	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
+	cfg.FloorConnections, cfg.Probes, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
 	cfg.Tolerance = d.opts.Tolerance
 	return cfg
 }
--- a/internal/limits/floor_test.go
+++ b/internal/limits/floor_test.go
@@ -12,7 +12,7 @@
 
 func floorConfig() Config {
 	cfg := DefaultConfig()
-	cfg.FloorConnections, cfg.ProbeConnections, cfg.RateFloor = 1, 2, 0.1
+	cfg.FloorConnections, cfg.Probes, cfg.RateFloor = 1, 2, 0.1
 	return cfg
 }
 
--- a/internal/limits/holder.go
+++ b/internal/limits/holder.go
@@ -18,17 +18,17 @@
 type Usage struct {
 	Service  string
 	Endpoint string
-	// Connections is the number of open connections. ConnectionDemand is the maximum
+	// Connections is the number of open connections. WantedConnections is the maximum
 	// that was checked out or requested at once since the last report.
-	Connections      int
-	ConnectionDemand int
-	// Slots is the number of slots in use. SlotDemand is the maximum that was in use
+	Connections       int
+	WantedConnections int
+	// Slots is the number of slots in use. WantedSlots is the maximum that was in use
 	// or requested at once.
-	Slots      int
-	SlotDemand int
-	// NoSlotLease is set if the host needs no leased slots because the endpoint has a
+	Slots       int
+	WantedSlots int
+	// OwnSlots is set if the host needs no leased slots because the endpoint has a
 	// queue of its own.
-	NoSlotLease bool
+	OwnSlots bool
 }
 
 // Pool is the consumer of connections and slots on an entry host.
@@ -179,9 +179,9 @@
 	h.applyState(state)
 	for _, u := range usage {
 		floor := h.connectionFloors[u.Service]
-		h.quota.ReportUsage(now, connectionKey(u.Endpoint), float64(max(u.Connections-floor, 0)), float64(max(u.ConnectionDemand-floor, 0)))
-		if !u.NoSlotLease {
-			h.quota.ReportUsage(now, slotKey(u.Endpoint), float64(u.Slots), float64(u.SlotDemand))
+		h.quota.ReportUsage(now, connectionKey(u.Endpoint), float64(max(u.Connections-floor, 0)), float64(max(u.WantedConnections-floor, 0)))
+		if !u.OwnSlots {
+			h.quota.ReportUsage(now, slotKey(u.Endpoint), float64(u.Slots), float64(u.WantedSlots))
 		}
 	}
 	batches := h.quota.Requests(now)
--- a/internal/limits/keys.go
+++ b/internal/limits/keys.go
@@ -31,7 +31,7 @@
 // quotaConfig derives the quota settings from the configuration lease under which
 // owners act.
 func quotaConfig(cfg lease.Config) quota.Config {
-	return quota.Config{OwnerLease: cfg.Duration, Drift: cfg.Drift}
+	return quota.Config{Authority: cfg.Duration, Drift: cfg.Drift}
 }
 
 // limitsOf returns every limit that the agreed state sets.
@@ -62,10 +62,10 @@
 	// host may open without a lease, so that a request on an idle host need not wait
 	// for one.
 	FloorConnections int
-	// ProbeConnections is the number of an endpoint's connections reserved for probes.
+	// Probes is the number of an endpoint's connections reserved for probes.
 	// A negative value reserves one for each watching failure domain and one for the
 	// control leader.
-	ProbeConnections int
+	Probes int
 	// Headroom is the number of connections per entry host that are left unused.
 	// After a power loss an endpoint still counts the connections of the lost
 	// processes for some seconds, while the restarted hosts need new ones.
@@ -102,7 +102,7 @@
 // DefaultConfig returns the settings for endpoints that are probed by watchers: an
 // entry host has one connection for its monitor and one for requests.
 func DefaultConfig() Config {
-	return Config{Lease: lease.DefaultConfig(), FloorConnections: 2, ProbeConnections: -1}
+	return Config{Lease: lease.DefaultConfig(), FloorConnections: 2, Probes: -1}
 }
 
 // floorSlots is the number of statements that a host without a lease may run at
@@ -134,7 +134,7 @@
 // hosts may use. The others are reserved for probes, and for headroom if enough
 // connections for the floors remain.
 func (f fleetSize) availableConnections(connections int) int {
-	probes := f.cfg.ProbeConnections
+	probes := f.cfg.Probes
 	if probes < 0 {
 		probes = min(f.domains, failover.MaxWatcherDomains) + 1
 	}
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -271,13 +271,13 @@
 // connections wherever the endpoint has enough for the floors and the headroom.
 func TestHeadroomLeftWhenConnectionsSuffice(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom = 1, 2, 1
+	cfg.FloorConnections, cfg.Probes, cfg.Headroom = 1, 2, 1
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: cfg, entryHosts: hosts, domains: min(hosts, 4)}
 			used := size.connectionFloor(connections)*hosts + size.leasedConnections(connections)
-			left := max(connections-cfg.ProbeConnections, 1) - used
-			if left < 0 || left == 0 && connections-cfg.ProbeConnections >= 2*hosts {
+			left := max(connections-cfg.Probes, 1) - used
+			if left < 0 || left == 0 && connections-cfg.Probes >= 2*hosts {
 				t.Errorf("%d connections, %d hosts: %d left", connections, hosts, left)
 			}
 		}
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -100,7 +100,7 @@
 	if r.request.Host != r.from.Host || r.request.Incarnation != r.from.Incarnation {
 		return // a host may request shares only for itself
 	}
-	o.quota.SetOwnerLease(o.view.Current().ValidUntil)
+	o.quota.SetAuthority(o.view.Current().ValidUntil)
 	reply := o.quota.Handle(now, r.request)
 	if err := o.peers.Send(r.from.Host, r.from.Addr, peer.KindQuotaOK, reply); err != nil {
 		o.log.Debug("quota_reply_failed", "peer", r.from.Host, "err", err.Error())
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -79,7 +79,7 @@
 			h.quota.Withdraw(key, 1)
 			return nil, nil
 		}
-		q = &queue{overloaded: decision.Overloaded, nextToken: now.Add(min(decision.Wait, floor.maxWait()))}
+		q = &queue{overloaded: decision.Over, nextToken: now.Add(min(decision.Wait, floor.maxWait()))}
 		h.queues[workspace] = q
 	}
 	deadline := now.Add(idleWait)
@@ -185,7 +185,7 @@
 	floor := h.rateFloors[workspace]
 	for len(q.waiters) > 0 {
 		decision := h.quota.Take(now, rateKey(workspace), 1)
-		q.overloaded = decision.Overloaded
+		q.overloaded = decision.Over
 		if !decision.Granted {
 			if !floor.take(now) {
 				wait := min(decision.Wait, floor.maxWait())
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -174,7 +174,7 @@
 	f.now += d
 	for _, c := range f.controls {
 		if c.epoch == f.epoch && !c.isolated {
-			c.owner.SetOwnerLease(c.clock(f.now).Add(f.cfg.OwnerLease))
+			c.owner.SetAuthority(c.clock(f.now).Add(f.cfg.Authority))
 		}
 		c.owner.Tick(c.clock(f.now))
 	}
--- a/internal/quota/held.go
+++ b/internal/quota/held.go
@@ -102,7 +102,7 @@
 
 // requested records that the key was included in a request sent now.
 func (k *heldKey) requested(now time.Time, cfg Config) {
-	renew := cfg.RenewInterval
+	renew := cfg.Renew
 	if k.lowDemand && k.valid(now) {
 		renew = cfg.Lease / 2
 	}
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -57,9 +57,9 @@
 	// which to retry.
 	Granted bool
 	Wait    time.Duration
-	// Overloaded is set if the demand of all hosts exceeds the limit: a request
+	// Over is set if the demand of all hosts exceeds the limit: a request
 	// that cannot wait may then be refused because of its workspace's own load.
-	Overloaded bool
+	Over bool
 }
 
 // NewHolder returns the holder of an entry host.
@@ -114,14 +114,14 @@
 	switch {
 	case !k.valid(now):
 		k.needsMore = true
-		return Decision{Wait: requestInterval, Overloaded: k.overloaded}
+		return Decision{Wait: requestInterval, Over: k.overloaded}
 	case k.isUnits && k.inUse+n <= k.bucket.share.Burst:
 		k.inUse += n
 		k.backlog = max(0, k.backlog-n)
 		return Decision{Granted: true}
 	case k.isUnits:
 		k.needsMore = true
-		return Decision{Wait: requestInterval, Overloaded: k.overloaded}
+		return Decision{Wait: requestInterval, Over: k.overloaded}
 	case k.bucket.level >= n:
 		k.bucket.level -= n
 		h.quietSince = now
@@ -129,7 +129,7 @@
 		return Decision{Granted: true}
 	}
 	k.needsMore = true
-	return Decision{Wait: k.waitTime(n), Overloaded: k.overloaded}
+	return Decision{Wait: k.waitTime(n), Over: k.overloaded}
 }
 
 // Release gives back n units that were taken by Take.
@@ -257,7 +257,7 @@
 // isIdle reports whether a share should be released. The holder then drops the
 // key. Once the key is in use again, only replies to later requests are applied.
 func (h *Holder) isIdle(now time.Time, k *heldKey) bool {
-	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.IdleTimeout
+	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.Idle
 }
 
 // batcher collects key requests into one request per owner.
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -17,12 +17,12 @@
 	owners      []string
 	// ownedSince is when this process last took over keys: its start or the latest
 	// change of the epoch.
-	ownedSince  time.Time
-	leaseEnd    time.Time
-	limits      map[string]Limit
-	neverLeased map[string]bool // limits without any former lease
-	keys        map[string]*ownedKey
-	lastID      uint64
+	ownedSince   time.Time
+	authorityEnd time.Time
+	limits       map[string]Limit
+	neverLeased  map[string]bool // limits without any former lease
+	keys         map[string]*ownedKey
+	lastID       uint64
 	// holders are the processes that may hold leases. reported are those that have
 	// reported all their leases to this owner in this epoch; leasesKnown is set once
 	// all holders have.
@@ -64,9 +64,9 @@
 	}
 }
 
-// SetOwnerLease sets the time until which the host may act as owner: the end of
+// SetAuthority sets the time until which the host may act as owner: the end of
 // its configuration lease.
-func (o *Owner) SetOwnerLease(until time.Time) { o.leaseEnd = until }
+func (o *Owner) SetAuthority(until time.Time) { o.authorityEnd = until }
 
 // SetLimit sets the limit of a key. If fresh is set, no lease of the key can exist
 // because the key is new in the fleet; its whole burst is then available at once.
@@ -141,7 +141,7 @@
 		HolderIncarnation: req.Incarnation, Seq: req.Seq,
 		LeaseMS: uint32(o.cfg.Lease.Milliseconds()),
 	}
-	if req.Epoch != o.epoch || req.OwnerIncarnation != o.incarnation || !now.Before(o.leaseEnd) {
+	if req.Epoch != o.epoch || req.OwnerIncarnation != o.incarnation || !now.Before(o.authorityEnd) {
 		return reply
 	}
 	if reply.Complete = req.Complete; reply.Complete {
@@ -192,7 +192,7 @@
 	if !known || rendezvous.Owner(o.owners, key) != o.host {
 		return nil
 	}
-	quarantineEnd := o.ownedSince.Add(o.cfg.addDrift(o.cfg.OwnerLease + o.cfg.Lease))
+	quarantineEnd := o.ownedSince.Add(o.cfg.addDrift(o.cfg.Authority + o.cfg.Lease))
 	if o.neverLeased[key] || o.leasesKnown {
 		quarantineEnd = o.ownedSince
 	}
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -214,7 +214,7 @@
 	if used := float64(l.served) / (200 * 60); used < 0.9 || f.violation() != "" {
 		t.Fatalf("used %.2f of the rate, violation %q", used, f.violation())
 	}
-	if !f.entries[0].holder.Take(f.entries[0].clock(f.now), "workspace/a", 1000).Overloaded {
+	if !f.entries[0].holder.Take(f.entries[0].clock(f.now), "workspace/a", 1000).Over {
 		t.Fatal("overload of the workspace is not reported")
 	}
 }
@@ -236,7 +236,7 @@
 			f.step(50 * time.Millisecond)
 			for _, e := range f.entries {
 				e.waiting = slices.DeleteFunc(e.waiting, func(key string) bool { return f.retry(e, key) })
-				over = over || e.holder.Take(e.clock(f.now), "k", 1000).Overloaded
+				over = over || e.holder.Take(e.clock(f.now), "k", 1000).Over
 			}
 		}
 		return over
--- a/internal/quota/takeover_test.go
+++ b/internal/quota/takeover_test.go
@@ -31,7 +31,7 @@
 	f.changeOwners(remaining)
 	f.propagateEpoch()
 	granted := 0
-	for range 40 { // two seconds, less than the owner lease alone
+	for range 40 { // two seconds, less than Config.Authority alone
 		f.step(50 * time.Millisecond)
 		f.take(f.entries[1], "k") // had no share under the former owner
 	}
@@ -132,7 +132,7 @@
 	o := NewOwner(Config{}, "c", 1, now)
 	o.SetEpoch(now, 1, []string{"c"})
 	o.SetHolders(now, []HolderID{{"h", 1}})
-	o.SetOwnerLease(now.Add(time.Minute))
+	o.SetAuthority(now.Add(time.Minute))
 	o.SetLimit(now, "k", Limit{Rate: 10, Burst: 10}, false)
 	o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, OwnerIncarnation: 1, Seq: 1, Complete: true})
 	o.SetHolders(now, []HolderID{{"h", 2}})
--- a/internal/quota/types.go
+++ b/internal/quota/types.go
@@ -7,12 +7,12 @@
 
 // Defaults of Config.
 const (
-	DefaultLease      = 8 * time.Second
-	DefaultOwnerLease = 3 * time.Second
-	// DefaultRenewInterval bounds how long a new holder of a contended key waits
+	DefaultLease     = 8 * time.Second
+	DefaultAuthority = 3 * time.Second
+	// DefaultRenew bounds how long a new holder of a contended key waits
 	// until the other holders' shares shrink.
-	DefaultRenewInterval = time.Second
-	DefaultIdleTimeout   = 2 * time.Second
+	DefaultRenew = time.Second
+	DefaultIdle  = 2 * time.Second
 	// DefaultDrift is the maximum relative difference between the clock rates
 	// of two hosts.
 	DefaultDrift = 0.001
@@ -23,22 +23,22 @@
 type Config struct {
 	// Lease is how long a holder may use a share after its request was sent.
 	Lease time.Duration
-	// OwnerLease is how long a control host that has been replaced may still act
+	// Authority is how long a control host that has been replaced may still act
 	// as owner before it notices: the duration of a configuration lease.
-	OwnerLease time.Duration
-	// RenewInterval is the interval between requests for a key with steady demand.
+	Authority time.Duration
+	// Renew is the interval between requests for a key with steady demand.
 	// For a key with low demand (Grant.LowDemand) it is half the lease.
-	RenewInterval time.Duration
-	// IdleTimeout is the time without demand after which a holder releases a share.
-	IdleTimeout time.Duration
-	Drift       float64
+	Renew time.Duration
+	// Idle is the time without demand after which a holder releases a share.
+	Idle  time.Duration
+	Drift float64
 }
 
 func (c Config) withDefaults() Config {
 	c.Lease = cmp.Or(c.Lease, DefaultLease)
-	c.OwnerLease = cmp.Or(c.OwnerLease, DefaultOwnerLease)
-	c.RenewInterval = cmp.Or(c.RenewInterval, DefaultRenewInterval)
-	c.IdleTimeout = cmp.Or(c.IdleTimeout, DefaultIdleTimeout)
+	c.Authority = cmp.Or(c.Authority, DefaultAuthority)
+	c.Renew = cmp.Or(c.Renew, DefaultRenew)
+	c.Idle = cmp.Or(c.Idle, DefaultIdle)
 	c.Drift = cmp.Or(c.Drift, DefaultDrift)
 	return c
 }
