--- a/internal/quota/held.go
+++ b/internal/quota/held.go
@@ -37,10 +37,10 @@
 	overloaded bool
 	lowDemand  bool
 
-	offered        float64 // since measured
-	backlog        float64 // of requests that wait
+	offered        float64 // since measuredAt
+	backlog        float64 // tokens or units of waiting requests
 	measuredAt     time.Time
-	arrivalRate    float64 // per second
+	arrivalRate    float64 // tokens per second
 	demand         float64
 	reportedDemand float64 // demand in the latest request
 	lastUse        time.Time
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -33,7 +33,7 @@
 type leaseReport struct {
 	// incarnation is the owner's, zero while unknown.
 	incarnation uint64
-	seq         uint64 // of the last request that named all
+	seq         uint64 // of the latest request that listed all leases
 	confirmed   bool
 	nextAttempt time.Time
 }
@@ -45,7 +45,7 @@
 // leaseReportInterval is the retry interval of the report of all leases.
 const leaseReportInterval = 100 * time.Millisecond
 
-// sentRequest remembers when a request was sent.
+// sentRequest records when a request was sent.
 type sentRequest struct {
 	seq uint64
 	at  time.Time
@@ -221,22 +221,22 @@
 // that is not complete; its reply carries the incarnation.
 func (h *Holder) reportAllLeases(now time.Time, b *batcher) {
 	for _, owner := range h.owners {
-		c := h.leaseReports[owner]
-		if c == nil || c.incarnation != h.ownerIncarnations[owner] {
-			c = &leaseReport{incarnation: h.ownerIncarnations[owner]}
-			h.leaseReports[owner] = c
+		report := h.leaseReports[owner]
+		if report == nil || report.incarnation != h.ownerIncarnations[owner] {
+			report = &leaseReport{incarnation: h.ownerIncarnations[owner]}
+			h.leaseReports[owner] = report
 		}
-		if c.confirmed || now.Before(c.nextAttempt) {
+		if report.confirmed || now.Before(report.nextAttempt) {
 			continue
 		}
-		c.nextAttempt = now.Add(leaseReportInterval)
+		report.nextAttempt = now.Add(leaseReportInterval)
 		i := b.request(owner)
 		r := &b.batches[i].Request
-		r.Complete, c.seq = c.incarnation != 0, r.Seq
+		r.Complete, report.seq = report.incarnation != 0, r.Seq
 		if r.Complete {
 			r.QuietMS = uint32(min(now.Sub(h.quietSince), maxQuietPeriod).Milliseconds())
 		}
-		r.Keys = slices.DeleteFunc(r.Keys, func(a KeyRequest) bool { return !a.Release })
+		r.Keys = slices.DeleteFunc(r.Keys, func(kr KeyRequest) bool { return !kr.Release })
 		for _, k := range h.order {
 			if rendezvous.Owner(h.owners, k.name) == owner {
 				b.add(k, k.request(now))
@@ -249,8 +249,8 @@
 // confirmLeaseReport records that an owner has acknowledged the latest request
 // that listed all leases.
 func (h *Holder) confirmLeaseReport(r Reply) {
-	if c := h.leaseReports[r.Owner]; c != nil && r.Complete && c.incarnation == r.Incarnation && c.seq == r.Seq {
-		c.confirmed = true
+	if report := h.leaseReports[r.Owner]; report != nil && r.Complete && report.incarnation == r.Incarnation && report.seq == r.Seq {
+		report.confirmed = true
 	}
 }
 
--- a/internal/quota/owned.go
+++ b/internal/quota/owned.go
@@ -54,7 +54,7 @@
 	// reserved may be in use by holders that have not reported since the key was
 	// taken over. It is zero once quarantineEnd has passed.
 	reserved Share
-	leased   Share // sum over grantees
+	leased   Share // sum over holders
 	demand   float64
 	// overloadedSince is when the demand rose above the limit, zero while it is
 	// below.
@@ -244,7 +244,7 @@
 	k.demand -= hs.demand
 	delete(k.holders, id)
 	if len(k.holders) == 0 {
-		k.leased, k.demand = Share{}, 0 // ends the rounding errors of the sums
+		k.leased, k.demand = Share{}, 0 // clears accumulated rounding errors
 	}
 }
 
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -133,7 +133,7 @@
 }
 
 // Handle answers a request. A request for another epoch or another incarnation of
-// this host, or one that arrives after the owner's lease has ended, gets a reply
+// this host, or one that arrives after the host's authority has ended, gets a reply
 // without grants; the reply carries the incarnation that the holder must address.
 func (o *Owner) Handle(now time.Time, req Request) Reply {
 	reply := Reply{
