--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -18,8 +18,8 @@
 	promoteTimeout = 3 * time.Second
 )
 
-// Databases reads the condition of endpoints and promotes them.
-type Databases interface {
+// EndpointManager reads the condition of endpoints and promotes them.
+type EndpointManager interface {
 	// Probe reads the condition of an endpoint after the call.
 	Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition
 	// Promote orders an endpoint to become the primary. It is harmless on a
@@ -31,7 +31,7 @@
 // A nil driver does nothing.
 type failoverDriver struct {
 	host    *Host
-	fleet   *failover.Fleet
+	fleet   *failover.MachineSet
 	ctx     context.Context
 	cancel  context.CancelFunc
 	ticked  time.Time
@@ -55,7 +55,7 @@
 	cfg.Fenced, cfg.Chooser = h.opts.Fenced, h.term
 	return &failoverDriver{
 		host:    h,
-		fleet:   failover.NewFleet(cfg),
+		fleet:   failover.NewMachineSet(cfg),
 		ctx:     ctx,
 		cancel:  cancel,
 		changed: true,
@@ -131,12 +131,12 @@
 		case failover.Seal:
 			d.propose(now, e.Service, agreed.Command{SealGroup: &agreed.SealGroup{Service: e.Service, Term: e.Term, Reason: e.Reason}})
 		case failover.Choose:
-			d.propose(now, e.Service, agreed.Command{ChooseGroup: &agreed.ChooseGroup{
-				Service: e.Service, Term: e.Term, Candidate: e.Candidate, Chooser: e.Chooser, Attempt: e.Attempt,
+			d.propose(now, e.Service, agreed.Command{ChooseCandidate: &agreed.ChooseCandidate{
+				Service: e.Service, Term: e.Term, Candidate: e.Candidate, ChooserTerm: e.Chooser, Attempt: e.Attempt,
 			}})
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
-		case failover.AskPositions:
+		case failover.QueryPositions:
 			d.ask(e)
 		case failover.Promote:
 			d.promote(e)
@@ -156,11 +156,11 @@
 }
 
 func (d *failoverDriver) reacher() reacher {
-	return reacher{node: d.host.opts.Peer, databases: d.host.opts.Databases, state: d.host.state, fenced: d.host.opts.Fenced}
+	return reacher{node: d.host.opts.Peer, databases: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
 // ask probes endpoints, each at most once at a time.
-func (d *failoverDriver) ask(e failover.AskPositions) {
+func (d *failoverDriver) ask(e failover.QueryPositions) {
 	reach := d.reacher()
 	for _, id := range e.Endpoints {
 		endpoint, ok := d.host.state.Endpoints[id]
@@ -249,7 +249,7 @@
 	}
 	o := e.observation
 	h.failover.run(now, h.failover.fleet.Step(now, o.Service, failover.Observation{
-		Watcher: o.Watcher, Domain: o.Domain, Endpoint: o.Endpoint, Condition: o.Seen,
+		Watcher: o.Watcher, Domain: o.Domain, Endpoint: o.Endpoint, Condition: o.Condition,
 	}))
 }
 
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -143,15 +143,15 @@
 
 type fakeCaller struct{ net.Conn }
 
-func (fakeCaller) Quiet() bool { return true }
-func (fakeCaller) HangUp()     {}
+func (fakeCaller) IsIdle() bool { return true }
+func (fakeCaller) Disconnect()  {}
 
 // rig is a server before three fake endpoints, of which "p" is the primary.
 type rig struct {
 	t         *testing.T
 	endpoints *fakeEndpoints
 	server    *Server
-	view      *view.Box
+	view      *view.Publisher
 	state     *agreed.State
 	// taken and refunded count tokens of rates.
 	taken, refunded atomic.Int64
@@ -168,7 +168,7 @@
 
 func newRig(t *testing.T) *rig {
 	t.Helper()
-	r := &rig{t: t, endpoints: &fakeEndpoints{}, view: view.NewBox(), state: agreed.New()}
+	r := &rig{t: t, endpoints: &fakeEndpoints{}, view: view.NewPublisher(), state: agreed.New()}
 	r.state.Revision = 1
 	r.state.Catalog.Stamp.Number = 1
 	r.state.Catalog.Services["logs"] = note.Service{Name: "logs", Ack: note.AckReplicas}
@@ -399,7 +399,7 @@
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
 	for range r.server.slots("logs", "p") {
-		leave, err := r.server.gate.Enter(ctx, gate.Admission{Endpoint: "p", Service: "logs", Workspace: "crew", Class: note.ClassInteractive})
+		leave, err := r.server.gate.AcquireSlot(ctx, gate.SlotRequest{Endpoint: "p", Service: "logs", Workspace: "crew", Class: note.ClassInteractive})
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -155,7 +155,7 @@
 	if group.Phase == agreed.PhaseActive {
 		t.term = group.Term
 	}
-	out := pos.View{Departed: v.State.Departed, Settled: v.Settled, Term: t.term}
+	out := pos.View{Departed: v.State.EntryRemoved, Settled: v.Settled, Term: t.term}
 	for id, host := range v.State.Hosts {
 		if host.Entry && id != t.shared.self {
 			out.Peers = append(out.Peers, pos.Peer{Host: id, Incarnation: host.Incarnation})
@@ -172,11 +172,11 @@
 		case pos.Fail:
 			err := result.New(effect.Code, "the position of service %s cannot be read", t.service)
 			t.resolve(effect.ID, readResult{err: err})
-		case pos.Ask:
+		case pos.RequestTables:
 			for _, host := range effect.Hosts {
 				go t.ask(ctx, effect.Round, host)
 			}
-		case pos.AskPrimary:
+		case pos.RequestPrimaryPosition:
 			go t.askPrimary(ctx, effect.Round)
 		}
 	}
