--- a/internal/admit/queue_test.go
+++ b/internal/admit/queue_test.go
@@ -28,7 +28,7 @@
 	return ids
 }
 
-// checker follows the effects of a queue and holds them against its rules.
+// checker tracks the effects of a queue and checks its invariants.
 type checker struct {
 	t        *rapid.T
 	q        *Queue
@@ -44,7 +44,7 @@
 		case Start:
 			r, ok := c.waiting[ef.ID]
 			if !ok {
-				c.t.Fatalf("request %d started, but it does not wait", ef.ID)
+				c.t.Fatalf("request %d started, but was not waiting", ef.ID)
 			}
 			if !r.Deadline.IsZero() && !now.Before(r.Deadline) {
 				c.t.Fatalf("request %d started after its deadline", ef.ID)
@@ -55,7 +55,7 @@
 		case Refuse:
 			r, ok := c.waiting[ef.ID]
 			if !ok {
-				c.t.Fatalf("request %d refused, but it does not wait", ef.ID)
+				c.t.Fatalf("request %d refused, but was not waiting", ef.ID)
 			}
 			if ef.Code == result.DeadlineInQueue && now.Before(r.Deadline) {
 				c.t.Fatalf("request %d refused before its deadline", ef.ID)
@@ -78,8 +78,8 @@
 	return bulk, others
 }
 
-// checkSlots holds the slots after the start of a request of the class. With
-// one slot, one bulk request and one other may run.
+// checkSlots checks the number of running requests after the start of a request of
+// the class. With one slot, one bulk request and one other may run.
 func (c *checker) checkSlots(class note.Class) {
 	bulk, others := c.counts()
 	switch {
@@ -92,9 +92,11 @@
 	}
 }
 
+// check checks the counts of the queue, the cap for bulk, and that no slot is free
+// while requests of the other classes wait.
 func (c *checker) check() {
 	if c.q.Waiting() != len(c.waiting) || c.q.Running() != len(c.running) {
-		c.t.Fatalf("queue counts %d and %d, want %d and %d", c.q.Waiting(), c.q.Running(), len(c.waiting), len(c.running))
+		c.t.Fatalf("queue reports %d waiting and %d running, want %d and %d", c.q.Waiting(), c.q.Running(), len(c.waiting), len(c.running))
 	}
 	bulk, running := c.counts()
 	if c.slots > 1 {
@@ -110,11 +112,11 @@
 		c.t.Fatalf("bulk holds %d slots of %d", bulk, c.maxSlots)
 	}
 	if others > 0 && running < c.slots {
-		c.t.Fatalf("%d requests wait beside free slots", others)
+		c.t.Fatalf("%d requests wait although slots are free", others)
 	}
 }
 
-func TestQueueKeepsItsRules(t *testing.T) {
+func TestQueueInvariantsUnderRandomEvents(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultConfig(rapid.IntRange(1, 6).Draw(t, "slots"))
 		cfg.QueueLimit = rapid.IntRange(1, 8).Draw(t, "limit")
@@ -173,7 +175,7 @@
 	})
 }
 
-func TestDeadlineEndsTheWait(t *testing.T) {
+func TestWaitingRequestRefusedAtDeadline(t *testing.T) {
 	q := New(DefaultConfig(1))
 	q.Arrive(epoch, req(1, "a", note.ClassInteractive))
 	late := req(2, "a", note.ClassInteractive)
@@ -189,7 +191,7 @@
 	}
 }
 
-func TestQueueOfOneWorkspaceIsBounded(t *testing.T) {
+func TestQueueLimitAppliesPerWorkspace(t *testing.T) {
 	cfg := DefaultConfig(1)
 	cfg.QueueLimit = 2
 	q := New(cfg)
@@ -207,7 +209,7 @@
 
 func TestClassesAreServedByPrecedence(t *testing.T) {
 	q := New(DefaultConfig(2))
-	q.Arrive(epoch, req(9, "a", note.ClassInteractive)) // runs all the time
+	q.Arrive(epoch, req(9, "a", note.ClassInteractive)) // keeps running throughout
 	q.Arrive(epoch, req(1, "a", note.ClassInteractive))
 	q.Arrive(epoch, req(2, "b", note.ClassBulk))
 	q.Arrive(epoch, req(3, "c", note.ClassCorrection))
@@ -226,7 +228,7 @@
 	}
 }
 
-func TestOneSlotIsNotHeldByBulk(t *testing.T) {
+func TestSingleSlotBulkDoesNotBlockInteractive(t *testing.T) {
 	q := New(DefaultConfig(1))
 	q.Arrive(epoch, req(1, "audit", note.ClassBulk))
 	if got := starts(q.Arrive(epoch, req(2, "audit", note.ClassBulk))); len(got) != 0 {
@@ -243,7 +245,7 @@
 	}
 }
 
-func TestFIFOServesInOrderOfArrival(t *testing.T) {
+func TestFIFOServesInArrivalOrder(t *testing.T) {
 	cfg := DefaultConfig(1)
 	cfg.Policy = PolicyFIFO
 	q := New(cfg)
@@ -255,9 +257,9 @@
 	}
 }
 
-// saturate keeps the given number of requests of each source waiting and
-// returns the slot time that each source got.
-func saturate(cfg Config, total time.Duration, sources []source) []time.Duration {
+// runSaturated keeps 20 requests of each source in the queue and returns the slot
+// time that each source got.
+func runSaturated(cfg Config, total time.Duration, sources []source) []time.Duration {
 	q := New(cfg)
 	used := make([]time.Duration, len(sources))
 	owner, began := map[uint64]int{}, map[uint64]time.Time{}
@@ -316,7 +318,7 @@
 		}
 		total := 20 * time.Second
 		slots := rapid.IntRange(1, 3).Draw(t, "slots")
-		used := saturate(DefaultConfig(slots), total, sources)
+		used := runSaturated(DefaultConfig(slots), total, sources)
 		for i, s := range sources {
 			fair := total.Seconds() * float64(slots) * s.weight / weights
 			if got := used[i].Seconds() / fair; got < 0.9 || got > 1.1 {
@@ -326,8 +328,8 @@
 	})
 }
 
-func TestLowerClassesKeepTheirFloors(t *testing.T) {
-	used := saturate(DefaultConfig(5), time.Minute, []source{
+func TestLowerClassesGetFloorUnderSaturation(t *testing.T) {
+	used := runSaturated(DefaultConfig(5), time.Minute, []source{
 		{"crew", note.ClassInteractive, 1, 5 * time.Millisecond},
 		{"sync", note.ClassCorrection, 1, 5 * time.Millisecond},
 		{"audit", note.ClassBulk, 1, 50 * time.Millisecond},
@@ -340,8 +342,8 @@
 	}
 }
 
-// nextStarts ends requests of the given slot time one after the other in one
-// slot and returns the workspaces that were started.
+// nextStarts completes n requests of the given slot time one after the other in one
+// slot and returns the workspaces whose requests were started.
 func nextStarts(t *testing.T, q *Queue, now time.Time, running uint64, owner map[uint64]string, n int, service time.Duration) []string {
 	t.Helper()
 	var order []string
@@ -357,7 +359,9 @@
 	return order
 }
 
-func TestLongRequestIsPaidForLater(t *testing.T) {
+// TestLongRequestIsChargedToLaterTurns guards against a workspace that escapes the
+// charge for a long request because none of its requests waits when it completes.
+func TestLongRequestIsChargedToLaterTurns(t *testing.T) {
 	q := New(DefaultConfig(1))
 	owner := map[uint64]string{1: "long"}
 	q.Arrive(epoch, req(1, "long", note.ClassInteractive))
@@ -365,7 +369,8 @@
 		owner[id] = "short"
 		q.Arrive(epoch, req(id, "short", note.ClassInteractive))
 	}
-	// The long request ends after 100 ms; its workspace has none waiting then.
+	// The long request completes after 100 ms. Its workspace has no waiting request
+	// at that time.
 	now := epoch.Add(100 * time.Millisecond)
 	running := starts(q.Done(now, 1))[0]
 	owner[100] = "long"
@@ -376,7 +381,9 @@
 	}
 }
 
-func TestIdleTimeEarnsNothing(t *testing.T) {
+// TestIdleWorkspaceAccruesNoCredit checks that a workspace that was idle only gets
+// its fair share afterwards.
+func TestIdleWorkspaceAccruesNoCredit(t *testing.T) {
 	q := New(DefaultConfig(1))
 	owner := map[uint64]string{}
 	now, id := epoch, uint64(0)
@@ -409,13 +416,13 @@
 	}
 }
 
-// TestTheNewestGoesFirstWhileTheOldestIsLate fills one slot and lets three
-// requests of one workspace wait.
-func TestTheNewestGoesFirstWhileTheOldestIsLate(t *testing.T) {
+// TestNewestServedFirstOnceOldestWaitsTooLong has three requests of one workspace
+// wait for one slot, for less than lifoAfter and for lifoAfter.
+func TestNewestServedFirstOnceOldestWaitsTooLong(t *testing.T) {
 	for _, c := range []struct {
 		waited time.Duration
 		next   uint64
-	}{{lateAfter / 2, 2}, {lateAfter, 4}} {
+	}{{lifoAfter / 2, 2}, {lifoAfter, 4}} {
 		now := time.Unix(100, 0)
 		q := New(DefaultConfig(1))
 		for id := range uint64(4) {
@@ -428,10 +435,10 @@
 	}
 }
 
-// TestReadyWorkspacesGoFirstForAWhile keeps two workspaces waiting for one slot
-// and connection, which serves one workspace at a time: they take turns of several
-// requests, and both get their share.
-func TestReadyWorkspacesGoFirstForAWhile(t *testing.T) {
+// TestReadyWorkspaceServedAheadWithinSlack has two workspaces compete for one slot
+// and one connection, which serves one workspace at a time. They must take turns of
+// several requests, and both must get their share.
+func TestReadyWorkspaceServedAheadWithinSlack(t *testing.T) {
 	const cost = 30 * time.Millisecond
 	now := time.Unix(100, 0)
 	cfg := DefaultConfig(1)
@@ -466,6 +473,6 @@
 		t.Errorf("served %v", served)
 	}
 	if changes > 50 {
-		t.Errorf("%d changes of the workspace in 100 requests", changes)
+		t.Errorf("the workspace changed %d times in 100 requests", changes)
 	}
 }
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -44,7 +44,7 @@
 	done   sync.WaitGroup
 }
 
-// noPool uses neither connections nor slots.
+// noPool is a Pool without connections and slots.
 type noPool struct{}
 
 func (noPool) Usage() []Usage { return nil }
@@ -102,14 +102,14 @@
 	f.hosts[id].done.Wait()
 }
 
-// publish gives all hosts the present state with a lease that outlasts the test.
+// publish gives all hosts the current state with a lease that outlasts the test.
 func (f *fleet) publish() {
 	for _, h := range f.hosts {
 		h.view.Publish(view.View{State: f.state, ValidUntil: clock.Now().Add(testTimeout)})
 	}
 }
 
-// remove takes a control host out of the agreed state.
+// remove removes a control host from the agreed state.
 func (f *fleet) remove(id string) {
 	next := *f.state
 	next.Hosts = make(map[string]agreed.Host)
@@ -124,7 +124,8 @@
 	f.publish()
 }
 
-func TestFleetNeverPassesTheRate(t *testing.T) {
+// TestFleetStaysWithinRate has callers on three hosts spend as fast as they can.
+func TestFleetStaysWithinRate(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -153,9 +154,9 @@
 	}
 }
 
-// TestAnOwnerIsReplaced kills the owner of the workspace's rate. Callers who can
-// wait are served all the time.
-func TestAnOwnerIsReplaced(t *testing.T) {
+// TestAcquireDuringOwnerReplacement kills the owner of the workspace's rate and then
+// removes it from the agreed state. Callers that can wait must be served throughout.
+func TestAcquireDuringOwnerReplacement(t *testing.T) {
 	f := newFleet(t, 2, 2)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
@@ -176,7 +177,9 @@
 	acquire(20)
 }
 
-func TestAHopelessRequestIsRefusedAtOnce(t *testing.T) {
+// TestAcquireRefusesEarlyWhenDeadlineUnreachable overloads a workspace until a request
+// is refused. A request that cannot be served in time must not wait for its deadline.
+func TestAcquireRefusesEarlyWhenDeadlineUnreachable(t *testing.T) {
 	f := newFleet(t, 1, 1)
 	holder := f.hosts["entry-0"].holder
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -198,22 +201,23 @@
 	}
 	callers.Wait()
 	if refused.Load() == 0 {
-		t.Error("nobody was refused before the deadline at several times the rate")
+		t.Error("no request was refused before its deadline at several times the rate")
 	}
 }
 
 // ownerOf returns the owner of a key in a state.
 func ownerOf(state *agreed.State, key string) string {
-	return rendezvous.Owner(owners(state), key)
+	return rendezvous.Owner(ownerHosts(state), key)
 }
 
-// TestFloorsAndSharesFitTheCap adds up what all hosts may use of an endpoint.
-func TestFloorsAndSharesFitTheCap(t *testing.T) {
+// TestConnectionFloorsAndLeasesFitEndpoint checks that the connections of all hosts,
+// with and without leases, leave those for probes free.
+func TestConnectionFloorsAndLeasesFitEndpoint(t *testing.T) {
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: DefaultConfig(), entryHosts: hosts, domains: min(hosts, 4)}
-			floors := size.floor(connections) * hosts
-			shared := size.sharedConnections(connections)
+			floors := size.connectionFloor(connections) * hosts
+			shared := size.leasedConnections(connections)
 			if shared < 0 || floors+shared > max(connections-size.domains-1, 1) {
 				t.Errorf("%d connections, %d hosts: floors %d, shared %d", connections, hosts, floors, shared)
 			}
@@ -221,14 +225,14 @@
 	}
 }
 
-// TestAQuietHostNeedsNoLease asks for the units of a host that no owner has
-// answered.
-func TestAQuietHostNeedsNoLease(t *testing.T) {
+// TestHolderFloorsWithoutLease checks that a host that has no reply from an owner may
+// use the floors of connections and slots.
+func TestHolderFloorsWithoutLease(t *testing.T) {
 	f := newFleet(t, 0, 2)
 	f.state.Catalog.Services = map[string]note.Service{"s": {Name: "s", Connections: 30, Slots: 5}}
 	holder := f.hosts["entry-0"].holder
 	holder.mu.Lock()
-	holder.follow(f.state)
+	holder.applyState(f.state)
 	holder.mu.Unlock()
 	if n := holder.Connections("s", "e"); n != DefaultConfig().FloorConnections {
 		t.Errorf("%d connections", n)
@@ -238,23 +242,24 @@
 	}
 }
 
-// TestTheNewestRequestIsServedFirst lets two requests wait for one token.
-func TestTheNewestRequestIsServedFirst(t *testing.T) {
-	f := newFleet(t, 0, 1) // no owner answers
+// TestQueueServesNewestRequestFirst has two requests wait for one token. Under
+// overload only the newest can still meet its deadline.
+func TestQueueServesNewestRequestFirst(t *testing.T) {
+	f := newFleet(t, 0, 1) // no owner replies
 	h := f.hosts["entry-0"].holder
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
-	first, err := h.offer(ctx, testWorkspace)
+	first, err := h.takeOrEnqueue(ctx, testWorkspace)
 	if err != nil {
 		t.Fatal(err)
 	}
-	second, err := h.offer(ctx, testWorkspace)
+	second, err := h.takeOrEnqueue(ctx, testWorkspace)
 	if err != nil {
 		t.Fatal(err)
 	}
 	now := clock.Now()
 	h.mu.Lock()
-	h.rates[testWorkspace] = &floor{bucket: rate.NewLimiter(1, 1)}
+	h.rateFloors[testWorkspace] = &floorBucket{bucket: rate.NewLimiter(1, 1)}
 	h.mu.Unlock()
 	h.serve(now)
 	if len(first.ready) != 0 || len(second.ready) != 1 {
@@ -262,16 +267,17 @@
 	}
 }
 
-// TestHeadroomIsLeftWhereItCanBe adds up what all hosts may use beside it.
-func TestHeadroomIsLeftWhereItCanBe(t *testing.T) {
+// TestHeadroomLeftWhenConnectionsSuffice checks that the hosts together leave unused
+// connections wherever the endpoint has enough for the floors and the headroom.
+func TestHeadroomLeftWhenConnectionsSuffice(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom = 1, 2, 1
+	cfg.FloorConnections, cfg.Probes, cfg.Headroom = 1, 2, 1
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: cfg, entryHosts: hosts, domains: min(hosts, 4)}
-			used := size.floor(connections)*hosts + size.sharedConnections(connections)
-			left := max(connections-cfg.ProbeConnections, 1) - used
-			if left < 0 || left == 0 && connections-cfg.ProbeConnections >= 2*hosts {
+			used := size.connectionFloor(connections)*hosts + size.leasedConnections(connections)
+			left := max(connections-cfg.Probes, 1) - used
+			if left < 0 || left == 0 && connections-cfg.Probes >= 2*hosts {
 				t.Errorf("%d connections, %d hosts: %d left", connections, hosts, left)
 			}
 		}
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -10,14 +10,14 @@
 // start is the true time at which a simulated fleet starts.
 var start = time.Unix(1_700_000_000, 0)
 
-// machine has a clock that runs at a rate of its own.
+// machine is a simulated host whose clock runs at its own rate.
 type machine struct {
 	name  string
 	drift float64
-	// epoch numbers the set of owners that the machine knows.
-	epoch    uint64
-	isolated bool
-	procs    uint64 // processes started so far
+	// epoch is the number of the set of owners that the machine uses.
+	epoch       uint64
+	isolated    bool
+	incarnation uint64 // number of processes started so far
 }
 
 // clock returns the machine's time at a true time since the start.
@@ -36,8 +36,8 @@
 	waiting []string // keys of requests that wait
 }
 
-// parcel is a message on its way.
-type parcel struct {
+// message is a message in transit.
+type message struct {
 	due      time.Duration
 	from, to string
 	request  *Request
@@ -51,19 +51,20 @@
 	now      time.Duration // true time since the start
 	controls []*control
 	entries  []*entry
-	net      []parcel
+	net      []message
 	limits   map[string]Limit
 	epoch    uint64
 	owners   map[uint64][]string // by epoch
 	loss     float64
 	maxDelay time.Duration
-	check    map[string]*spendCheck
+	checks   map[string]*spendCheck
 	bytes    func(any) // counts messages, when set
-	// noQuarantine plants the fault of owners that grant at once after a start.
+	// noQuarantine injects a fault: owners grant immediately after a start.
 	noQuarantine bool
 }
 
-// spendCheck replays what all hosts spend of a key on one exact bucket.
+// spendCheck charges the tokens of a key that all hosts spend to one exact bucket,
+// and records the first violation of the limit.
 type spendCheck struct {
 	limit  Limit
 	level  float64
@@ -78,7 +79,7 @@
 	c.level = min(c.limit.Burst, c.level+c.limit.Rate*(now-c.last).Seconds()) - n
 	c.last = now
 	if c.level < -rounding && c.failed == "" {
-		c.failed = fmt.Sprintf("%.3f tokens too many at %v", -c.level, now)
+		c.failed = fmt.Sprintf("%.3f tokens over the limit at %v", -c.level, now)
 	}
 }
 
@@ -86,7 +87,7 @@
 	f := &fleet{
 		rng: rand.New(rand.NewPCG(seed, 3)), limits: limits, epoch: 1,
 		cfg:    Config{Drift: 0.01}.withDefaults(),
-		owners: map[uint64][]string{}, check: map[string]*spendCheck{}, maxDelay: 5 * time.Millisecond,
+		owners: map[uint64][]string{}, checks: map[string]*spendCheck{}, maxDelay: 5 * time.Millisecond,
 	}
 	for i := range controls {
 		f.controls = append(f.controls, &control{machine: f.machine(fmt.Sprintf("c%d", i))})
@@ -104,7 +105,7 @@
 		c.owner.SetHolders(c.clock(f.now), f.holderIDs())
 	}
 	for key, l := range limits {
-		f.check[key] = &spendCheck{limit: l, level: l.Burst}
+		f.checks[key] = &spendCheck{limit: l, level: l.Burst}
 	}
 	return f
 }
@@ -122,9 +123,9 @@
 }
 
 func (f *fleet) startOwner(c *control) {
-	c.procs++
+	c.incarnation++
 	now := c.clock(f.now)
-	c.owner = NewOwner(f.cfg, c.name, c.procs, now)
+	c.owner = NewOwner(f.cfg, c.name, c.incarnation, now)
 	c.owner.SetEpoch(now, c.epoch, f.owners[c.epoch])
 	c.owner.SetHolders(c.clock(f.now), f.holderIDs())
 	for key, l := range f.limits {
@@ -135,16 +136,16 @@
 func (f *fleet) startHolder(e *entry) {
 	if e.holder != nil {
 		for _, c := range f.controls {
-			// The end of a process is agreed in the order of the log: an owner that
-			// does not know the present epoch does not know of it either.
+			// The end of a process is committed to the replicated log: an owner that has
+			// not applied the current epoch has not applied the end of the process either.
 			if c.epoch == f.epoch && !c.isolated {
-				c.owner.RemoveHolder(c.clock(f.now), e.name, e.procs)
+				c.owner.RemoveHolder(c.clock(f.now), e.name, e.incarnation)
 			}
 		}
 	}
-	e.procs++
+	e.incarnation++
 	e.waiting = nil
-	e.holder = NewHolder(f.cfg, e.name, e.procs)
+	e.holder = NewHolder(f.cfg, e.name, e.incarnation)
 	e.holder.SetEpoch(e.epoch, f.owners[e.epoch])
 	for key, l := range f.limits {
 		if l.Rate == 0 {
@@ -153,41 +154,42 @@
 	}
 }
 
-// holderIDs are the present processes of the entry hosts.
+// holderIDs returns the current processes of the entry hosts.
 func (f *fleet) holderIDs() []HolderID {
 	var ids []HolderID
 	for _, e := range f.entries {
-		ids = append(ids, HolderID{e.name, e.procs})
+		ids = append(ids, HolderID{e.name, e.incarnation})
 	}
 	return ids
 }
 
-// changeOwners puts another set of owners in force. Machines learn of it later.
+// changeOwners starts an epoch with another set of owners. Machines adopt it later.
 func (f *fleet) changeOwners(owners []string) {
 	f.epoch++
 	f.owners[f.epoch] = owners
 }
 
-// step advances the true time and delivers what is due.
+// step advances the true time, sends due requests and delivers due messages.
 func (f *fleet) step(d time.Duration) {
 	f.now += d
 	for _, c := range f.controls {
 		if c.epoch == f.epoch && !c.isolated {
-			c.owner.SetOwnerLease(c.clock(f.now).Add(f.cfg.OwnerLease))
+			c.owner.SetAuthority(c.clock(f.now).Add(f.cfg.Authority))
 		}
 		c.owner.Tick(c.clock(f.now))
 	}
 	for _, e := range f.entries {
 		f.enforceUnits(e)
 		for _, b := range e.holder.Requests(e.clock(f.now)) {
-			f.send(parcel{from: e.name, to: b.Owner, request: &b.Request})
+			f.send(message{from: e.name, to: b.Owner, request: &b.Request})
 		}
 	}
 	f.deliver()
 }
 
-// learn tells a machine of the present owners.
-func (f *fleet) learn(m *machine) bool {
+// adoptEpoch moves a reachable machine to the current epoch and reports whether its
+// epoch changed.
+func (f *fleet) adoptEpoch(m *machine) bool {
 	if m.isolated || m.epoch == f.epoch {
 		return false
 	}
@@ -195,67 +197,68 @@
 	return true
 }
 
-func (f *fleet) learnAll() {
+// propagateEpoch announces the current epoch to all reachable machines.
+func (f *fleet) propagateEpoch() {
 	for _, c := range f.controls {
-		if f.learn(&c.machine) {
+		if f.adoptEpoch(&c.machine) {
 			c.owner.SetEpoch(c.clock(f.now), c.epoch, f.owners[c.epoch])
 			c.owner.SetHolders(c.clock(f.now), f.holderIDs())
 		}
 	}
 	for _, e := range f.entries {
-		if f.learn(&e.machine) {
+		if f.adoptEpoch(&e.machine) {
 			e.holder.SetEpoch(e.epoch, f.owners[e.epoch])
 		}
 	}
 }
 
-func (f *fleet) send(p parcel) {
+func (f *fleet) send(m message) {
 	if f.bytes != nil {
-		if p.request != nil {
-			f.bytes(*p.request)
+		if m.request != nil {
+			f.bytes(*m.request)
 		} else {
-			f.bytes(*p.reply)
+			f.bytes(*m.reply)
 		}
 	}
 	if f.rng.Float64() < f.loss {
 		return
 	}
-	p.due = f.now + time.Duration(f.rng.Float64()*float64(f.maxDelay))
-	f.net = append(f.net, p)
+	m.due = f.now + time.Duration(f.rng.Float64()*float64(f.maxDelay))
+	f.net = append(f.net, m)
 	if f.rng.Float64() < f.loss/4 { // duplicated
-		p.due += f.maxDelay
-		f.net = append(f.net, p)
+		m.due += f.maxDelay
+		f.net = append(f.net, m)
 	}
 }
 
 func (f *fleet) deliver() {
 	due := slices.Clone(f.net)
-	f.net = slices.DeleteFunc(f.net, func(p parcel) bool { return p.due <= f.now })
-	for _, p := range due {
-		if p.due <= f.now {
-			f.receive(p)
+	f.net = slices.DeleteFunc(f.net, func(m message) bool { return m.due <= f.now })
+	for _, m := range due {
+		if m.due <= f.now {
+			f.receive(m)
 		}
 	}
 }
 
-func (f *fleet) receive(p parcel) {
-	if p.reply != nil {
-		e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == p.to })]
-		e.holder.Receive(e.clock(f.now), *p.reply)
+func (f *fleet) receive(m message) {
+	if m.reply != nil {
+		e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == m.to })]
+		e.holder.Receive(e.clock(f.now), *m.reply)
 		return
 	}
-	c := f.controls[slices.IndexFunc(f.controls, func(c *control) bool { return c.name == p.to })]
-	e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == p.from })]
+	c := f.controls[slices.IndexFunc(f.controls, func(c *control) bool { return c.name == m.to })]
+	e := f.entries[slices.IndexFunc(f.entries, func(e *entry) bool { return e.name == m.from })]
 	// An isolated control host reaches only isolated entry hosts.
 	if c.isolated != e.isolated {
 		return
 	}
-	reply := c.owner.Handle(c.clock(f.now), *p.request)
-	f.send(parcel{from: p.to, to: p.from, reply: &reply})
+	reply := c.owner.Handle(c.clock(f.now), *m.request)
+	f.send(message{from: m.to, to: m.from, reply: &reply})
 }
 
-// take lets an entry host have one request for a key and try it once. If it
-// is not granted it waits until giveUp.
+// take issues one request for a key at an entry host and tries it once. If it is
+// not granted, it waits until withdrawAll.
 func (f *fleet) take(e *entry, key string) {
 	e.holder.Offer(e.clock(f.now), key, 1)
 	if !f.retry(e, key) {
@@ -263,8 +266,8 @@
 	}
 }
 
-// giveUp ends the requests that wait at an entry host.
-func (f *fleet) giveUp(e *entry) {
+// withdrawAll withdraws all requests that wait at an entry host.
+func (f *fleet) withdrawAll(e *entry) {
 	for _, key := range e.waiting {
 		e.holder.Withdraw(key, 1)
 	}
@@ -276,14 +279,14 @@
 		return false
 	}
 	if f.limits[key].Rate > 0 {
-		f.check[key].spend(f.now, 1)
+		f.checks[key].spend(f.now, 1)
 		return true
 	}
 	f.checkUnits(key)
 	return true
 }
 
-// enforceUnits gives units back whose lease has ended.
+// enforceUnits releases the units of expired leases.
 func (f *fleet) enforceUnits(e *entry) {
 	for key, l := range f.limits {
 		now := e.clock(f.now)
@@ -299,13 +302,13 @@
 		_, inUse := e.holder.Units(e.clock(f.now), key)
 		sum += inUse
 	}
-	if c := f.check[key]; sum > c.limit.Burst && c.failed == "" {
+	if c := f.checks[key]; sum > c.limit.Burst && c.failed == "" {
 		c.failed = fmt.Sprintf("%v units in use at %v", sum, f.now)
 	}
 }
 
 func (f *fleet) violation() string {
-	for key, c := range f.check {
+	for key, c := range f.checks {
 		if c.failed != "" {
 			return key + ": " + c.failed
 		}
--- a/internal/quota/census_test.go
+++ b/internal/quota/takeover_test.go
@@ -8,32 +8,32 @@
 	"pgregory.net/rapid"
 )
 
-// TestANewOwnerNeedNotWaitForHoldersThatHaveToldAll takes a key over from an
-// owner while every holder can be reached: the rest of the limit is granted
-// long before unknown leases would have run out.
-func TestANewOwnerNeedNotWaitForHoldersThatHaveToldAll(t *testing.T) {
+// TestOwnerTakeoverGrantsOnceAllLeasesReported moves a key to a new owner while
+// every holder is reachable. It guards against a new owner that waits until unknown
+// leases have expired although all holders have reported theirs.
+func TestOwnerTakeoverGrantsOnceAllLeasesReported(t *testing.T) {
 	f := newFleet(1, 2, 3, map[string]Limit{"k": {Rate: 100, Burst: 100}})
 	f.step(time.Millisecond)
 	f.take(f.entries[0], "k")
 	for range 20 {
 		f.step(50 * time.Millisecond)
 	}
-	was := f.controls[0]
-	if was.owner.keys["k"] == nil {
-		was = f.controls[1]
+	former := f.controls[0]
+	if former.owner.keys["k"] == nil {
+		former = f.controls[1]
 	}
-	var rest []string
+	var remaining []string
 	for _, c := range f.controls {
-		if c != was {
-			rest = append(rest, c.name)
+		if c != former {
+			remaining = append(remaining, c.name)
 		}
 	}
-	f.changeOwners(rest)
-	f.learnAll()
+	f.changeOwners(remaining)
+	f.propagateEpoch()
 	granted := 0
-	for range 40 { // two seconds, below the time of authority alone
+	for range 40 { // two seconds, less than Config.Authority alone
 		f.step(50 * time.Millisecond)
-		f.take(f.entries[1], "k") // had no share before
+		f.take(f.entries[1], "k") // had no share under the former owner
 	}
 	for _, e := range f.entries {
 		if e.holder.Rate(e.clock(f.now), "k") > 0 {
@@ -41,16 +41,17 @@
 		}
 	}
 	if granted == 0 || f.entries[1].holder.Rate(f.entries[1].clock(f.now), "k") == 0 {
-		t.Error("the new holder got no share within two seconds")
+		t.Error("new holder got no share within two seconds")
 	}
 	if v := f.violation(); v != "" {
 		t.Error(v)
 	}
 }
 
-// TestASilentHolderIsWaitedFor isolates a holder with a lease while the owner
-// changes.
-func TestASilentHolderIsWaitedFor(t *testing.T) {
+// TestOwnerTakeoverIsolatedHolderStaysWithinLimit isolates a holder with a lease
+// while the owner changes. The holder keeps spending under its lease, so the new
+// owner must not grant that share to others before the lease has expired.
+func TestOwnerTakeoverIsolatedHolderStaysWithinLimit(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := newFleet(rapid.Uint64().Draw(t, "seed"), 2, 3, map[string]Limit{"k": {Rate: 20, Burst: 20}})
 		f.loss = rapid.Float64Range(0, 0.3).Draw(t, "loss")
@@ -61,10 +62,10 @@
 		}
 		f.entries[0].isolated = true
 		f.changeOwners([]string{f.controls[rapid.IntRange(0, 1).Draw(t, "owner")].name})
-		f.learnAll()
+		f.propagateEpoch()
 		for range 200 {
 			f.step(50 * time.Millisecond)
-			f.take(f.entries[0], "k") // goes on under its lease
+			f.take(f.entries[0], "k") // keeps spending under its lease
 			f.take(f.entries[1], "k")
 			f.take(f.entries[2], "k")
 		}
@@ -74,9 +75,10 @@
 	})
 }
 
-// TestAFleetThatStartsAgainHasFilledMeanwhile restarts every process and then
-// asks for what a second without any spending has left.
-func TestAFleetThatStartsAgainHasFilledMeanwhile(t *testing.T) {
+// TestFleetRestartBucketsRefillWhileDown restarts every process, lets a second pass
+// without spending, and then requests the tokens accrued meanwhile. It guards
+// against buckets that start empty after a restart of the whole fleet.
+func TestFleetRestartBucketsRefillWhileDown(t *testing.T) {
 	f := newFleet(1, 2, 3, map[string]Limit{"k": {Rate: 100, Burst: 100}})
 	for range 200 {
 		f.take(f.entries[0], "k")
@@ -90,7 +92,7 @@
 		f.startOwner(c)
 	}
 	const down = time.Second
-	f.loss = 1 // no host reaches another yet
+	f.loss = 1 // hosts cannot reach each other yet
 	for range 20 {
 		f.step(down / 20)
 	}
@@ -115,21 +117,22 @@
 		waiting += len(e.waiting)
 	}
 	if served := offered - waiting; served < 150 { // three quarters
-		t.Errorf("%d of some 200 tokens in the second after one without spending", served)
+		t.Errorf("served %d of about 200 tokens in the second after a quiet second", served)
 	}
 	if v := f.violation(); v != "" {
 		t.Error(v)
 	}
 }
 
-// TestAHolderMayTellBeforeItIsRegistered names its leases to an owner that
-// learns of the process only then.
-func TestAHolderMayTellBeforeItIsRegistered(t *testing.T) {
+// TestOwnerAcceptsLeaseReportBeforeRegistration reports all leases of a process to
+// an owner that is informed of the process only afterwards. The report must still
+// end the quarantine.
+func TestOwnerAcceptsLeaseReportBeforeRegistration(t *testing.T) {
 	now := start
 	o := NewOwner(Config{}, "c", 1, now)
 	o.SetEpoch(now, 1, []string{"c"})
 	o.SetHolders(now, []HolderID{{"h", 1}})
-	o.SetOwnerLease(now.Add(time.Minute))
+	o.SetAuthority(now.Add(time.Minute))
 	o.SetLimit(now, "k", Limit{Rate: 10, Burst: 10}, false)
 	o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, OwnerIncarnation: 1, Seq: 1, Complete: true})
 	o.SetHolders(now, []HolderID{{"h", 2}})
