--- a/internal/agreed/apply.go
+++ b/internal/agreed/apply.go
@@ -50,7 +50,7 @@
 	case c.SealGroup != nil:
 		return sealGroup(s, index, c.SealGroup)
 	case c.ChooseCandidate != nil:
-		return chooseGroup(s, index, c.ChooseCandidate)
+		return chooseCandidate(s, index, c.ChooseCandidate)
 	case c.ActivateGroup != nil:
 		return activateGroup(s, index, c.ActivateGroup)
 	case c.NameFleet != nil:
--- a/internal/agreed/apply_catalog.go
+++ b/internal/agreed/apply_catalog.go
@@ -26,7 +26,7 @@
 		IdleTransaction: c.Catalog.IdleTransaction,
 	}
 	next.Document = c.Document
-	next.matchGroups(index)
+	next.syncGroups(index)
 	return next, Outcome{Stamp: &next.Catalog.Stamp}
 }
 
--- a/internal/agreed/apply_endpoint.go
+++ b/internal/agreed/apply_endpoint.go
@@ -33,7 +33,7 @@
 // HasEndpoint reports whether the state holds what the announcement says.
 func (s *State) HasEndpoint(e Endpoint) bool {
 	known, ok := s.Endpoints[e.ID]
-	return ok && known.same(e)
+	return ok && known.sameExceptSeq(e)
 }
 
 // putEndpoint adds or changes an endpoint. A group takes no more members than
@@ -58,7 +58,7 @@
 	if out := s.CheckStale(e); out.Code != 0 {
 		return nil, out
 	}
-	next := s.without(index, func(o Endpoint) bool {
+	next := s.withoutEndpoints(index, func(o Endpoint) bool {
 		return o.ID == e.ID && o.Service != e.Service || o.ID != e.ID && o.Addr == e.Addr && o.StartedMS < e.StartedMS
 	})
 	g = next.Groups[e.Service]
@@ -74,7 +74,7 @@
 
 // without returns the state without the endpoints that match, or s itself. A
 // group whose active primary is among them is sealed.
-func (s *State) without(index uint64, match func(Endpoint) bool) *State {
+func (s *State) withoutEndpoints(index uint64, match func(Endpoint) bool) *State {
 	next := s
 	for _, id := range slices.Sorted(maps.Keys(s.Endpoints)) {
 		e := s.Endpoints[id]
@@ -84,7 +84,7 @@
 		g := next.Groups[e.Service]
 		g.Members = slices.DeleteFunc(slices.Clone(g.Members), func(m string) bool { return m == id })
 		if g.Phase == PhaseActive && g.Primary == id {
-			g = sealed(g, "primary "+id+" has left")
+			g = sealedGroup(g, "primary "+id+" has left")
 		}
 		next = next.withGroup(g, index)
 		next.Endpoints = maps.Clone(next.Endpoints)
@@ -103,13 +103,13 @@
 	if !exists || known.StartedMS > born {
 		return nil, Outcome{}
 	}
-	next := copyOf(s.without(index, func(e Endpoint) bool { return e.ID == c.ID }))
-	next.Retired = retire(s.Retired, c.ID, Tombstone{StartedMS: born, At: index})
+	next := copyOf(s.withoutEndpoints(index, func(e Endpoint) bool { return e.ID == c.ID }))
+	next.Retired = addTombstone(s.Retired, c.ID, Tombstone{StartedMS: born, At: index})
 	return next, Outcome{}
 }
 
 // retire returns a copy with one more entry, shortened to MaxTombstones.
-func retire(all map[string]Tombstone, id string, r Tombstone) map[string]Tombstone {
+func addTombstone(all map[string]Tombstone, id string, r Tombstone) map[string]Tombstone {
 	next := maps.Clone(all)
 	if next == nil {
 		next = make(map[string]Tombstone)
--- a/internal/agreed/apply_group.go
+++ b/internal/agreed/apply_group.go
@@ -62,11 +62,11 @@
 	if g.Phase != PhaseActive || g.Term != c.Term {
 		return nil, termConflict(g, c.Term)
 	}
-	return s.withGroup(sealed(g, c.Reason), index), Outcome{}
+	return s.withGroup(sealedGroup(g, c.Reason), index), Outcome{}
 }
 
 // sealed returns the group after the end of its term.
-func sealed(g Group, reason string) Group {
+func sealedGroup(g Group, reason string) Group {
 	g.Term++
 	g.Phase = PhaseSealed
 	g.Candidate, g.ChooserTerm, g.Attempt = "", 0, 0
@@ -75,7 +75,7 @@
 }
 
 // chooseGroup records the candidate of a sealed term.
-func chooseGroup(s *State, index uint64, c *ChooseCandidate) (*State, Outcome) {
+func chooseCandidate(s *State, index uint64, c *ChooseCandidate) (*State, Outcome) {
 	g, ok := s.Groups[c.Service]
 	if !ok {
 		return nil, refuse(result.UnknownService, "no service %q", c.Service)
--- a/internal/agreed/apply_note.go
+++ b/internal/agreed/apply_note.go
@@ -36,7 +36,7 @@
 	next := copyOf(s)
 	next.Catalog = catalog
 	next.History = appendHistory(s.History, catalog.Stamp)
-	next.matchGroups(index)
+	next.syncGroups(index)
 	return next, Outcome{Stamp: &catalog.Stamp, Problems: problems}
 }
 
@@ -70,7 +70,7 @@
 
 // matchGroups gives each service of the catalog a group, and removes groups
 // and endpoints of services that were withdrawn.
-func (s *State) matchGroups(index uint64) {
+func (s *State) syncGroups(index uint64) {
 	groups := maps.Clone(s.Groups)
 	for name := range s.Catalog.Services {
 		if _, ok := groups[name]; !ok {
--- a/internal/agreed/delta.go
+++ b/internal/agreed/delta.go
@@ -49,7 +49,7 @@
 	Document        uint64     `cbor:"3,keyasint,omitempty"`
 }
 
-func headOf(s *State) CatalogHeader {
+func catalogHeader(s *State) CatalogHeader {
 	return CatalogHeader{Stamp: s.Catalog.Stamp, IdleTransaction: s.Catalog.IdleTransaction, Document: s.Document.Number}
 }
 
@@ -77,7 +77,7 @@
 		Routes:  diffMap(from.Catalog.Routes, to.Catalog.Routes),
 		Retired: diffMap(from.Retired, to.Retired),
 	}
-	if head := headOf(to); to.Document.Number != from.Document.Number {
+	if head := catalogHeader(to); to.Document.Number != from.Document.Number {
 		d.Catalog = &head
 	}
 	for _, stamp := range to.History {
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -125,7 +125,7 @@
 func TestRetiredEndpointsAreBounded(t *testing.T) {
 	var all map[string]Tombstone
 	for i := range uint64(2 * MaxTombstones) {
-		all = retire(all, string(rune('a'+i)), Tombstone{StartedMS: i, At: i})
+		all = addTombstone(all, string(rune('a'+i)), Tombstone{StartedMS: i, At: i})
 	}
 	if len(all) != MaxTombstones {
 		t.Errorf("%d entries", len(all))
--- a/internal/agreed/types.go
+++ b/internal/agreed/types.go
@@ -40,7 +40,7 @@
 }
 
 // same reports whether two records differ at most in their announcement.
-func (e Endpoint) same(o Endpoint) bool {
+func (e Endpoint) sameExceptSeq(o Endpoint) bool {
 	e.Seq, o.Seq = 0, 0
 	return e == o
 }
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -81,7 +81,7 @@
 		return
 	}
 	h.sender.Announce(a)
-	admin.WriteJSON(w, http.StatusOK, h.answer(a.Endpoint))
+	admin.WriteJSON(w, http.StatusOK, h.response(a.Endpoint))
 }
 
 func parse(body io.Reader) (control.Announcement, error) {
@@ -141,7 +141,7 @@
 }
 
 // answer tells the endpoint about its group as this host knows it.
-func (h *Handler) answer(e agreed.Endpoint) Response {
+func (h *Handler) response(e agreed.Endpoint) Response {
 	s := h.view.Current().State
 	if s == nil {
 		return Response{}
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -16,24 +16,24 @@
 	// when another endpoint asks for one.
 	endpointRetention = 60 * time.Second
 	// announcementMemory is how long the leader remembers a silent endpoint.
-	announcementMemory = 10 * time.Minute
+	announcementRetention = 10 * time.Minute
 	// proposeInterval is the time between two commands for one endpoint.
 	proposeInterval = time.Second
 )
 
 // announced is what the leader knows about an endpoint that announced itself.
-type announced struct {
+type announcedEndpoint struct {
 	Announcement
-	at       time.Time
-	proposed time.Time
+	receivedAt time.Time
+	proposedAt time.Time
 	// refused tells why the endpoint is not a member.
-	refused string
+	refusal string
 }
 
 // joinFloor is the position that an endpoint must have to join a group whose
 // members changed at a revision: every write acknowledged by the former members
 // lies below it.
-type joinFloor struct {
+type joinPosition struct {
 	changed uint64
 	lsn     uint64
 }
@@ -50,10 +50,10 @@
 	}
 	a := h.announced[e.announcement.Endpoint.ID]
 	a.Announcement = e.announcement
-	a.at = now
+	a.receivedAt = now
 	if h.confirmed {
-		h.raiseFloor(a)
-		a = h.enlist(now, a)
+		h.recordJoinPosition(a)
+		a = h.proposeMember(now, a)
 	}
 	h.announced[a.Endpoint.ID] = a
 }
@@ -76,38 +76,38 @@
 
 // raiseFloor notes the position of a group's primary once the last change of
 // the group is settled.
-func (h *Host) raiseFloor(a announced) {
+func (h *Host) recordJoinPosition(a announcedEndpoint) {
 	g := h.state.Groups[a.Endpoint.Service]
 	if g.Phase != agreed.PhaseActive || g.Primary != a.Endpoint.ID || h.broker.Settled() < g.Changed {
 		return
 	}
-	if h.floors[g.Service].changed != g.Changed {
-		h.floors[g.Service] = joinFloor{changed: g.Changed, lsn: a.LSN}
+	if h.joinPositions[g.Service].changed != g.Changed {
+		h.joinPositions[g.Service] = joinPosition{changed: g.Changed, lsn: a.LSN}
 	}
 }
 
 // enlist makes an endpoint a member of its group when it may be one, or
 // proposes its changed address and failure domain.
-func (h *Host) enlist(now time.Time, a announced) announced {
+func (h *Host) proposeMember(now time.Time, a announcedEndpoint) announcedEndpoint {
 	known, member := h.state.Endpoints[a.Endpoint.ID]
 	if member && known == a.Endpoint {
-		a.refused = ""
+		a.refusal = ""
 		return a
 	}
-	if now.Sub(a.proposed) < proposeInterval {
+	if now.Sub(a.proposedAt) < proposeInterval {
 		return a
 	}
-	a.refused = h.refusal(now, a, member)
-	if a.refused != "" {
+	a.refusal = h.joinRefusal(now, a, member)
+	if a.refusal != "" {
 		return a
 	}
-	a.proposed = now
-	h.proposeDuty(agreed.Command{PutEndpoint: &agreed.PutEndpoint{Endpoint: a.Endpoint}})
+	a.proposedAt = now
+	h.proposeNoReply(agreed.Command{PutEndpoint: &agreed.PutEndpoint{Endpoint: a.Endpoint}})
 	return a
 }
 
 // refusal tells why an endpoint cannot be put into its group now.
-func (h *Host) refusal(now time.Time, a announced, member bool) string {
+func (h *Host) joinRefusal(now time.Time, a announcedEndpoint, member bool) string {
 	g, ok := h.state.Groups[a.Endpoint.Service]
 	switch {
 	case !ok:
@@ -115,44 +115,44 @@
 	case member:
 		return ""
 	case len(g.Members) >= h.state.Catalog.Services[g.Service].Endpoints:
-		h.makeRoom(now, g)
+		h.removeSilentMember(now, g)
 		return "the group has all its endpoints"
 	case g.Phase == agreed.PhaseForming:
 		return ""
 	case g.Phase != agreed.PhaseActive:
 		return "the group is sealed"
-	case h.floors[g.Service].changed != g.Changed:
+	case h.joinPositions[g.Service].changed != g.Changed:
 		return "waiting for the primary's position after the last change of the group"
-	case a.LSN < h.floors[g.Service].lsn:
+	case a.LSN < h.joinPositions[g.Service].lsn:
 		return "the endpoint has not reached the position of the primary"
 	}
 	return ""
 }
 
 // makeRoom removes one member that has been silent for the retention time.
-func (h *Host) makeRoom(now time.Time, g agreed.Group) {
+func (h *Host) removeSilentMember(now time.Time, g agreed.Group) {
 	if g.Phase != agreed.PhaseActive || now.Sub(h.confirmedAt) < endpointRetention {
 		return
 	}
 	for _, id := range g.Members {
-		if id == g.Primary || now.Sub(h.announced[id].at) < endpointRetention {
+		if id == g.Primary || now.Sub(h.announced[id].receivedAt) < endpointRetention {
 			continue
 		}
-		h.proposeDuty(agreed.Command{RemoveEndpoint: &agreed.RemoveEndpoint{ID: id, Term: g.Term}})
+		h.proposeNoReply(agreed.Command{RemoveEndpoint: &agreed.RemoveEndpoint{ID: id, Term: g.Term}})
 		return
 	}
 }
 
 // forgetAnnouncements drops endpoints that have been silent for long.
-func (h *Host) forgetAnnouncements(now time.Time) {
+func (h *Host) expireAnnouncements(now time.Time) {
 	for id, a := range h.announced {
-		if now.Sub(a.at) > announcementMemory {
+		if now.Sub(a.receivedAt) > announcementRetention {
 			delete(h.announced, id)
 		}
 	}
-	for service := range h.floors {
+	for service := range h.joinPositions {
 		if _, ok := h.state.Groups[service]; !ok {
-			delete(h.floors, service)
+			delete(h.joinPositions, service)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 func (h *Host) leavingEndpoints(now time.Time) map[string]bool {
 	leaving := make(map[string]bool)
 	for id, a := range h.announced {
-		if a.Leaving && now.Sub(a.at) < announcementTTL {
+		if a.Leaving && now.Sub(a.receivedAt) < announcementTTL {
 			leaving[id] = true
 		}
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -28,15 +28,15 @@
 // Announce passes an announcement of an endpoint on to the leader. It may be
 // lost; endpoints announce themselves regularly.
 func (s *Subscriber) Announce(a Announcement) {
-	s.sendSoft(peer.KindAnnounce, a)
+	s.sendBestEffort(peer.KindAnnounce, a)
 }
 
 // Observe passes an observation of a watcher on to the leader. It may be lost.
 func (s *Subscriber) Observe(o Observation) {
-	s.sendSoft(peer.KindObservation, o)
+	s.sendBestEffort(peer.KindObservation, o)
 }
 
-func (s *Subscriber) sendSoft(kind peer.Kind, msg any) {
+func (s *Subscriber) sendBestEffort(kind peer.Kind, msg any) {
 	up := s.current.Load()
 	if err := s.opts.Peer.Send(up.Host, up.Addr, kind, msg); err != nil {
 		s.log.Debug("send_failed", "control", up.Host, "kind", kind, "err", err.Error())
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -11,12 +11,12 @@
 )
 
 // stepEvent is a consensus message of a peer.
-type stepEvent struct {
+type consensusEvent struct {
 	from    string
 	message consensus.Message
 }
 
-func (e stepEvent) handle(h *Host, _ time.Time) {
+func (e consensusEvent) handle(h *Host, _ time.Time) {
 	if e.message.From != e.from {
 		h.log.Warn("consensus_message_refused", "peer", e.from, "from", e.message.From)
 		return
@@ -30,10 +30,10 @@
 func (h *Host) tick(now time.Time) {
 	h.node.Tick()
 	h.expireProposals(now)
-	h.expireRound(now)
-	if h.leading && !now.Before(h.duties) {
-		h.duties = now.Add(dutyInterval)
-		h.performDuties(now)
+	h.expireLeaseRound(now)
+	if h.leading && !now.Before(h.nextLeaderTasks) {
+		h.nextLeaderTasks = now.Add(leaderTaskInterval)
+		h.runLeaderTasks(now)
 	}
 	h.failover.tick(now)
 	h.metrics.update(h)
@@ -45,10 +45,10 @@
 		if err := h.processReady(now); err != nil {
 			return err
 		}
-		h.followRole(now)
-		h.pumpLeases(now)
-		h.failover.refresh(now)
-		if h.saveFail != nil || !h.node.HasReady() {
+		h.updateRole(now)
+		h.startLeaseRound(now)
+		h.failover.applyPending(now)
+		if h.saveErr != nil || !h.node.HasReady() {
 			return h.compact()
 		}
 	}
@@ -56,43 +56,43 @@
 
 func (h *Host) processReady(now time.Time) error {
 	for h.node.HasReady() {
-		h.followRole(now)
+		h.updateRole(now)
 		rd := h.node.Ready()
 		if rd.Rejoin {
 			return h.rejoin()
 		}
 		if err := h.store.Save(rd.Durable); err != nil {
-			h.saveFailed(err)
+			h.recordSaveError(err)
 			return nil
 		}
-		h.saveFail = nil
-		if err := h.install(rd.Install); err != nil {
+		h.saveErr = nil
+		if err := h.installSnapshot(rd.Install); err != nil {
 			return err
 		}
 		h.sendAll(rd.Messages)
-		if err := h.applyAll(now, rd.Committed); err != nil {
+		if err := h.applyEntries(now, rd.Committed); err != nil {
 			return err
 		}
 		h.node.Advance(rd)
-		h.confirmAll(now, rd)
+		h.handleConfirmations(now, rd)
 	}
 	return nil
 }
 
 // saveFailed keeps the work for a later attempt. Proposers are told, since
 // nothing of theirs was sent.
-func (h *Host) saveFailed(err error) {
-	if h.saveFail == nil {
+func (h *Host) recordSaveError(err error) {
+	if h.saveErr == nil {
 		h.log.Error("store_save_failed", "err", err.Error())
 	}
-	h.saveFail = err
+	h.saveErr = err
 }
 
-func (h *Host) install(snap *consensus.Snapshot) error {
+func (h *Host) installSnapshot(snap *consensus.Snapshot) error {
 	if snap == nil {
 		return nil
 	}
-	state, err := restore(*snap)
+	state, err := decodeSnapshot(*snap)
 	if err != nil {
 		return err
 	}
@@ -112,7 +112,7 @@
 	}
 }
 
-func (h *Host) applyAll(now time.Time, entries []consensus.Entry) error {
+func (h *Host) applyEntries(now time.Time, entries []consensus.Entry) error {
 	state := h.state
 	for _, e := range entries {
 		if e.Kind != consensus.EntryCommand {
@@ -144,7 +144,7 @@
 	}
 	h.state = s
 	h.recent.add(s)
-	h.registered = processesOf(s)
+	h.registered = registeredProcesses(s)
 	for _, id := range h.registered {
 		h.broker.Supersede(id)
 	}
@@ -183,11 +183,11 @@
 }
 
 // followRole notices when this host becomes the leader or ceases to be.
-func (h *Host) followRole(now time.Time) {
+func (h *Host) updateRole(now time.Time) {
 	st := h.node.Status()
 	leading := st.Role == consensus.Leader
-	if info := h.lead.Load(); info.leading != leading || info.leader != st.Leader {
-		h.lead.Store(&leadInfo{leading: leading, leader: st.Leader})
+	if info := h.leaderInfo.Load(); info.leading != leading || info.leader != st.Leader {
+		h.leaderInfo.Store(&leaderInfo{leading: leading, leader: st.Leader})
 		h.broker.Abort()
 		h.log.Info("control_leader", "leader", st.Leader, "term", st.Term, "leading", leading)
 	}
@@ -203,8 +203,8 @@
 	h.leading, h.confirmed, h.term = true, false, term
 	h.broker.Abort()
 	h.broker.Lead(now)
-	clear(h.lastHeld)
-	if err := h.node.ConfirmQuorum(electionConfirm); err != nil {
+	clear(h.lastLeased)
+	if err := h.node.ConfirmQuorum(electionConfirmID); err != nil {
 		h.log.Warn("confirm_failed", "err", err.Error())
 	}
 }
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -13,33 +13,33 @@
 
 // Timing of the leader's duties.
 const (
-	dutyInterval = 250 * time.Millisecond
+	leaderTaskInterval = 250 * time.Millisecond
 	// hostGrace is how long a host stays registered after its lease ran out.
-	hostGrace = 2 * time.Second
+	hostRemovalDelay = 2 * time.Second
 )
 
 // performDuties performs one round of the duties of a confirmed leader.
-func (h *Host) performDuties(now time.Time) {
+func (h *Host) runLeaderTasks(now time.Time) {
 	if !h.confirmed {
 		return
 	}
-	h.nameFleet()
+	h.proposeFleetName()
 	h.changeMembers()
-	h.ageHosts(now)
-	h.forgetAnnouncements(now)
-	h.settle(now)
-	h.noteWait()
+	h.removeExpiredHosts(now)
+	h.expireAnnouncements(now)
+	h.updateSettled(now)
+	h.logRegistrationWait()
 }
 
-func (h *Host) nameFleet() {
+func (h *Host) proposeFleetName() {
 	if h.state.Fleet == "" {
-		h.proposeDuty(agreed.Command{NameFleet: &agreed.NameFleet{Fleet: h.opts.Fleet}})
+		h.proposeNoReply(agreed.Command{NameFleet: &agreed.NameFleet{Fleet: h.opts.Fleet}})
 	}
 }
 
 // proposeDuty proposes a command whose outcome shows in the state.
-func (h *Host) proposeDuty(c agreed.Command) {
-	if _, err := h.proposeNow(c); err != nil {
+func (h *Host) proposeNoReply(c agreed.Command) {
+	if _, err := h.appendCommand(c); err != nil {
 		h.log.Warn("duty_failed", "err", err.Error())
 	}
 }
@@ -47,7 +47,7 @@
 // changeMembers brings the members of the consensus group nearer to the control
 // hosts of the settings.
 func (h *Host) changeMembers() {
-	change, ok := h.nextChange()
+	change, ok := h.nextMemberChange()
 	if !ok {
 		return
 	}
@@ -58,7 +58,7 @@
 	h.log.Info("member_change", "peer", change.Member.Host, "kind", change.Kind)
 }
 
-func (h *Host) nextChange() (consensus.Change, bool) {
+func (h *Host) nextMemberChange() (consensus.Change, bool) {
 	if h.opts.OpenMembership {
 		return h.node.NextOpenChange()
 	}
@@ -72,27 +72,27 @@
 
 // ageHosts removes hosts whose lease ran out some time ago. While a host may
 // still hold a lease it stays.
-func (h *Host) ageHosts(now time.Time) {
+func (h *Host) removeExpiredHosts(now time.Time) {
 	leased := h.broker.Held(now, h.registered)
 	for _, host := range h.state.Hosts {
 		id := lease.ID{Host: host.ID, Incarnation: host.Incarnation}
 		if leased[id] {
-			h.lastHeld[id] = now
+			h.lastLeased[id] = now
 			continue
 		}
-		held, known := h.lastHeld[id]
+		held, known := h.lastLeased[id]
 		if !known {
-			h.lastHeld[id] = now
+			h.lastLeased[id] = now
 			continue
 		}
-		if now.Sub(held) < hostGrace {
+		if now.Sub(held) < hostRemovalDelay {
 			continue
 		}
-		h.lastHeld[id] = now
+		h.lastLeased[id] = now
 		h.log.Info("host_aged_out", "host", host.ID, "incarnation", host.Incarnation)
-		h.proposeDuty(agreed.Command{RemoveHost: &agreed.RemoveHost{ID: host.ID, Incarnation: host.Incarnation}})
+		h.proposeNoReply(agreed.Command{RemoveHost: &agreed.RemoveHost{ID: host.ID, Incarnation: host.Incarnation}})
 	}
-	maps.DeleteFunc(h.lastHeld, func(id lease.ID, _ time.Time) bool {
+	maps.DeleteFunc(h.lastLeased, func(id lease.ID, _ time.Time) bool {
 		host, ok := h.state.Hosts[id.Host]
 		return !ok || host.Incarnation != id.Incarnation
 	})
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -30,13 +30,13 @@
 // failoverDriver runs the decisions of package failover on a confirmed leader.
 // A nil driver does nothing.
 type failoverDriver struct {
-	host    *Host
-	fleet   *failover.Fleet
-	ctx     context.Context
-	cancel  context.CancelFunc
-	ticked  time.Time
-	changed bool
-	leaving map[string]bool
+	host       *Host
+	fleet      *failover.Fleet
+	ctx        context.Context
+	cancel     context.CancelFunc
+	lastTick   time.Time
+	stateDirty bool
+	leaving    map[string]bool
 	// probing holds the endpoints with a request on its way.
 	probing map[string]bool
 	// results are effects of events that arrived while consensus was busy.
@@ -54,12 +54,12 @@
 	cfg := failover.DefaultConfig()
 	cfg.Fenced, cfg.Chooser = h.opts.Fenced, h.term
 	return &failoverDriver{
-		host:    h,
-		fleet:   failover.NewFleet(cfg),
-		ctx:     ctx,
-		cancel:  cancel,
-		changed: true,
-		probing: make(map[string]bool),
+		host:       h,
+		fleet:      failover.NewFleet(cfg),
+		ctx:        ctx,
+		cancel:     cancel,
+		stateDirty: true,
+		probing:    make(map[string]bool),
 	}
 }
 
@@ -72,7 +72,7 @@
 // stateChanged notes that the agreed state has changed.
 func (d *failoverDriver) stateChanged() {
 	if d != nil {
-		d.changed = true
+		d.stateDirty = true
 	}
 }
 
@@ -85,12 +85,12 @@
 
 // refresh passes on what was noted. Unlike the methods that note, it may
 // propose commands.
-func (d *failoverDriver) refresh(now time.Time) {
+func (d *failoverDriver) applyPending(now time.Time) {
 	if d == nil {
 		return
 	}
-	if d.changed {
-		d.changed = false
+	if d.stateDirty {
+		d.stateDirty = false
 		d.run(now, d.fleet.SetState(now, d.host.state, d.leaving))
 	}
 	results := d.results
@@ -102,12 +102,12 @@
 
 // tick lets time pass.
 func (d *failoverDriver) tick(now time.Time) {
-	if d == nil || now.Sub(d.ticked) < failoverTick {
+	if d == nil || now.Sub(d.lastTick) < failoverTick {
 		return
 	}
-	d.ticked = now
+	d.lastTick = now
 	if leaving := d.host.leavingEndpoints(now); !maps.Equal(leaving, d.leaving) {
-		d.leaving, d.changed = leaving, true
+		d.leaving, d.stateDirty = leaving, true
 	}
 	d.run(now, d.fleet.StepAll(now, failover.Tick{}))
 }
@@ -137,7 +137,7 @@
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
 		case failover.AskPositions:
-			d.ask(e)
+			d.probe(e)
 		case failover.Promote:
 			d.promote(e)
 		case failover.Status:
@@ -147,7 +147,7 @@
 }
 
 func (d *failoverDriver) propose(now time.Time, service string, c agreed.Command) {
-	index, err := d.host.proposeNow(c)
+	index, err := d.host.appendCommand(c)
 	if err != nil {
 		d.commandDone(service, false)
 		return
@@ -155,13 +155,13 @@
 	d.host.proposals[index] = pendingProposal{term: d.host.term, until: now.Add(proposalTimeout), service: service}
 }
 
-func (d *failoverDriver) reacher() reacher {
-	return reacher{node: d.host.opts.Peer, databases: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
+func (d *failoverDriver) endpointClient() endpointClient {
+	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
 // ask probes endpoints, each at most once at a time.
-func (d *failoverDriver) ask(e failover.AskPositions) {
-	reach := d.reacher()
+func (d *failoverDriver) probe(e failover.AskPositions) {
+	reach := d.endpointClient()
 	for _, id := range e.Endpoints {
 		endpoint, ok := d.host.state.Endpoints[id]
 		if !ok || d.probing[id] {
@@ -172,13 +172,13 @@
 			ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 			defer cancel()
 			seen := reach.probe(ctx, endpoint)
-			d.report(answerEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: seen}})
+			d.deliver(probeEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: seen}})
 		}()
 	}
 }
 
 func (d *failoverDriver) promote(e failover.Promote) {
-	reach := d.reacher()
+	reach := d.endpointClient()
 	endpoint, ok := d.host.state.Endpoints[e.Endpoint]
 	if !ok {
 		return
@@ -191,14 +191,14 @@
 		if err != nil {
 			d.host.log.Warn("promote_failed", "service", e.Service, "endpoint", e.Endpoint, "fence", e.Fence, "err", err.Error())
 		}
-		d.report(promotionEvent{driver: d, service: e.Service, result: failover.PromotionResult{
+		d.deliver(promotionEvent{driver: d, service: e.Service, result: failover.PromotionResult{
 			Term: e.Term, Endpoint: e.Endpoint, Fence: e.Fence, Outcome: outcome,
 		}})
 	}()
 }
 
 // report passes a result to the task of the Host, unless the driver has ended.
-func (d *failoverDriver) report(e event) {
+func (d *failoverDriver) deliver(e event) {
 	select {
 	case d.host.events <- e:
 	case <-d.ctx.Done():
@@ -206,13 +206,13 @@
 }
 
 // answerEvent is the result of a probe.
-type answerEvent struct {
+type probeEvent struct {
 	driver  *failoverDriver
 	service string
 	answer  failover.Answer
 }
 
-func (e answerEvent) handle(h *Host, now time.Time) {
+func (e probeEvent) handle(h *Host, now time.Time) {
 	if e.driver != h.failover {
 		return
 	}
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -15,7 +15,7 @@
 func (h *Host) registerHandlers() {
 	n := h.opts.Peer
 	peer.On(n, peer.KindConsensus, func(from peer.Identity, m consensus.Message) {
-		h.post(stepEvent{from: from.Host, message: m})
+		h.post(consensusEvent{from: from.Host, message: m})
 	})
 	peer.On(n, peer.KindRenew, func(from peer.Identity, r lease.Renew) {
 		h.post(renewEvent{from: from, renew: r})
@@ -43,7 +43,7 @@
 func (e goodbyeEvent) handle(h *Host, now time.Time) {
 	h.broker.Release(e.id)
 	delete(h.subscribers, e.id)
-	h.settle(now)
+	h.updateSettled(now)
 }
 
 // serveGoodbye removes the host of a process that leaves.
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -48,7 +48,7 @@
 const DefaultCompactEvery = 4096
 
 // eventBacklog bounds the events that wait for the task of a Host.
-const eventBacklog = 4096
+const eventQueueSize = 4096
 
 // Host is the control role of one host. Run owns all its state; other
 // goroutines reach it by events.
@@ -58,7 +58,7 @@
 	metrics *hostMetrics
 	events  chan event
 	// snapshot of the position, for proposers in other goroutines.
-	lead atomic.Pointer[leadInfo]
+	leaderInfo atomic.Pointer[leaderInfo]
 
 	node   *consensus.Node
 	store  *store.Store
@@ -68,19 +68,19 @@
 
 	subscribers map[lease.ID]*subscription
 	proposals   map[uint64]pendingProposal
-	reads       reads
-	announced   map[string]announced
+	reads       pendingReads
+	announced   map[string]announcedEndpoint
 	// floors are the positions needed to join a group, by service.
-	floors map[string]joinFloor
+	joinPositions map[string]joinPosition
 	// lastHeld is when a registered host was last seen with a lease.
-	lastHeld map[lease.ID]time.Time
+	lastLeased map[lease.ID]time.Time
 	// registered are the registered processes of the state.
-	registered []lease.ID
-	roundEnd   time.Time // when the lease round in flight is given up
-	nextRound  time.Time // when the next lease round is due
-	duties     time.Time // when the duties of the leader are due
-	waits      string    // the host that registrations wait for, as last logged
-	saveFail   error
+	registered      []lease.ID
+	roundDeadline   time.Time // when the lease round in flight is given up
+	nextRound       time.Time // when the next lease round is due
+	nextLeaderTasks time.Time // when the duties of the leader are due
+	waitingFor      string    // the host that registrations wait for, as last logged
+	saveErr         error
 
 	leading bool
 	// confirmed is set once a leader has confirmed its quorum.
@@ -91,7 +91,7 @@
 }
 
 // leadInfo is what proposers need to know.
-type leadInfo struct {
+type leaderInfo struct {
 	leading bool
 	leader  string
 }
@@ -110,10 +110,10 @@
 	if opts.Logger == nil {
 		opts.Logger = log.Default()
 	}
-	h := &Host{opts: opts, log: opts.Logger, metrics: newHostMetrics(opts.Registry), events: make(chan event, eventBacklog)}
+	h := &Host{opts: opts, log: opts.Logger, metrics: newHostMetrics(opts.Registry), events: make(chan event, eventQueueSize)}
 	// The broker outlives a restart of the task: leases that it relayed count on.
-	h.broker = lease.NewBroker(opts.Lease, startSeq())
-	h.lead.Store(&leadInfo{})
+	h.broker = lease.NewBroker(opts.Lease, initialSeq())
+	h.leaderInfo.Store(&leaderInfo{})
 	h.registerHandlers()
 	return h
 }
@@ -144,7 +144,7 @@
 		case <-ticker.C:
 			h.tick(clock.Now())
 		case e := <-h.events:
-			h.drain(e)
+			h.handleBatch(e)
 		}
 		if err := h.process(clock.Now()); err != nil {
 			return err
@@ -153,13 +153,13 @@
 }
 
 // drainBatch bounds the events handled before the resulting work is done.
-const drainBatch = 256
+const maxEventBatch = 256
 
 // drain handles an event and those that wait behind it, so that one sync of the
 // store serves many proposals.
-func (h *Host) drain(e event) {
+func (h *Host) handleBatch(e event) {
 	e.handle(h, clock.Now())
-	for range drainBatch {
+	for range maxEventBatch {
 		select {
 		case e = <-h.events:
 			e.handle(h, clock.Now())
@@ -188,7 +188,7 @@
 	if err != nil {
 		return err
 	}
-	state, err := restore(stored.Snapshot)
+	state, err := decodeSnapshot(stored.Snapshot)
 	if err != nil {
 		return err
 	}
@@ -203,20 +203,20 @@
 	h.state = state
 	h.recent = recentStates{}
 	h.recent.add(state)
-	h.registered = processesOf(state)
+	h.registered = registeredProcesses(state)
 	h.broker.Abort()
 	h.subscribers = make(map[lease.ID]*subscription)
 	h.proposals = make(map[uint64]pendingProposal)
-	h.reads = newReads()
-	h.announced = make(map[string]announced)
-	h.floors = make(map[string]joinFloor)
-	h.lastHeld = make(map[lease.ID]time.Time)
+	h.reads = newPendingReads()
+	h.announced = make(map[string]announcedEndpoint)
+	h.joinPositions = make(map[string]joinPosition)
+	h.lastLeased = make(map[lease.ID]time.Time)
 	h.leading, h.confirmed = false, false
 	return nil
 }
 
 // startSeq numbers requests above those of earlier tasks of the process.
-func startSeq() uint64 { return uint64(time.Now().UnixNano()) >> 1 }
+func initialSeq() uint64 { return uint64(time.Now().UnixNano()) >> 1 }
 
 func (h *Host) checkFleet(s *agreed.State) error {
 	if s.Fleet != "" && s.Fleet != h.opts.Fleet {
@@ -225,7 +225,7 @@
 	return nil
 }
 
-func restore(snap consensus.Snapshot) (*agreed.State, error) {
+func decodeSnapshot(snap consensus.Snapshot) (*agreed.State, error) {
 	if len(snap.Data) == 0 {
 		return agreed.New(), nil
 	}
@@ -255,7 +255,7 @@
 
 func (h *Host) close() {
 	h.stopLeading()
-	h.lead.Store(&leadInfo{})
+	h.leaderInfo.Store(&leaderInfo{})
 	for index := range h.proposals {
 		h.answerProposal(index, agreed.Outcome{}, result.New(result.NoQuorum, "the control host is stopping"))
 	}
@@ -274,4 +274,4 @@
 }
 
 // errStopped is returned to proposers when the task does not take the proposal.
-var errStopped = errors.New("the control task is busy or stopped")
+var errTaskUnavailable = errors.New("the control task is busy or stopped")
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -11,7 +11,7 @@
 
 // electionConfirm identifies the first confirmation of a new leader. Lease
 // rounds have greater numbers.
-const electionConfirm = 1
+const electionConfirmID = 1
 
 // roundTimeout is how long a lease round may take before it is repeated.
 const roundTimeout = 800 * time.Millisecond
@@ -36,17 +36,17 @@
 	case e.renew.Release:
 		delete(h.subscribers, id)
 	case h.state.Revision == 0 && !h.leading:
-		h.turnAway(e.from)
+		h.refuseRenew(e.from)
 	case !e.renew.Relay:
-		h.follow(now, id, e.from.Addr, e.renew.Applied)
+		h.updateSubscriber(now, id, e.from.Addr, e.renew.Applied)
 	}
-	h.settle(now)
+	h.updateSettled(now)
 }
 
 // turnAway tells a subscriber that this host has no state to offer, as after the
 // loss of its data folder, so that it need not wait in silence.
-func (h *Host) turnAway(from peer.Identity) {
-	if err := h.opts.Peer.Send(from.Host, from.Addr, peer.KindRenewNo, renewNo{}); err != nil {
+func (h *Host) refuseRenew(from peer.Identity) {
+	if err := h.opts.Peer.Send(from.Host, from.Addr, peer.KindRenewNo, renewRefusal{}); err != nil {
 		h.log.Debug("renew_answer_failed", "peer", from.Host, "err", err.Error())
 	}
 }
@@ -60,11 +60,11 @@
 	if h.leading {
 		return
 	}
-	h.answerRound(e.ok.Seq, e.ok.Revision, e.ok.Settled)
+	h.finishLeaseRound(e.ok.Seq, e.ok.Revision, e.ok.Settled)
 }
 
 // pumpLeases starts a lease round when subscribers wait and none is in flight.
-func (h *Host) pumpLeases(now time.Time) {
+func (h *Host) startLeaseRound(now time.Time) {
 	if now.Before(h.nextRound) && !h.broker.Progress() {
 		return
 	}
@@ -73,7 +73,7 @@
 		return
 	}
 	h.nextRound = now.Add(roundInterval)
-	h.roundEnd = now.Add(roundTimeout)
+	h.roundDeadline = now.Add(roundTimeout)
 	if h.leading {
 		if err := h.node.ConfirmQuorum(round.ID); err != nil {
 			h.log.Debug("confirm_failed", "err", err.Error())
@@ -91,16 +91,16 @@
 }
 
 // expireRound repeats a round that was not answered in time.
-func (h *Host) expireRound(now time.Time) {
-	if !h.roundEnd.IsZero() && now.After(h.roundEnd) {
-		h.roundEnd = time.Time{}
+func (h *Host) expireLeaseRound(now time.Time) {
+	if !h.roundDeadline.IsZero() && now.After(h.roundDeadline) {
+		h.roundDeadline = time.Time{}
 		h.broker.Abort()
 	}
 }
 
 // confirmAll takes the confirmations of a leader's quorum. They follow the
 // application of all entries committed before.
-func (h *Host) confirmAll(now time.Time, rd consensus.Ready) {
+func (h *Host) handleConfirmations(now time.Time, rd consensus.Ready) {
 	for _, id := range rd.Dropped {
 		if !h.failRead(id) {
 			h.broker.Abort()
@@ -111,16 +111,16 @@
 			h.failRead(c.ID)
 			continue
 		}
-		h.becomeConfirmed(now)
-		if c.ID != electionConfirm && !h.finishRead(c.ID) {
-			h.answerRound(c.ID, h.state.Revision, h.settle(now))
+		h.confirmLeadership(now)
+		if c.ID != electionConfirmID && !h.finishRead(c.ID) {
+			h.finishLeaseRound(c.ID, h.state.Revision, h.updateSettled(now))
 		}
 	}
 }
 
 // becomeConfirmed lets a leader take up its duties once it knows that it has
 // applied everything committed by its predecessors.
-func (h *Host) becomeConfirmed(now time.Time) {
+func (h *Host) confirmLeadership(now time.Time) {
 	if h.confirmed {
 		return
 	}
@@ -135,7 +135,7 @@
 }
 
 // answerRound answers the requests of a finished round.
-func (h *Host) answerRound(id, revision, settled uint64) {
+func (h *Host) finishLeaseRound(id, revision, settled uint64) {
 	for _, a := range h.broker.Finish(id, revision, settled) {
 		kind := peer.KindRenewOK
 		if a.Relay {
@@ -148,12 +148,12 @@
 }
 
 // settle computes the settled revision on a confirmed leader and returns it.
-func (h *Host) settle(now time.Time) uint64 {
+func (h *Host) updateSettled(now time.Time) uint64 {
 	if !h.leading || !h.confirmed {
 		return h.broker.Settled()
 	}
 	before := h.broker.Settled()
-	e := lease.Electorate{Holders: h.present(), Changed: h.state.HostsChanged}
+	e := lease.Electorate{Holders: h.possibleHolders(), Changed: h.state.HostsChanged}
 	settled := h.broker.Settle(now, h.state.Revision, e)
 	if settled > before && h.failover != nil {
 		h.failover.settled(now, settled)
@@ -163,16 +163,16 @@
 
 // noteWait logs for whom the registration of a process waits, whenever that
 // changes. Until it is settled the process serves nothing.
-func (h *Host) noteWait() {
+func (h *Host) logRegistrationWait() {
 	settled, waits := h.broker.Settled(), ""
 	if settled < h.state.HostsChanged {
 		id, _ := h.broker.Slowest()
 		waits = id.Host
 	}
-	if waits == h.waits {
+	if waits == h.waitingFor {
 		return
 	}
-	h.waits = waits
+	h.waitingFor = waits
 	id, revision := h.broker.Slowest()
 	h.log.Info("registration_waits", "for", waits, "incarnation", id.Incarnation, "at", revision, "settled", settled,
 		"registered", h.state.HostsChanged)
@@ -180,7 +180,7 @@
 
 // present returns the registered processes that may hold leases. Where a host has
 // one process at a time, those of which a newer process was met may not.
-func (h *Host) present() []lease.ID {
+func (h *Host) possibleHolders() []lease.ID {
 	if !h.opts.Lease.Exclusive {
 		return h.registered
 	}
@@ -194,7 +194,7 @@
 }
 
 // processesOf returns the registered processes of a state.
-func processesOf(s *agreed.State) []lease.ID {
+func registeredProcesses(s *agreed.State) []lease.ID {
 	ids := make([]lease.ID, 0, len(s.Hosts))
 	for _, host := range s.Hosts {
 		ids = append(ids, lease.ID{Host: host.ID, Incarnation: host.Incarnation})
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -22,7 +22,7 @@
 
 // renewNo answers a request for a lease that a control host without any state
 // cannot pass on.
-type renewNo struct{}
+type renewRefusal struct{}
 
 // goodbye tells that the sender's process has stopped to act and leaves.
 type goodbye struct {
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -37,22 +37,22 @@
 
 // subscriberMetrics describe a host as a subscriber.
 type subscriberMetrics struct {
-	applied prometheus.Gauge
-	valid   prometheus.Gauge
-	turns   prometheus.Counter
+	applied          prometheus.Gauge
+	valid            prometheus.Gauge
+	upstreamSwitches prometheus.Counter
 }
 
 func newSubscriberMetrics(reg prometheus.Registerer) *subscriberMetrics {
 	m := &subscriberMetrics{
 		applied: newGauge("galenabridge_applied_revision", "Revision of the agreed state that this host has applied."),
 		valid:   newGauge("galenabridge_lease_valid", "1 while this host may act on the agreed state."),
-		turns: prometheus.NewCounter(prometheus.CounterOpts{
+		upstreamSwitches: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "galenabridge_control_host_silent_total",
 			Help: "Times that this host turned to another control host.",
 		}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.applied, m.valid, m.turns)
+		reg.MustRegister(m.applied, m.valid, m.upstreamSwitches)
 	}
 	return m
 }
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -20,7 +20,7 @@
 )
 
 // answer is the answer to a proposal.
-type answer struct {
+type proposalResult struct {
 	outcome agreed.Outcome
 	err     error
 }
@@ -29,7 +29,7 @@
 type pendingProposal struct {
 	term  uint64
 	until time.Time
-	reply chan answer
+	reply chan proposalResult
 	// service is set instead of reply for a command of the failover driver.
 	service string
 }
@@ -37,22 +37,22 @@
 // proposeEvent appends a command to the log when this host leads.
 type proposeEvent struct {
 	command agreed.Command
-	reply   chan answer // buffered
+	reply   chan proposalResult // buffered
 }
 
 func (e proposeEvent) handle(h *Host, now time.Time) {
-	index, err := h.proposeNow(e.command)
+	index, err := h.appendCommand(e.command)
 	if err != nil {
-		e.reply <- answer{err: err}
+		e.reply <- proposalResult{err: err}
 		return
 	}
 	h.proposals[index] = pendingProposal{term: h.term, until: now.Add(proposalTimeout), reply: e.reply}
 }
 
 // proposeNow appends a command and returns its log index.
-func (h *Host) proposeNow(c agreed.Command) (uint64, error) {
-	if h.saveFail != nil {
-		return 0, h.saveFail
+func (h *Host) appendCommand(c agreed.Command) (uint64, error) {
+	if h.saveErr != nil {
+		return 0, h.saveErr
 	}
 	if !h.leading {
 		return 0, h.errNotLeader()
@@ -91,7 +91,7 @@
 		h.failover.commandDone(p.service, err == nil && out.Code == 0)
 		return
 	}
-	p.reply <- answer{outcome: out, err: err}
+	p.reply <- proposalResult{outcome: out, err: err}
 }
 
 func (h *Host) expireProposals(now time.Time) {
@@ -112,7 +112,7 @@
 // still be accepted later.
 func (h *Host) Propose(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
 	return retryProposal(ctx, func(ctx context.Context) (agreed.Outcome, error) {
-		info := h.lead.Load()
+		info := h.leaderInfo.Load()
 		switch {
 		case info.leading:
 			return h.proposeLocal(ctx, c)
@@ -158,9 +158,9 @@
 }
 
 func (h *Host) proposeLocal(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
-	reply := make(chan answer, 1)
+	reply := make(chan proposalResult, 1)
 	if !h.post(proposeEvent{command: c, reply: reply}) {
-		return agreed.Outcome{}, result.New(result.QueueFull, "%v", errStopped)
+		return agreed.Outcome{}, result.New(result.QueueFull, "%v", errTaskUnavailable)
 	}
 	select {
 	case <-ctx.Done():
@@ -197,7 +197,7 @@
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	if p.Forwarded {
-		if !h.lead.Load().leading {
+		if !h.leaderInfo.Load().leading {
 			return agreed.Outcome{}, result.New(result.NotLeader, "this host does not lead")
 		}
 		return h.proposeLocal(ctx, p.Command)
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -15,11 +15,11 @@
 const (
 	// recentLimit is the number of states from which deltas can be made. A
 	// subscriber further behind gets a snapshot.
-	recentLimit = 256
+	maxRecentStates = 256
 	// resendAfter is how long a subscriber may fall short of what was pushed before
 	// a request that shows so causes another push: many round trips between failure
 	// domains (3 ms).
-	resendAfter = 100 * time.Millisecond
+	resendDelay = 100 * time.Millisecond
 	// subscriptionTimeout ends the subscription of a silent host.
 	subscriptionTimeout = 5 * time.Second
 )
@@ -32,8 +32,8 @@
 	applied uint64
 	// short is since when the host has been behind what was pushed without having
 	// come nearer. Later pushes do not help it once it has missed one.
-	short time.Time
-	seen  time.Time
+	behindSince time.Time
+	lastSeen    time.Time
 }
 
 // recentStates are the last states in ascending order of revision.
@@ -43,8 +43,8 @@
 
 func (r *recentStates) add(s *agreed.State) {
 	r.states = append(r.states, s)
-	if len(r.states) > recentLimit {
-		r.states = slices.Delete(r.states, 0, len(r.states)-recentLimit)
+	if len(r.states) > maxRecentStates {
+		r.states = slices.Delete(r.states, 0, len(r.states)-maxRecentStates)
 	}
 }
 
@@ -65,25 +65,25 @@
 }
 
 // follow notes that a host follows the state and pushes what it lacks.
-func (h *Host) follow(now time.Time, id lease.ID, addr string, applied uint64) {
+func (h *Host) updateSubscriber(now time.Time, id lease.ID, addr string, applied uint64) {
 	sub := h.subscribers[id]
 	if sub == nil {
 		sub = &subscription{sent: applied, applied: applied}
 		h.subscribers[id] = sub
 	}
-	sub.addr, sub.seen = addr, now
-	if sub.named(now, applied) && sub.sent < h.state.Revision {
+	sub.addr, sub.lastSeen = addr, now
+	if sub.acknowledge(now, applied) && sub.sent < h.state.Revision {
 		h.push(now, id, sub, map[uint64]cbor.RawMessage{})
 	}
 }
 
 // named notes the revision that the host has applied. It reports whether the
 // next push should start there.
-func (s *subscription) named(now time.Time, applied uint64) bool {
+func (s *subscription) acknowledge(now time.Time, applied uint64) bool {
 	if applied != s.applied {
-		s.applied, s.short = applied, now
+		s.applied, s.behindSince = applied, now
 	}
-	if s.sent > applied && now.Sub(s.short) < resendAfter {
+	if s.sent > applied && now.Sub(s.behindSince) < resendDelay {
 		return false
 	}
 	s.sent = applied
@@ -91,9 +91,9 @@
 }
 
 // pushed notes a push up to a revision.
-func (s *subscription) pushed(now time.Time, revision uint64) {
+func (s *subscription) recordPush(now time.Time, revision uint64) {
 	if s.sent <= s.applied {
-		s.short = now
+		s.behindSince = now
 	}
 	s.sent = revision
 }
@@ -103,7 +103,7 @@
 func (h *Host) pushAll(now time.Time) {
 	encoded := make(map[uint64]cbor.RawMessage)
 	for id, sub := range h.subscribers {
-		if now.Sub(sub.seen) > subscriptionTimeout {
+		if now.Sub(sub.lastSeen) > subscriptionTimeout {
 			delete(h.subscribers, id)
 			continue
 		}
@@ -135,7 +135,7 @@
 		h.log.Debug("push_failed", "peer", id.Host, "err", err.Error())
 		return
 	}
-	sub.pushed(now, h.state.Revision)
+	sub.recordPush(now, h.state.Revision)
 }
 
 // noRevision is greater than any revision.
--- a/internal/control/publish_test.go
+++ b/internal/control/publish_test.go
@@ -12,10 +12,10 @@
 	sub := &subscription{sent: 4, applied: 4}
 	const step = 20 * time.Millisecond
 	for i := range uint64(20) {
-		sub.pushed(now, 5+i)
+		sub.recordPush(now, 5+i)
 		now = now.Add(step)
-		if sub.named(now, 4) {
-			if behind := now.Sub(time.Unix(100, 0)); behind > resendAfter+step {
+		if sub.acknowledge(now, 4) {
+			if behind := now.Sub(time.Unix(100, 0)); behind > resendDelay+step {
 				t.Errorf("sent again after %v", behind)
 			}
 			if sub.sent != 4 {
@@ -32,9 +32,9 @@
 	now := time.Unix(100, 0)
 	sub := &subscription{sent: 4, applied: 4}
 	for i := range uint64(20) {
-		sub.pushed(now, 6+i)
-		now = now.Add(resendAfter / 2)
-		if sub.named(now, 5+i) {
+		sub.recordPush(now, 6+i)
+		now = now.Add(resendDelay / 2)
+		if sub.acknowledge(now, 5+i) {
 			t.Fatalf("push %d is repeated", i)
 		}
 	}
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -11,7 +11,7 @@
 
 // firstRead numbers the confirmations of linearizable reads above those of
 // lease rounds, which are below startSeq plus the rounds of a process.
-const firstRead = uint64(1) << 63
+const firstReadID = uint64(1) << 63
 
 // documentResult answers a read of the document.
 type documentResult struct {
@@ -20,24 +20,24 @@
 }
 
 // reads are the linearizable reads that wait for a confirmation of the leader.
-type reads struct {
+type pendingReads struct {
 	next    uint64
 	pending map[uint64]chan documentResult // buffered
 }
 
-func newReads() reads {
-	return reads{next: firstRead, pending: make(map[uint64]chan documentResult)}
+func newPendingReads() pendingReads {
+	return pendingReads{next: firstReadID, pending: make(map[uint64]chan documentResult)}
 }
 
 // failAll gives up every read.
-func (r *reads) failAll() {
+func (r *pendingReads) failAll() {
 	for id := range r.pending {
 		r.finish(id, documentResult{err: result.New(result.NotLeader, "the leader changed")})
 	}
 }
 
 // finish answers a read and reports whether there was one with the number.
-func (r *reads) finish(id uint64, d documentResult) bool {
+func (r *pendingReads) finish(id uint64, d documentResult) bool {
 	reply, ok := r.pending[id]
 	if ok {
 		delete(r.pending, id)
@@ -62,7 +62,7 @@
 }
 
 func (e readEvent) handle(h *Host, _ time.Time) {
-	if !h.leading || h.saveFail != nil {
+	if !h.leading || h.saveErr != nil {
 		e.reply <- documentResult{err: h.errNotLeader()}
 		return
 	}
@@ -93,7 +93,7 @@
 }
 
 func (h *Host) documentOnce(ctx context.Context) (agreed.Document, error) {
-	info := h.lead.Load()
+	info := h.leaderInfo.Load()
 	switch {
 	case info.leading:
 		return h.localDocument(ctx)
@@ -110,7 +110,7 @@
 func (h *Host) localDocument(ctx context.Context) (agreed.Document, error) {
 	reply := make(chan documentResult, 1)
 	if !h.post(readEvent{reply: reply}) {
-		return agreed.Document{}, result.New(result.QueueFull, "%v", errStopped)
+		return agreed.Document{}, result.New(result.QueueFull, "%v", errTaskUnavailable)
 	}
 	select {
 	case d := <-reply:
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -17,8 +17,8 @@
 const (
 	// directShare is the share of the time that the leader spends on its own
 	// attempt before it asks other hosts.
-	directShare = 2
-	maxHelpers  = 2 // hosts
+	directAttemptDivisor = 2
+	maxHelpers           = 2 // hosts
 )
 
 // endpointRequest asks a host to probe or promote an endpoint.
@@ -66,18 +66,18 @@
 }
 
 // reacher probes and promotes endpoints, by itself or through other hosts.
-type reacher struct {
+type endpointClient struct {
 	node      *peer.Node
-	databases EndpointManager
+	endpoints EndpointManager
 	state     *agreed.State
 	// fenced orders are given by the leader alone, once.
 	fenced bool
 }
 
 // probe reads the condition of an endpoint.
-func (r reacher) probe(ctx context.Context, e agreed.Endpoint) failover.Condition {
-	direct, cancel := shorten(ctx, directShare)
-	seen := r.databases.Probe(direct, r.state.Catalog.Services[e.Service], e)
+func (r endpointClient) probe(ctx context.Context, e agreed.Endpoint) failover.Condition {
+	direct, cancel := withTimeFraction(ctx, directAttemptDivisor)
+	seen := r.endpoints.Probe(direct, r.state.Catalog.Services[e.Service], e)
 	cancel()
 	for _, helper := range r.helpers(e) {
 		if seen.Reachable || ctx.Err() != nil {
@@ -92,12 +92,12 @@
 }
 
 // promote orders an endpoint to become the primary.
-func (r reacher) promote(ctx context.Context, e agreed.Endpoint, fence uint64) (failover.OrderOutcome, error) {
+func (r endpointClient) promote(ctx context.Context, e agreed.Endpoint, fence uint64) (failover.OrderOutcome, error) {
 	if r.fenced {
-		return r.databases.Promote(ctx, r.order(e, fence))
+		return r.endpoints.Promote(ctx, r.order(e, fence))
 	}
-	direct, cancel := shorten(ctx, directShare)
-	_, err := r.databases.Promote(direct, r.order(e, fence))
+	direct, cancel := withTimeFraction(ctx, directAttemptDivisor)
+	_, err := r.endpoints.Promote(direct, r.order(e, fence))
 	cancel()
 	for _, helper := range r.helpers(e) {
 		if err == nil || ctx.Err() != nil {
@@ -111,13 +111,13 @@
 	return failover.OrderAccepted, nil
 }
 
-func (r reacher) order(e agreed.Endpoint, fence uint64) failover.Order {
+func (r endpointClient) order(e agreed.Endpoint, fence uint64) failover.Order {
 	return failover.Order{Service: r.state.Catalog.Services[e.Service], Endpoint: e, Fence: fence}
 }
 
 // helpers are entry hosts that may reach the endpoint: those in its failure
 // domain first.
-func (r reacher) helpers(e agreed.Endpoint) []agreed.Host {
+func (r endpointClient) helpers(e agreed.Endpoint) []agreed.Host {
 	var hosts []agreed.Host
 	for _, h := range r.state.Hosts {
 		if h.Entry && h.ID != r.node.Host() {
@@ -146,7 +146,7 @@
 }
 
 // shorten returns a context with a fraction of the time that ctx has left.
-func shorten(ctx context.Context, share int) (context.Context, context.CancelFunc) {
+func withTimeFraction(ctx context.Context, share int) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -27,7 +27,7 @@
 // Status returns the leader's status, or this host's own when the leader cannot
 // be reached.
 func (h *Host) Status(ctx context.Context) (Status, error) {
-	info := h.lead.Load()
+	info := h.leaderInfo.Load()
 	if !info.leading && info.leader != "" {
 		ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
@@ -43,7 +43,7 @@
 func (h *Host) LocalStatus(ctx context.Context) (Status, error) {
 	reply := make(chan Status, 1)
 	if !h.post(statusEvent{reply: reply}) {
-		return Status{}, result.New(result.QueueFull, "%v", errStopped)
+		return Status{}, result.New(result.QueueFull, "%v", errTaskUnavailable)
 	}
 	select {
 	case <-ctx.Done():
@@ -109,7 +109,7 @@
 	for _, a := range h.announced {
 		list = append(list, EndpointStatus{
 			Endpoint: a.Endpoint, Primary: a.Primary, Timeline: a.Timeline, LSN: a.LSN,
-			Age: now.Sub(a.at), Refused: a.refused,
+			Age: now.Sub(a.receivedAt), Refused: a.refusal,
 		})
 	}
 	slices.SortFunc(list, func(a, b EndpointStatus) int { return cmp.Compare(a.ID, b.ID) })
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -21,7 +21,7 @@
 const (
 	// silenceShare is the part of a lease that a control host may leave requests
 	// unanswered before the subscriber turns to another one.
-	silenceShare = 3
+	silenceDivisor = 3
 	// registerInterval is the time between two attempts to register, each of which
 	// may take registerTimeout: after a loss of power many hosts wait for each.
 	registerInterval = 300 * time.Millisecond
@@ -29,10 +29,10 @@
 	subscriberTick   = 50 * time.Millisecond
 	// startRenewInterval is the time between two requests of a host that has no
 	// lease: the control hosts may be starting as well.
-	startRenewInterval = 100 * time.Millisecond
+	initialRenewInterval = 100 * time.Millisecond
 	// startSilence is how long a host without a lease waits for a control host: an
 	// election of control hosts that have all started anew takes 0.1 to 0.6 s.
-	startSilence = 350 * time.Millisecond
+	initialSilenceTimeout = 350 * time.Millisecond
 )
 
 // SubscriberOptions configure a Subscriber.
@@ -68,15 +68,15 @@
 	state  *agreed.State
 	holder *lease.Holder
 	// known are the control hosts that the state and the settings name.
-	known []config.ControlHost
+	candidates []config.ControlHost
 	// homed is set once a control host of the own failure domain was chosen.
-	homed bool
+	localChosen bool
 	// heard is when the upstream last granted a lease, or was chosen.
-	heard      time.Time
-	renewed    time.Time
-	registered time.Time // when registration was last attempted
-	leaving    bool
-	leased     bool // as last logged
+	lastGrant    time.Time
+	lastRenew    time.Time
+	lastRegister time.Time // when registration was last attempted
+	leaving      bool
+	leased       bool // as last logged
 }
 
 // subscriberEvent is a message to the task of a Subscriber.
@@ -93,19 +93,19 @@
 	s := &Subscriber{
 		opts:    opts,
 		log:     opts.Logger,
-		events:  make(chan subscriberEvent, eventBacklog),
+		events:  make(chan subscriberEvent, eventQueueSize),
 		metrics: newSubscriberMetrics(opts.Registry),
 	}
-	s.learn(agreed.New())
-	s.choose(s.firstUpstream())
+	s.updateCandidates(agreed.New())
+	s.setUpstream(s.firstUpstream())
 	peer.On(opts.Peer, peer.KindDelta, func(_ peer.Identity, d agreed.Delta) {
 		s.post(deltaEvent{d})
 	})
 	peer.On(opts.Peer, peer.KindSnapshot, func(_ peer.Identity, p snapshotPush) {
 		s.post(snapshotEvent{p})
 	})
-	peer.On(opts.Peer, peer.KindRenewNo, func(from peer.Identity, _ renewNo) {
-		s.post(turnedAwayEvent{from.Host})
+	peer.On(opts.Peer, peer.KindRenewNo, func(from peer.Identity, _ renewRefusal) {
+		s.post(renewRefusedEvent{from.Host})
 	})
 	peer.On(opts.Peer, peer.KindRenewOK, func(from peer.Identity, ok lease.RenewOK) {
 		s.post(grantEvent{from.Host, ok})
@@ -126,15 +126,15 @@
 	if s.state == nil {
 		s.state = agreed.New()
 	}
-	s.holder = lease.NewHolder(s.opts.Lease, startSeq())
-	s.learn(s.state)
-	s.choose(s.firstUpstream())
-	s.heard, s.renewed, s.leaving = now, time.Time{}, false
+	s.holder = lease.NewHolder(s.opts.Lease, initialSeq())
+	s.updateCandidates(s.state)
+	s.setUpstream(s.firstUpstream())
+	s.lastGrant, s.lastRenew, s.leaving = now, time.Time{}, false
 	defer s.opts.View.Publish(view.View{})
 	ticker := time.NewTicker(subscriberTick)
 	defer ticker.Stop()
 	for {
-		s.advance(ctx, clock.Now())
+		s.runDueTasks(ctx, clock.Now())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -146,30 +146,30 @@
 }
 
 // control is the upstream.
-func (s *Subscriber) control() config.ControlHost { return *s.current.Load() }
+func (s *Subscriber) upstream() config.ControlHost { return *s.current.Load() }
 
 // choose makes a control host the upstream.
-func (s *Subscriber) choose(c config.ControlHost) { s.current.Store(&c) }
+func (s *Subscriber) setUpstream(c config.ControlHost) { s.current.Store(&c) }
 
 // advance does what is due.
-func (s *Subscriber) advance(ctx context.Context, now time.Time) {
+func (s *Subscriber) runDueTasks(ctx context.Context, now time.Time) {
 	s.metrics.update(s, now)
 	if s.leased {
-		s.noteLease(s.isRegistered())
+		s.logLeaseChange(s.isRegistered())
 	}
-	silence, interval := s.opts.Lease.Duration/silenceShare, s.opts.Lease.RenewInterval
+	silence, interval := s.opts.Lease.Duration/silenceDivisor, s.opts.Lease.RenewInterval
 	if !s.leased {
-		silence, interval = min(silence, startSilence), min(interval, startRenewInterval)
+		silence, interval = min(silence, initialSilenceTimeout), min(interval, initialRenewInterval)
 	}
-	if now.Sub(s.heard) > silence {
-		s.turn(now, s.nextUpstream())
-		s.log.Info("control_host_silent", "next", s.control().Host)
+	if now.Sub(s.lastGrant) > silence {
+		s.switchUpstream(now, s.nextUpstream())
+		s.log.Info("control_host_silent", "next", s.upstream().Host)
 	}
-	if now.Sub(s.renewed) >= interval {
+	if now.Sub(s.lastRenew) >= interval {
 		s.renew(now)
 	}
-	if !s.isRegistered() && now.Sub(s.registered) >= registerInterval {
-		s.registered = now
+	if !s.isRegistered() && now.Sub(s.lastRegister) >= registerInterval {
+		s.lastRegister = now
 		s.register(ctx)
 	}
 }
@@ -177,11 +177,11 @@
 // turn makes another control host the upstream. The host gives up what is on its
 // way from the former one, which would otherwise count for the revision that it
 // names now; a valid lease it keeps.
-func (s *Subscriber) turn(now time.Time, next config.ControlHost) {
-	former := s.control()
-	s.choose(next)
-	s.heard, s.renewed = now, time.Time{}
-	s.metrics.turns.Inc()
+func (s *Subscriber) switchUpstream(now time.Time, next config.ControlHost) {
+	former := s.upstream()
+	s.setUpstream(next)
+	s.lastGrant, s.lastRenew = now, time.Time{}
+	s.metrics.upstreamSwitches.Inc()
 	if former == next {
 		return
 	}
@@ -194,8 +194,8 @@
 	if s.leaving {
 		return
 	}
-	s.renewed = now
-	c := s.control()
+	s.lastRenew = now
+	c := s.upstream()
 	if err := s.opts.Peer.Send(c.Host, c.Addr, peer.KindRenew, s.holder.Renew(now, s.state.Revision)); err != nil {
 		s.log.Debug("renew_failed", "control", c.Host, "err", err.Error())
 	}
@@ -204,10 +204,10 @@
 // isRegistered reports whether the state names this very process.
 func (s *Subscriber) isRegistered() bool {
 	host, ok := s.state.Hosts[s.opts.Peer.Host()]
-	return ok && host == s.self(host.Registered)
+	return ok && host == s.hostRecord(host.Registered)
 }
 
-func (s *Subscriber) self(registered uint64) agreed.Host {
+func (s *Subscriber) hostRecord(registered uint64) agreed.Host {
 	return agreed.Host{
 		ID:          s.opts.Peer.Host(),
 		PeerAddr:    s.opts.Peer.Addr(),
@@ -225,8 +225,8 @@
 	if s.leaving {
 		return
 	}
-	c := s.control()
-	p := proposal{Command: agreed.Command{RegisterHost: &agreed.RegisterHost{Host: s.self(0)}}}
+	c := s.upstream()
+	p := proposal{Command: agreed.Command{RegisterHost: &agreed.RegisterHost{Host: s.hostRecord(0)}}}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 		defer cancel()
@@ -250,11 +250,11 @@
 		v.ValidUntil = s.holder.ValidUntil(s.state.Revision)
 	}
 	s.opts.View.Publish(v)
-	s.noteLease(registered)
+	s.logLeaseChange(registered)
 }
 
 // noteLease logs when the lease is gained or lost.
-func (s *Subscriber) noteLease(registered bool) {
+func (s *Subscriber) logLeaseChange(registered bool) {
 	valid := s.opts.View.Current().Valid()
 	if valid == s.leased {
 		return
@@ -265,5 +265,5 @@
 		event = "lease_gained"
 	}
 	s.log.Info(event, "revision", s.state.Revision, "settled", s.holder.Settled(), "registered", registered,
-		"control", s.control().Host, "heard_ms", clock.Since(s.heard).Milliseconds())
+		"control", s.upstream().Host, "heard_ms", clock.Since(s.lastGrant).Milliseconds())
 }
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -20,7 +20,7 @@
 	switch {
 	case err == nil:
 		s.setState(now, next)
-	case e.delta.From > s.state.Revision && now.Sub(s.renewed) >= resendAfter:
+	case e.delta.From > s.state.Revision && now.Sub(s.lastRenew) >= resendDelay:
 		s.renew(now) // shows the control host what was missed
 	}
 }
@@ -48,8 +48,8 @@
 		return
 	}
 	s.state = next
-	s.learn(next)
-	s.goHome(now)
+	s.updateCandidates(next)
+	s.switchToLocal(now)
 	for _, h := range next.Hosts {
 		s.opts.Peer.Observe(h.ID, h.Incarnation)
 	}
@@ -58,24 +58,24 @@
 }
 
 // goHome turns once to a control host of the own failure domain.
-func (s *Subscriber) goHome(now time.Time) {
-	if !s.opts.OpenMembership || s.homed {
+func (s *Subscriber) switchToLocal(now time.Time) {
+	if !s.opts.OpenMembership || s.localChosen {
 		return
 	}
-	if c, ok := s.nearest(); ok {
-		s.homed = true
-		s.turn(now, c)
+	if c, ok := s.localUpstream(); ok {
+		s.localChosen = true
+		s.switchUpstream(now, c)
 	}
 }
 
 // turnedAwayEvent tells that a control host has no state to offer.
-type turnedAwayEvent struct {
+type renewRefusedEvent struct {
 	from string
 }
 
-func (e turnedAwayEvent) handle(s *Subscriber, now time.Time) {
-	if e.from == s.control().Host && !s.leased {
-		s.turn(now, s.nextUpstream())
+func (e renewRefusedEvent) handle(s *Subscriber, now time.Time) {
+	if e.from == s.upstream().Host && !s.leased {
+		s.switchUpstream(now, s.nextUpstream())
 	}
 }
 
@@ -86,7 +86,7 @@
 
 func (e seedsEvent) handle(s *Subscriber, _ time.Time) {
 	s.opts.Controls = e.seeds
-	s.learn(s.state)
+	s.updateCandidates(s.state)
 }
 
 // SetSeeds replaces the seeds of an open fleet, as after a reload of settings.
@@ -103,8 +103,8 @@
 }
 
 func (e grantEvent) handle(s *Subscriber, now time.Time) {
-	if e.from == s.control().Host {
-		s.heard = now
+	if e.from == s.upstream().Host {
+		s.lastGrant = now
 	}
 	s.holder.Granted(e.ok)
 	s.publish()
@@ -118,7 +118,7 @@
 func (e leaveEvent) handle(s *Subscriber, _ time.Time) {
 	s.leaving = true
 	s.publish()
-	e.done <- s.control()
+	e.done <- s.upstream()
 }
 
 // Leave withdraws the view, for good, and takes the host out of the fleet. Call
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -11,9 +11,9 @@
 
 // learn notes the control hosts that the host may follow: those of the
 // settings, and in an open fleet those of the agreed state before them.
-func (s *Subscriber) learn(state *agreed.State) {
+func (s *Subscriber) updateCandidates(state *agreed.State) {
 	if !s.opts.OpenMembership {
-		s.known = s.opts.Controls
+		s.candidates = s.opts.Controls
 		return
 	}
 	known := make([]config.ControlHost, 0, len(s.opts.Controls))
@@ -30,7 +30,7 @@
 			known = append(known, seed)
 		}
 	}
-	s.known = known
+	s.candidates = known
 }
 
 // distance orders control hosts: this host, those of its failure domain, others.
@@ -48,33 +48,33 @@
 // firstUpstream prefers the control role of the same host. Other hosts spread
 // over the control hosts.
 func (s *Subscriber) firstUpstream() config.ControlHost {
-	for _, c := range s.known {
+	for _, c := range s.candidates {
 		if c.Host == s.opts.Peer.Host() {
 			return c
 		}
 	}
-	return s.known[s.opts.Peer.Incarnation()%uint64(len(s.known))]
+	return s.candidates[s.opts.Peer.Incarnation()%uint64(len(s.candidates))]
 }
 
 // nextUpstream returns the control host after the present one.
 func (s *Subscriber) nextUpstream() config.ControlHost {
-	at := slices.IndexFunc(s.known, func(c config.ControlHost) bool { return c.Host == s.control().Host })
-	return s.known[(at+1)%len(s.known)]
+	at := slices.IndexFunc(s.candidates, func(c config.ControlHost) bool { return c.Host == s.upstream().Host })
+	return s.candidates[(at+1)%len(s.candidates)]
 }
 
 // nearest returns a control host in the failure domain of this one, if there is
 // any, so that pushes and leases stay inside of it.
-func (s *Subscriber) nearest() (config.ControlHost, bool) {
+func (s *Subscriber) localUpstream() (config.ControlHost, bool) {
 	var near []string
-	for _, c := range s.known {
+	for _, c := range s.candidates {
 		if s.distance(s.state, c.Host) < 2 {
 			near = append(near, c.Host)
 		}
 	}
 	chosen := rendezvous.Owner(near, s.opts.Peer.Host())
-	at := slices.IndexFunc(s.known, func(c config.ControlHost) bool { return c.Host == chosen })
+	at := slices.IndexFunc(s.candidates, func(c config.ControlHost) bool { return c.Host == chosen })
 	if at < 0 {
 		return config.ControlHost{}, false
 	}
-	return s.known[at], true
+	return s.candidates[at], true
 }
