--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -8,37 +8,41 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Lifetimes of announcements.
+// Timing of endpoint announcements.
 const (
-	// announcementTTL is how long an announcement counts without a newer one.
+	// announcementTTL is how long a request to leave is honored after the last
+	// announcement.
 	announcementTTL = 10 * time.Second
-	// endpointRetention is how long a silent member keeps its place in a group
-	// when another endpoint asks for one.
+	// endpointRetention is how long a member that sends no announcements stays in
+	// a full group when another endpoint asks to join it.
 	endpointRetention = 60 * time.Second
-	// announcementMemory is how long the leader remembers a silent endpoint.
+	// announcementRetention is how long the leader keeps the last announcement of
+	// an endpoint.
 	announcementRetention = 10 * time.Minute
-	// proposeInterval is the time between two commands for one endpoint.
+	// proposeInterval is the minimum time between two commands for one endpoint.
 	proposeInterval = time.Second
 )
 
-// announced is what the leader knows about an endpoint that announced itself.
+// announcedEndpoint is the last announcement of an endpoint, held in memory by the
+// leader only.
 type announcedEndpoint struct {
 	Announcement
 	receivedAt time.Time
 	proposedAt time.Time
-	// refused tells why the endpoint is not a member.
+	// refusal is why the endpoint is not a member, empty if nothing prevents it.
 	refusal string
 }
 
-// joinFloor is the position that an endpoint must have to join a group whose
-// members changed at a revision: every write acknowledged by the former members
-// lies below it.
+// joinPosition is the log position that an endpoint must have reached to join a
+// group that last changed at the given revision. It was reported by the primary
+// after that revision was settled, so every write acknowledged by the former
+// members lies below it.
 type joinPosition struct {
 	changed uint64
 	lsn     uint64
 }
 
-// announceEvent is an announcement that reached this host.
+// announceEvent is an announcement received by this host.
 type announceEvent struct {
 	announcement Announcement
 }
@@ -58,12 +62,14 @@
 	h.announced[a.Endpoint.ID] = a
 }
 
-// Announce takes an announcement heard by this host.
+// Announce queues an announcement that this host received. It may be dropped;
+// endpoints repeat their announcements.
 func (h *Host) Announce(a Announcement) {
 	h.post(announceEvent{announcement: a})
 }
 
-// forwardToLeader sends soft state on; it is lost when no leader is known.
+// forwardToLeader forwards soft state to the leader, or drops it when no leader is
+// known.
 func (h *Host) forwardToLeader(kind peer.Kind, msg any) {
 	leader := h.node.Status().Leader
 	if leader == "" || leader == h.opts.Peer.Host() {
@@ -74,8 +80,8 @@
 	}
 }
 
-// raiseFloor notes the position of a group's primary once the last change of
-// the group is settled.
+// recordJoinPosition records the position of a group's primary, once for each
+// change of the group and only after that change is settled.
 func (h *Host) recordJoinPosition(a announcedEndpoint) {
 	g := h.state.Groups[a.Endpoint.Service]
 	if g.Phase != agreed.PhaseActive || g.Primary != a.Endpoint.ID || h.broker.Settled() < g.Changed {
@@ -86,8 +92,9 @@
 	}
 }
 
-// enlist makes an endpoint a member of its group when it may be one, or
-// proposes its changed address and failure domain.
+// proposeMember proposes to add an endpoint to its group if it is eligible, or to
+// update its address and failure domain if it is a member. It returns the
+// announcement with the time of the proposal or the reason of a refusal.
 func (h *Host) proposeMember(now time.Time, a announcedEndpoint) announcedEndpoint {
 	known, member := h.state.Endpoints[a.Endpoint.ID]
 	if member && known == a.Endpoint {
@@ -106,7 +113,8 @@
 	return a
 }
 
-// refusal tells why an endpoint cannot be put into its group now.
+// joinRefusal returns why an endpoint cannot be put into its group now, or an empty
+// string. A non-member of an active group must have reached the join position.
 func (h *Host) joinRefusal(now time.Time, a announcedEndpoint, member bool) string {
 	g, ok := h.state.Groups[a.Endpoint.Service]
 	switch {
@@ -129,7 +137,9 @@
 	return ""
 }
 
-// makeRoom removes one member that has been silent for the retention time.
+// removeSilentMember proposes to remove one member, other than the primary, that
+// has sent no announcement for endpointRetention. A leader confirmed more recently
+// than that removes none, since it cannot know who was silent.
 func (h *Host) removeSilentMember(now time.Time, g agreed.Group) {
 	if g.Phase != agreed.PhaseActive || now.Sub(h.confirmedAt) < endpointRetention {
 		return
@@ -143,7 +153,8 @@
 	}
 }
 
-// forgetAnnouncements drops endpoints that have been silent for long.
+// expireAnnouncements drops announcements older than announcementRetention and the
+// join positions of groups that no longer exist.
 func (h *Host) expireAnnouncements(now time.Time) {
 	for id, a := range h.announced {
 		if now.Sub(a.receivedAt) > announcementRetention {
@@ -157,7 +168,8 @@
 	}
 }
 
-// leavingEndpoints are the endpoints that asked to be taken out of use.
+// leavingEndpoints returns the endpoints whose current announcement asks to be
+// taken out of use.
 func (h *Host) leavingEndpoints(now time.Time) map[string]bool {
 	leaving := make(map[string]bool)
 	for id, a := range h.announced {
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -7,8 +7,8 @@
 	"github.com/galenabridge/galenabridge/internal/peer"
 )
 
-// Propose proposes a command through the control host that this host follows
-// and returns its outcome. See Host.Propose.
+// Propose proposes a command through the upstream control host and returns its
+// outcome. See Host.Propose.
 func (s *Subscriber) Propose(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
 	return retryProposal(ctx, func(ctx context.Context) (agreed.Outcome, error) {
 		up := s.current.Load()
@@ -16,8 +16,8 @@
 	})
 }
 
-// Status returns the status of the fleet as the leader sees it, or as far as
-// the control host that this host follows knows it.
+// Status returns the leader's status of the fleet. If the upstream control host
+// cannot reach the leader, it is the status of that control host.
 func (s *Subscriber) Status(ctx context.Context) (Status, error) {
 	up := s.current.Load()
 	var status Status
@@ -25,17 +25,19 @@
 	return status, err
 }
 
-// Announce passes an announcement of an endpoint on to the leader. It may be
-// lost; endpoints announce themselves regularly.
+// Announce forwards an endpoint's announcement to the leader, without
+// acknowledgment. A lost one is made good by the endpoint's next announcement.
 func (s *Subscriber) Announce(a Announcement) {
 	s.sendBestEffort(peer.KindAnnounce, a)
 }
 
-// Observe passes an observation of a watcher on to the leader. It may be lost.
+// Observe forwards an observation of a watcher to the leader, without
+// acknowledgment.
 func (s *Subscriber) Observe(o Observation) {
 	s.sendBestEffort(peer.KindObservation, o)
 }
 
+// sendBestEffort sends soft state to the upstream; a failed send is only logged.
 func (s *Subscriber) sendBestEffort(kind peer.Kind, msg any) {
 	up := s.current.Load()
 	if err := s.opts.Peer.Send(up.Host, up.Addr, kind, msg); err != nil {
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -1,11 +1,14 @@
-// Package control keeps and distributes the agreed state.
+// Package control replicates the agreed state among the control hosts and
+// distributes it to all hosts.
 //
 // A Host is the control role of a host with a disk. It drives consensus and the
-// store, applies commands, and serves subscribers: it pushes them numbered
-// deltas and grants their configuration leases, on the leader after a
-// confirmation of its quorum, elsewhere after a request of its own to the
-// leader. The leader also ages out hosts and runs the failover of groups.
+// store, applies committed commands, and serves subscribers: it pushes deltas
+// between revisions and grants configuration leases. The leader grants leases
+// after a quorum has confirmed its leadership; another control host first
+// requests a lease from the leader as a relay. The leader also removes hosts
+// whose lease has expired and runs the failover of groups.
 //
-// A Subscriber runs on every host. It follows the agreed state through one
-// control host at a time, registers its host and publishes a view.Box.
+// A Subscriber runs on every host. It receives the agreed state from one control
+// host at a time (its upstream), keeps its host registered, renews the
+// configuration lease, and publishes state and lease to a view.Box.
 package control
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -10,7 +10,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// stepEvent is a consensus message of a peer.
+// consensusEvent is a consensus message received from a peer.
 type consensusEvent struct {
 	from    string
 	message consensus.Message
@@ -26,7 +26,8 @@
 	}
 }
 
-// tick lets time pass for consensus, leases and the duties of the leader.
+// tick advances timeouts and runs the periodic tasks of consensus, leases and the
+// leader.
 func (h *Host) tick(now time.Time) {
 	h.node.Tick()
 	h.expireProposals(now)
@@ -39,7 +40,8 @@
 	h.metrics.update(h)
 }
 
-// process does the work that consensus hands out, until there is none.
+// process handles the output of consensus until there is none left. After a failed
+// save it returns, and the save is attempted again with the next event or tick.
 func (h *Host) process(now time.Time) error {
 	for {
 		if err := h.processReady(now); err != nil {
@@ -79,8 +81,8 @@
 	return nil
 }
 
-// saveFailed keeps the work for a later attempt. Proposers are told, since
-// nothing of theirs was sent.
+// recordSaveError records that the store failed. The pending output of consensus
+// is kept and saved again later. Until then new proposals fail with the error.
 func (h *Host) recordSaveError(err error) {
 	if h.saveErr == nil {
 		h.log.Error("store_save_failed", "err", err.Error())
@@ -88,6 +90,7 @@
 	h.saveErr = err
 }
 
+// installSnapshot replaces the state by a snapshot received from the leader.
 func (h *Host) installSnapshot(snap *consensus.Snapshot) error {
 	if snap == nil {
 		return nil
@@ -112,6 +115,8 @@
 	}
 }
 
+// applyEntries applies committed entries in order, answers their proposers and
+// then publishes the resulting state once.
 func (h *Host) applyEntries(now time.Time, entries []consensus.Entry) error {
 	state := h.state
 	for _, e := range entries {
@@ -137,7 +142,8 @@
 	return nil
 }
 
-// setState replaces the state and tells everyone who follows it.
+// setState replaces the state and pushes it to the subscribers. A state older than
+// the current one is ignored.
 func (h *Host) setState(now time.Time, s *agreed.State) {
 	if s.Revision < h.state.Revision {
 		return
@@ -152,8 +158,8 @@
 	h.failover.stateChanged()
 }
 
-// rejoin starts anew with an empty data folder after the peers have shown that
-// this one must not be used.
+// rejoin clears the data folder and joins the group as a new member, after the
+// peers have shown that the stored data is outdated and must not be used.
 func (h *Host) rejoin() error {
 	h.log.Warn("data_folder_outdated", "action", "joining anew")
 	h.stopLeading()
@@ -169,7 +175,7 @@
 	return nil
 }
 
-// compact takes a snapshot when the log has grown.
+// compact takes a snapshot once CompactEvery entries were applied since the last.
 func (h *Host) compact() error {
 	st := h.node.Status()
 	if st.Applied < st.Snapshot+h.opts.CompactEvery {
@@ -182,7 +188,8 @@
 	return h.node.Compact(st.Applied, data)
 }
 
-// followRole notices when this host becomes the leader or ceases to be.
+// updateRole starts or stops leading when the role or term in consensus has
+// changed, and publishes the known leader to proposers.
 func (h *Host) updateRole(now time.Time) {
 	st := h.node.Status()
 	leading := st.Role == consensus.Leader
@@ -199,6 +206,8 @@
 	}
 }
 
+// startLeading takes over as leader of a term. The leader runs no tasks and answers
+// no read until a quorum has confirmed it; see confirmLeadership.
 func (h *Host) startLeading(now time.Time, term uint64) {
 	h.leading, h.confirmed, h.term = true, false, term
 	h.broker.Abort()
@@ -221,7 +230,8 @@
 	h.failover = nil
 }
 
-// errNotLeader tells proposers where to go.
+// errNotLeader returns an error with code NotLeader that names the leader if it is
+// known.
 func (h *Host) errNotLeader() error {
 	if leader := h.node.Status().Leader; leader != "" {
 		return result.New(result.NotLeader, "the leader is %s", leader)
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -11,14 +11,14 @@
 	"github.com/galenabridge/galenabridge/internal/lease"
 )
 
-// Timing of the leader's duties.
+// Timing of the leader's periodic tasks.
 const (
 	leaderTaskInterval = 250 * time.Millisecond
-	// hostGrace is how long a host stays registered after its lease ran out.
+	// hostRemovalDelay is how long a host stays registered after its lease expired.
 	hostRemovalDelay = 2 * time.Second
 )
 
-// performDuties performs one round of the duties of a confirmed leader.
+// runLeaderTasks runs the periodic tasks of a confirmed leader once.
 func (h *Host) runLeaderTasks(now time.Time) {
 	if !h.confirmed {
 		return
@@ -31,21 +31,23 @@
 	h.logRegistrationWait()
 }
 
+// proposeFleetName records the configured fleet name in a state that has none.
 func (h *Host) proposeFleetName() {
 	if h.state.Fleet == "" {
 		h.proposeNoReply(agreed.Command{NameFleet: &agreed.NameFleet{Fleet: h.opts.Fleet}})
 	}
 }
 
-// proposeDuty proposes a command whose outcome shows in the state.
+// proposeNoReply proposes a command without waiting for its outcome. The periodic
+// tasks propose again as long as the state does not show the effect.
 func (h *Host) proposeNoReply(c agreed.Command) {
 	if _, err := h.appendCommand(c); err != nil {
 		h.log.Warn("duty_failed", "err", err.Error())
 	}
 }
 
-// changeMembers brings the members of the consensus group nearer to the control
-// hosts of the settings.
+// changeMembers proposes the next single change that brings the members of the
+// consensus group closer to the configured control hosts.
 func (h *Host) changeMembers() {
 	change, ok := h.nextMemberChange()
 	if !ok {
@@ -70,8 +72,8 @@
 	return h.node.NextChange(wanted)
 }
 
-// ageHosts removes hosts whose lease ran out some time ago. While a host may
-// still hold a lease it stays.
+// removeExpiredHosts proposes to remove hosts whose lease expired more than
+// hostRemovalDelay ago. A host that may still hold a lease is never removed.
 func (h *Host) removeExpiredHosts(now time.Time) {
 	leased := h.broker.Held(now, h.registered)
 	for _, host := range h.state.Hosts {
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -18,17 +18,19 @@
 	promoteTimeout = 3 * time.Second
 )
 
-// EndpointManager reads the condition of endpoints and promotes them.
+// EndpointManager probes and promotes database endpoints.
 type EndpointManager interface {
-	// Probe reads the condition of an endpoint after the call.
+	// Probe returns the condition of an endpoint, read no earlier than the call.
 	Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition
-	// Promote orders an endpoint to become the primary. It is harmless on a
-	// primary. The error tells why the order was not accepted.
+	// Promote orders an endpoint to become the primary. It has no effect on a
+	// primary. The error is the reason why the order was not accepted.
 	Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error)
 }
 
-// failoverDriver runs the decisions of package failover on a confirmed leader.
-// A nil driver does nothing.
+// failoverDriver feeds package failover with events and carries out its effects
+// on a confirmed leader. There is a new driver for each leadership; results for a
+// former driver are dropped. On a nil driver, all methods but settled and run do
+// nothing.
 type failoverDriver struct {
 	host       *Host
 	fleet      *failover.Fleet
@@ -37,13 +39,14 @@
 	lastTick   time.Time
 	stateDirty bool
 	leaving    map[string]bool
-	// probing holds the endpoints with a request on its way.
+	// probing holds the endpoints with a probe in flight.
 	probing map[string]bool
-	// results are effects of events that arrived while consensus was busy.
+	// results are the outcomes of commands, kept for applyPending.
 	results []commandResult
 }
 
-// commandResult is the outcome of a command of the driver.
+// commandResult is the outcome of a command proposed by the driver. It is
+// committed only if it was also accepted, that is with result code zero.
 type commandResult struct {
 	service   string
 	committed bool
@@ -69,22 +72,24 @@
 	}
 }
 
-// stateChanged notes that the agreed state has changed.
+// stateChanged marks the agreed state as changed. The change is handled by
+// applyPending.
 func (d *failoverDriver) stateChanged() {
 	if d != nil {
 		d.stateDirty = true
 	}
 }
 
-// commandDone notes the outcome of a command of the driver.
+// commandDone records the outcome of a command of the driver for applyPending.
 func (d *failoverDriver) commandDone(service string, committed bool) {
 	if d != nil {
 		d.results = append(d.results, commandResult{service, committed})
 	}
 }
 
-// refresh passes on what was noted. Unlike the methods that note, it may
-// propose commands.
+// applyPending passes recorded state changes and command outcomes to the failover
+// state machines. Unlike stateChanged and commandDone, which are called while the
+// output of consensus is being handled, it may propose commands.
 func (d *failoverDriver) applyPending(now time.Time) {
 	if d == nil {
 		return
@@ -100,7 +105,7 @@
 	}
 }
 
-// tick lets time pass.
+// tick advances the timers of the failover state machines every failoverTick.
 func (d *failoverDriver) tick(now time.Time) {
 	if d == nil || now.Sub(d.lastTick) < failoverTick {
 		return
@@ -112,12 +117,12 @@
 	d.run(now, d.fleet.StepAll(now, failover.Tick{}))
 }
 
-// settled passes on a new settled revision.
+// settled reports a new settled revision to the failover state machines.
 func (d *failoverDriver) settled(now time.Time, revision uint64) {
 	d.run(now, d.fleet.StepAll(now, failover.Settled{Revision: revision}))
 }
 
-// reason tells why a group is not active or what it waits for.
+// reason returns why a group is not active or what it waits for.
 func (d *failoverDriver) reason(service string) string {
 	if d == nil {
 		return ""
@@ -125,6 +130,7 @@
 	return d.fleet.Reason(service)
 }
 
+// run carries out effects of the failover state machines.
 func (d *failoverDriver) run(now time.Time, effects []failover.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -146,6 +152,8 @@
 	}
 }
 
+// propose appends a command of a service's state machine. Its outcome, also a
+// failure to append, reaches commandDone.
 func (d *failoverDriver) propose(now time.Time, service string, c agreed.Command) {
 	index, err := d.host.appendCommand(c)
 	if err != nil {
@@ -159,9 +167,9 @@
 	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
-// ask probes endpoints, each at most once at a time.
+// probe starts probes of endpoints, at most one at a time for each endpoint.
 func (d *failoverDriver) probe(e failover.AskPositions) {
-	reach := d.endpointClient()
+	client := d.endpointClient()
 	for _, id := range e.Endpoints {
 		endpoint, ok := d.host.state.Endpoints[id]
 		if !ok || d.probing[id] {
@@ -171,14 +179,15 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 			defer cancel()
-			seen := reach.probe(ctx, endpoint)
+			seen := client.probe(ctx, endpoint)
 			d.deliver(probeEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: seen}})
 		}()
 	}
 }
 
+// promote starts the promotion of an endpoint.
 func (d *failoverDriver) promote(e failover.Promote) {
-	reach := d.endpointClient()
+	client := d.endpointClient()
 	endpoint, ok := d.host.state.Endpoints[e.Endpoint]
 	if !ok {
 		return
@@ -187,7 +196,7 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(d.ctx, promoteTimeout)
 		defer cancel()
-		outcome, err := reach.promote(ctx, endpoint, e.Fence)
+		outcome, err := client.promote(ctx, endpoint, e.Fence)
 		if err != nil {
 			d.host.log.Warn("promote_failed", "service", e.Service, "endpoint", e.Endpoint, "fence", e.Fence, "err", err.Error())
 		}
@@ -197,7 +206,8 @@
 	}()
 }
 
-// report passes a result to the task of the Host, unless the driver has ended.
+// deliver sends an event to the goroutine of the Host, unless the driver was
+// stopped. Unlike Host.post it waits for space in the queue.
 func (d *failoverDriver) deliver(e event) {
 	select {
 	case d.host.events <- e:
@@ -234,7 +244,7 @@
 	e.driver.run(now, e.driver.fleet.Step(now, e.service, e.result))
 }
 
-// observationEvent is a watcher's report.
+// observationEvent is an observation by a watcher.
 type observationEvent struct {
 	observation Observation
 }
@@ -253,7 +263,7 @@
 	}))
 }
 
-// Observe takes a report of the watcher of this host.
+// Observe queues an observation by the watcher of this host.
 func (h *Host) Observe(o Observation) {
 	h.post(observationEvent{observation: o})
 }
--- a/internal/control/handlers.go
+++ b/internal/control/handlers.go
@@ -11,7 +11,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// registerHandlers connects the peer node with the task.
+// registerHandlers routes messages of the peer node to the goroutine of the Host.
 func (h *Host) registerHandlers() {
 	n := h.opts.Peer
 	peer.On(n, peer.KindConsensus, func(from peer.Identity, m consensus.Message) {
@@ -35,7 +35,7 @@
 	peer.OnCall(n, peer.KindDocument, h.serveDocument)
 }
 
-// goodbyeEvent ends the lease and the subscription of a process.
+// goodbyeEvent ends the lease and the subscription of a process that leaves.
 type goodbyeEvent struct {
 	id lease.ID
 }
@@ -46,10 +46,11 @@
 	h.updateSettled(now)
 }
 
-// serveGoodbye removes the host of a process that leaves.
+// serveGoodbye removes the host of a process that leaves. A host can remove only
+// its own process.
 func (h *Host) serveGoodbye(ctx context.Context, from peer.Identity, g goodbye) (agreed.Outcome, error) {
 	if g.Host != from.Host || g.Incarnation != from.Incarnation {
-		return agreed.Outcome{}, result.New(result.PeerMalformed, "a host takes leave for itself only")
+		return agreed.Outcome{}, result.New(result.PeerMalformed, "a host can announce only its own departure")
 	}
 	h.post(goodbyeEvent{id: lease.ID{Host: g.Host, Incarnation: g.Incarnation}})
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -20,16 +20,16 @@
 	"github.com/galenabridge/galenabridge/internal/store"
 )
 
-// Options configure a Host.
+// Options configures a Host.
 type Options struct {
 	Fleet string
 	// DataDir is the folder of the store.
 	DataDir string
-	// Bootstrap founds a new fleet from the voters among Controls.
+	// Bootstrap creates a new fleet whose first voters are those among Controls.
 	Bootstrap bool
 	Controls  []config.ControlHost
-	// OpenMembership takes in every control host that asks; Controls are then the seeds,
-	// and the identity of a host is its peer address.
+	// OpenMembership admits every control host that requests to join. Controls are
+	// then the seeds, and the identity of a host is its peer address.
 	OpenMembership bool
 	Peer           *peer.Node
 	Lease          lease.Config
@@ -37,7 +37,8 @@
 	Registry       prometheus.Registerer
 	// EndpointManager probes and promotes endpoints; nil disables failover.
 	EndpointManager EndpointManager
-	// Fenced: orders to promote may be carried out late, and fail by their fence.
+	// Fenced is set if promotion orders may be executed late. They carry a fence
+	// by which an outdated order is rejected.
 	Fenced bool
 	// CompactEvery is the number of applied entries between two snapshots;
 	// zero selects DefaultCompactEvery.
@@ -47,17 +48,18 @@
 // DefaultCompactEvery is the number of applied entries between two snapshots.
 const DefaultCompactEvery = 4096
 
-// eventBacklog bounds the events that wait for the task of a Host.
+// eventQueueSize is the number of events that can wait for the goroutine of a Host
+// or a Subscriber.
 const eventQueueSize = 4096
 
-// Host is the control role of one host. Run owns all its state; other
-// goroutines reach it by events.
+// Host is the control role of one host. The goroutine of Run owns all its state;
+// other goroutines communicate with it by events.
 type Host struct {
 	opts    Options
 	log     *log.Logger
 	metrics *hostMetrics
 	events  chan event
-	// snapshot of the position, for proposers in other goroutines.
+	// leaderInfo is the known leader, for proposers in other goroutines.
 	leaderInfo atomic.Pointer[leaderInfo]
 
 	node   *consensus.Node
@@ -70,33 +72,34 @@
 	proposals   map[uint64]pendingProposal
 	reads       pendingReads
 	announced   map[string]announcedEndpoint
-	// floors are the positions needed to join a group, by service.
+	// joinPositions are the positions required to join a group, by service.
 	joinPositions map[string]joinPosition
-	// lastHeld is when a registered host was last seen with a lease.
+	// lastLeased is when a registered process was last seen with a lease.
 	lastLeased map[lease.ID]time.Time
-	// registered are the registered processes of the state.
+	// registered holds the registered processes of the state.
 	registered      []lease.ID
-	roundDeadline   time.Time // when the lease round in flight is given up
+	roundDeadline   time.Time // when the lease round in flight times out
 	nextRound       time.Time // when the next lease round is due
-	nextLeaderTasks time.Time // when the duties of the leader are due
+	nextLeaderTasks time.Time // when the leader's periodic tasks are due
 	waitingFor      string    // the host that registrations wait for, as last logged
 	saveErr         error
 
 	leading bool
-	// confirmed is set once a leader has confirmed its quorum.
+	// confirmed is set once a quorum has confirmed this leader in its term. Only a
+	// confirmed leader runs the leader's tasks.
 	confirmed   bool
 	confirmedAt time.Time
 	term        uint64
 	failover    *failoverDriver
 }
 
-// leadInfo is what proposers need to know.
+// leaderInfo is the role of this host and the known leader, empty for none.
 type leaderInfo struct {
 	leading bool
 	leader  string
 }
 
-// event is a message to the task of a Host.
+// event is a message to the goroutine of a Host.
 type event interface {
 	handle(h *Host, now time.Time)
 }
@@ -111,15 +114,15 @@
 		opts.Logger = log.Default()
 	}
 	h := &Host{opts: opts, log: opts.Logger, metrics: newHostMetrics(opts.Registry), events: make(chan event, eventQueueSize)}
-	// The broker outlives a restart of the task: leases that it relayed count on.
+	// The broker outlives a restart of Run: leases that it has relayed still count.
 	h.broker = lease.NewBroker(opts.Lease, initialSeq())
 	h.leaderInfo.Store(&leaderInfo{})
 	h.registerHandlers()
 	return h
 }
 
-// post queues an event without blocking. A full backlog drops it: all senders
-// repeat what matters.
+// post queues an event without blocking and reports whether there was space. A
+// dropped event is harmless: senders repeat requests that are not answered.
 func (h *Host) post(e event) bool {
 	select {
 	case h.events <- e:
@@ -152,11 +155,11 @@
 	}
 }
 
-// drainBatch bounds the events handled before the resulting work is done.
+// maxEventBatch limits the queued events handled before the output of consensus.
 const maxEventBatch = 256
 
-// drain handles an event and those that wait behind it, so that one sync of the
-// store serves many proposals.
+// handleBatch handles an event and those queued behind it, so that one sync of
+// the store covers many proposals.
 func (h *Host) handleBatch(e event) {
 	e.handle(h, clock.Now())
 	for range maxEventBatch {
@@ -182,7 +185,8 @@
 	return nil
 }
 
-// load creates the consensus node and the state from the store.
+// load creates the consensus node and the state from the store, and resets all
+// soft state.
 func (h *Host) load() error {
 	stored, err := h.store.Load()
 	if err != nil {
@@ -215,9 +219,11 @@
 	return nil
 }
 
-// startSeq numbers requests above those of earlier tasks of the process.
+// initialSeq returns a start for request numbers that exceeds those used by earlier
+// runs in the same process.
 func initialSeq() uint64 { return uint64(time.Now().UnixNano()) >> 1 }
 
+// checkFleet returns an error if the state belongs to another fleet.
 func (h *Host) checkFleet(s *agreed.State) error {
 	if s.Fleet != "" && s.Fleet != h.opts.Fleet {
 		return result.New(result.PeerFleet, "the data folder belongs to fleet %q", s.Fleet)
@@ -225,6 +231,7 @@
 	return nil
 }
 
+// decodeSnapshot returns the state of a snapshot, the empty state if there is none.
 func decodeSnapshot(snap consensus.Snapshot) (*agreed.State, error) {
 	if len(snap.Data) == 0 {
 		return agreed.New(), nil
@@ -248,7 +255,7 @@
 		}
 	}
 	if h.opts.OpenMembership && !founder {
-		cfg.Founders = nil // a host beside the seeds waits to be let in
+		cfg.Founders = nil // a host that is not a seed waits to be admitted
 	}
 	return cfg
 }
@@ -273,5 +280,5 @@
 	return h.state.Hosts[host].PeerAddr
 }
 
-// errStopped is returned to proposers when the task does not take the proposal.
-var errTaskUnavailable = errors.New("the control task is busy or stopped")
+// errTaskUnavailable is returned when the event queue of a Host has no space.
+var errTaskUnavailable = errors.New("the control role is overloaded or stopped")
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -9,18 +9,19 @@
 	"github.com/galenabridge/galenabridge/internal/peer"
 )
 
-// electionConfirm identifies the first confirmation of a new leader. Lease
-// rounds have greater numbers.
+// electionConfirmID identifies the first confirmation of a new leader. Lease
+// rounds and reads have greater numbers.
 const electionConfirmID = 1
 
-// roundTimeout is how long a lease round may take before it is repeated.
+// roundTimeout is how long a lease round may take before its requests are moved to
+// another round.
 const roundTimeout = 800 * time.Millisecond
 
-// roundInterval is the time between two lease rounds, unless the next one tells
-// of a greater revision. Requests that arrive meanwhile share a round.
+// roundInterval is the minimum time between two lease rounds, unless the next one
+// reports a greater applied revision. Requests that arrive meanwhile share a round.
 const roundInterval = 100 * time.Millisecond
 
-// renewEvent is a request for a lease by a subscriber.
+// renewEvent is a lease request of a subscriber, or of a control host as a relay.
 type renewEvent struct {
 	from  peer.Identity
 	renew lease.Renew
@@ -28,7 +29,7 @@
 
 func (e renewEvent) handle(h *Host, now time.Time) {
 	if e.renew.Relay && !h.leading {
-		return // the relay will learn who leads
+		return // the relay learns the leader from consensus and repeats the request
 	}
 	id := lease.ID{Host: e.from.Host, Incarnation: e.from.Incarnation}
 	h.broker.Receive(now, id, e.renew)
@@ -43,15 +44,16 @@
 	h.updateSettled(now)
 }
 
-// turnAway tells a subscriber that this host has no state to offer, as after the
-// loss of its data folder, so that it need not wait in silence.
+// refuseRenew notifies a subscriber that this host has no state, for example after
+// the loss of its data folder, so that it switches to another control host at once
+// instead of after a timeout.
 func (h *Host) refuseRenew(from peer.Identity) {
 	if err := h.opts.Peer.Send(from.Host, from.Addr, peer.KindRenewNo, renewRefusal{}); err != nil {
 		h.log.Debug("renew_answer_failed", "peer", from.Host, "err", err.Error())
 	}
 }
 
-// relayOKEvent is the leader's answer to a request of this host as a relay.
+// relayOKEvent is the leader's answer to a lease request of this host as a relay.
 type relayOKEvent struct {
 	ok lease.RenewOK
 }
@@ -63,7 +65,8 @@
 	h.finishLeaseRound(e.ok.Seq, e.ok.Revision, e.ok.Settled)
 }
 
-// pumpLeases starts a lease round when subscribers wait and none is in flight.
+// startLeaseRound starts a lease round if requests wait and none is in flight. The
+// leader confirms its quorum; a relay sends a request to the leader.
 func (h *Host) startLeaseRound(now time.Time) {
 	if now.Before(h.nextRound) && !h.broker.Progress() {
 		return
@@ -90,7 +93,8 @@
 	}
 }
 
-// expireRound repeats a round that was not answered in time.
+// expireLeaseRound ends a round that was not answered in time. Its requests wait
+// for the next round.
 func (h *Host) expireLeaseRound(now time.Time) {
 	if !h.roundDeadline.IsZero() && now.After(h.roundDeadline) {
 		h.roundDeadline = time.Time{}
@@ -98,8 +102,8 @@
 	}
 }
 
-// confirmAll takes the confirmations of a leader's quorum. They follow the
-// application of all entries committed before.
+// handleConfirmations handles the confirmations by the leader's quorum. All entries
+// committed before a confirmation have been applied by then.
 func (h *Host) handleConfirmations(now time.Time, rd consensus.Ready) {
 	for _, id := range rd.Dropped {
 		if !h.failRead(id) {
@@ -118,8 +122,8 @@
 	}
 }
 
-// becomeConfirmed lets a leader take up its duties once it knows that it has
-// applied everything committed by its predecessors.
+// confirmLeadership starts the leader's tasks after the first confirmation in its
+// term: from then on everything committed by former leaders is applied.
 func (h *Host) confirmLeadership(now time.Time) {
 	if h.confirmed {
 		return
@@ -134,7 +138,7 @@
 	}
 }
 
-// answerRound answers the requests of a finished round.
+// finishLeaseRound answers the requests of a confirmed round.
 func (h *Host) finishLeaseRound(id, revision, settled uint64) {
 	for _, a := range h.broker.Finish(id, revision, settled) {
 		kind := peer.KindRenewOK
@@ -147,7 +151,8 @@
 	}
 }
 
-// settle computes the settled revision on a confirmed leader and returns it.
+// updateSettled returns the settled revision, the greatest one known to be applied
+// by every holder of a lease. Only a confirmed leader computes it anew.
 func (h *Host) updateSettled(now time.Time) uint64 {
 	if !h.leading || !h.confirmed {
 		return h.broker.Settled()
@@ -161,8 +166,8 @@
 	return settled
 }
 
-// noteWait logs for whom the registration of a process waits, whenever that
-// changes. Until it is settled the process serves nothing.
+// logRegistrationWait logs which host delays the settling of a registration,
+// whenever that changes. A process cannot act until its registration is settled.
 func (h *Host) logRegistrationWait() {
 	settled, waits := h.broker.Settled(), ""
 	if settled < h.state.HostsChanged {
@@ -178,8 +183,9 @@
 		"registered", h.state.HostsChanged)
 }
 
-// present returns the registered processes that may hold leases. Where a host has
-// one process at a time, those of which a newer process was met may not.
+// possibleHolders returns the registered processes that may hold leases. With
+// exclusive identities a host has one process at a time, so a process may not hold
+// one after a newer process of its host was seen.
 func (h *Host) possibleHolders() []lease.ID {
 	if !h.opts.Lease.Exclusive {
 		return h.registered
@@ -193,7 +199,7 @@
 	return ids
 }
 
-// processesOf returns the registered processes of a state.
+// registeredProcesses returns the registered processes of a state.
 func registeredProcesses(s *agreed.State) []lease.ID {
 	ids := make([]lease.ID, 0, len(s.Hosts))
 	for _, host := range s.Hosts {
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -7,43 +7,44 @@
 	"github.com/galenabridge/galenabridge/internal/failover"
 )
 
-// proposal asks a control host to propose a command.
+// proposal requests a control host to propose a command.
 type proposal struct {
 	Command agreed.Command `cbor:"1,keyasint"`
-	// Forwarded marks a proposal that a control host sent to the leader. It is
-	// not forwarded again.
+	// Forwarded marks a proposal that a control host has forwarded to the leader.
+	// It is not forwarded again.
 	Forwarded bool `cbor:"2,keyasint,omitempty"`
 }
 
-// snapshotPush carries the whole agreed state.
+// snapshotPush carries the whole agreed state, encoded by agreed.State.Encode.
 type snapshotPush struct {
 	State []byte `cbor:"1,keyasint"`
 }
 
-// renewNo answers a request for a lease that a control host without any state
-// cannot pass on.
+// renewRefusal answers a lease request at a control host that has no state yet and
+// is not the leader.
 type renewRefusal struct{}
 
-// goodbye tells that the sender's process has stopped to act and leaves.
+// goodbye reports that the sender's process has stopped acting and leaves the fleet.
 type goodbye struct {
 	Host        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
 }
 
-// Announcement is what an endpoint tells about itself. It is soft state of the
-// leader.
+// Announcement is an endpoint's report about itself. The leader keeps it in memory
+// only.
 type Announcement struct {
 	Endpoint agreed.Endpoint `cbor:"1,keyasint"`
-	// Primary tells whether the endpoint considers itself the primary.
+	// Primary is set if the endpoint considers itself the primary.
 	Primary  bool   `cbor:"2,keyasint,omitempty"`
 	Timeline uint32 `cbor:"3,keyasint,omitempty"`
-	// LSN is its log position in bytes.
+	// LSN is its write-ahead log position in bytes.
 	LSN uint64 `cbor:"4,keyasint,omitempty"`
-	// Leaving asks to be taken out of use.
+	// Leaving requests that the endpoint be taken out of use.
 	Leaving bool `cbor:"5,keyasint,omitempty"`
 }
 
-// Observation is a watcher's report as sent to the leader.
+// Observation is the condition of an endpoint as probed by a watcher, sent to the
+// leader.
 type Observation struct {
 	Service   string             `cbor:"1,keyasint"`
 	Endpoint  string             `cbor:"2,keyasint"`
@@ -53,16 +54,18 @@
 	Watcher string `cbor:"5,keyasint"`
 }
 
-// statusRequest asks for the status of the control host.
+// statusRequest requests the status of a control host or its leader.
 type statusRequest struct {
-	// Forwarded marks a request that a control host sent to the leader.
+	// Forwarded marks a request that a control host has forwarded to the leader.
+	// The receiver answers with its own status.
 	Forwarded bool `cbor:"1,keyasint,omitempty"`
 }
 
-// Status describes the fleet as the control leader sees it, or as far as
-// another control host knows it.
+// Status describes the fleet from the point of view of the reporting control host.
+// Only the leader's status is complete: the state of leases, announcements and
+// failover is known to the leader alone.
 type Status struct {
-	// Host is the control host that reports.
+	// Host is the reporting control host.
 	Host     string `json:"host" cbor:"1,keyasint"`
 	Role     string `json:"role" cbor:"2,keyasint"`
 	Term     uint64 `json:"term" cbor:"3,keyasint"`
@@ -76,7 +79,8 @@
 	Endpoints []EndpointStatus `json:"endpoints" cbor:"10,keyasint"`
 }
 
-// ControlStatus describes a member of the consensus group.
+// ControlStatus describes a member of the consensus group. Match is the last log
+// index known to be replicated to it; Active is set if it responds to the leader.
 type ControlStatus struct {
 	Host   string `json:"host" cbor:"1,keyasint"`
 	Voter  bool   `json:"voter" cbor:"2,keyasint"`
@@ -96,18 +100,18 @@
 // GroupStatus describes a database group.
 type GroupStatus struct {
 	agreed.Group
-	// Waiting tells why the group is not active or what it waits for.
+	// Waiting is why the group is not active or what it waits for.
 	Waiting string `json:"waiting,omitempty" cbor:"20,keyasint,omitempty"`
 }
 
-// EndpointStatus describes an endpoint with what it last announced.
+// EndpointStatus describes an endpoint and its last announcement.
 type EndpointStatus struct {
 	agreed.Endpoint
 	Primary  bool   `json:"primary" cbor:"20,keyasint"`
 	Timeline uint32 `json:"timeline" cbor:"21,keyasint"`
 	LSN      uint64 `json:"lsn" cbor:"22,keyasint"`
-	// Age is the time since the last announcement; negative for none.
+	// Age is the time since the last announcement, negative if there was none.
 	Age time.Duration `json:"age_ns" cbor:"23,keyasint"`
-	// Refused tells why an endpoint that announces itself is not a member.
+	// Refused is why an endpoint that announces itself is not a member.
 	Refused string `json:"refused,omitempty" cbor:"24,keyasint,omitempty"`
 }
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// hostMetrics describe the control role.
+// hostMetrics are the metrics of the control role.
 type hostMetrics struct {
 	revision    prometheus.Gauge
 	settled     prometheus.Gauge
@@ -35,7 +35,7 @@
 	m.subscribers.Set(float64(len(h.subscribers)))
 }
 
-// subscriberMetrics describe a host as a subscriber.
+// subscriberMetrics are the metrics of a Subscriber.
 type subscriberMetrics struct {
 	applied          prometheus.Gauge
 	valid            prometheus.Gauge
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -14,27 +14,32 @@
 
 // Timing of proposals.
 const (
+	// proposalTimeout limits the wait for a proposal to be committed and applied.
 	proposalTimeout = 5 * time.Second
-	attemptTimeout  = 1 * time.Second
-	retryInterval   = 50 * time.Millisecond
+	// attemptTimeout limits one attempt of a proposal or read that is retried.
+	attemptTimeout = 1 * time.Second
+	retryInterval  = 50 * time.Millisecond
 )
 
-// answer is the answer to a proposal.
+// proposalResult is the outcome of a proposal, or an error if it is not known to
+// be committed.
 type proposalResult struct {
 	outcome agreed.Outcome
 	err     error
 }
 
-// pendingProposal waits for its log entry to be applied.
+// pendingProposal is a proposal whose log entry has not been applied yet. term is
+// the consensus term in which it was appended.
 type pendingProposal struct {
 	term  uint64
 	until time.Time
 	reply chan proposalResult
-	// service is set instead of reply for a command of the failover driver.
+	// service is set instead of reply if the failover driver proposed the command.
 	service string
 }
 
-// proposeEvent appends a command to the log when this host leads.
+// proposeEvent requests to append a command to the log. It fails if this host is
+// not the leader.
 type proposeEvent struct {
 	command agreed.Command
 	reply   chan proposalResult // buffered
@@ -49,7 +54,8 @@
 	h.proposals[index] = pendingProposal{term: h.term, until: now.Add(proposalTimeout), reply: e.reply}
 }
 
-// proposeNow appends a command and returns its log index.
+// appendCommand appends a command to the leader's log and returns its index. A note
+// gets the leader's time of receipt, since applying a command reads no clock.
 func (h *Host) appendCommand(c agreed.Command) (uint64, error) {
 	if h.saveErr != nil {
 		return 0, h.saveErr
@@ -68,7 +74,7 @@
 }
 
 // finishProposal answers the proposer of an applied entry. An entry of another
-// term at the same index means that the proposal was lost.
+// term at the same index means that the proposal was overwritten by a new leader.
 func (h *Host) finishProposal(e consensus.Entry, out agreed.Outcome) {
 	p, ok := h.proposals[e.Index]
 	if !ok {
@@ -102,14 +108,15 @@
 	}
 }
 
+// errUnconfirmed returns the error for a proposal whose outcome is unknown.
 func errUnconfirmed() error {
 	return result.New(result.NoQuorum, "the control hosts did not confirm the change in time; it may still be accepted")
 }
 
-// Propose proposes a command through the leader, wherever it is, and returns
-// its outcome. It tries again until ctx ends: every command is idempotent or
-// names the state that it expects. On result code NoQuorum the command may
-// still be accepted later.
+// Propose proposes a command through the leader, forwarding it if another host
+// leads, and returns its outcome. It retries until ctx ends. Retries are safe since
+// every command is idempotent or carries the state that it expects. On result code
+// NoQuorum the command may still be accepted later.
 func (h *Host) Propose(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
 	return retryProposal(ctx, func(ctx context.Context) (agreed.Outcome, error) {
 		info := h.leaderInfo.Load()
@@ -124,12 +131,14 @@
 	})
 }
 
-// retryProposal repeats attempts that failed for want of a leader.
+// retryProposal repeats an attempt until it succeeds, fails with a permanent error
+// or ctx ends. Without a leader, a quorum or space in the queue it is repeated.
+// Once an attempt may have reached a leader, the final error is errUnconfirmed.
 func retryProposal(ctx context.Context, attempt func(context.Context) (agreed.Outcome, error)) (agreed.Outcome, error) {
 	sent := false
 	for {
-		try, cancel := context.WithTimeout(ctx, attemptTimeout)
-		out, err := attempt(try)
+		attemptCtx, cancel := context.WithTimeout(ctx, attemptTimeout)
+		out, err := attempt(attemptCtx)
 		cancel()
 		switch result.CodeOf(err) {
 		case result.NotLeader, result.NoQuorum, result.QueueFull:
@@ -150,6 +159,8 @@
 	}
 }
 
+// lastProposalError returns the error of the last attempt, or errUnconfirmed if the
+// command may have been appended.
 func lastProposalError(err error, sent bool) error {
 	if sent || result.CodeOf(err) == 0 {
 		return errUnconfirmed()
@@ -157,6 +168,7 @@
 	return err
 }
 
+// proposeLocal proposes a command on this host without forwarding it.
 func (h *Host) proposeLocal(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
 	reply := make(chan proposalResult, 1)
 	if !h.post(proposeEvent{command: c, reply: reply}) {
@@ -170,7 +182,8 @@
 	}
 }
 
-// controlAddr returns the address of a control host from the settings.
+// controlAddr returns the configured address of a control host, empty if it is
+// unknown. With open membership the identity is the address.
 func (h *Host) controlAddr(host string) string {
 	if h.opts.OpenMembership {
 		return host
@@ -183,6 +196,7 @@
 	return ""
 }
 
+// callProposal sends a proposal to a control host and waits for the outcome.
 func callProposal(ctx context.Context, node *peer.Node, host, addr string, p proposal) (agreed.Outcome, error) {
 	var out agreed.Outcome
 	err := node.Call(ctx, host, addr, peer.KindProposal, p, &out)
@@ -192,13 +206,14 @@
 	return out, err
 }
 
-// serveProposal answers a proposal of another host.
+// serveProposal handles a proposal of another host. A forwarded one fails if this
+// host is not the leader, so that it cannot be forwarded in a loop.
 func (h *Host) serveProposal(ctx context.Context, _ peer.Identity, p proposal) (agreed.Outcome, error) {
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	if p.Forwarded {
 		if !h.leaderInfo.Load().leading {
-			return agreed.Outcome{}, result.New(result.NotLeader, "this host does not lead")
+			return agreed.Outcome{}, result.New(result.NotLeader, "this host is not the leader")
 		}
 		return h.proposeLocal(ctx, p.Command)
 	}
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -11,32 +11,34 @@
 	"github.com/galenabridge/galenabridge/internal/peer"
 )
 
-// Bounds of the dissemination.
+// Limits of the distribution of states to subscribers.
 const (
-	// recentLimit is the number of states from which deltas can be made. A
+	// maxRecentStates is the number of revisions kept as the base of deltas. A
 	// subscriber further behind gets a snapshot.
 	maxRecentStates = 256
-	// resendAfter is how long a subscriber may fall short of what was pushed before
-	// a request that shows so causes another push: many round trips between failure
-	// domains (3 ms).
+	// resendDelay is how long a subscriber may lag behind the pushed revision before
+	// the pushes are considered lost and repeated. It is many round trips between
+	// failure domains (3 ms).
 	resendDelay = 100 * time.Millisecond
-	// subscriptionTimeout ends the subscription of a silent host.
+	// subscriptionTimeout ends the subscription of a host that sends no lease requests.
 	subscriptionTimeout = 5 * time.Second
 )
 
-// subscription is a host that follows the state through this one.
+// subscription is a host that receives the agreed state from this one.
 type subscription struct {
 	addr string
-	// sent is the revision last pushed, applied the one that the host last named.
+	// sent is the revision last pushed, applied the one last acknowledged by the
+	// host. applied <= sent unless the host got a newer state elsewhere.
 	sent    uint64
 	applied uint64
-	// short is since when the host has been behind what was pushed without having
-	// come nearer. Later pushes do not help it once it has missed one.
+	// behindSince is since when the host has lagged behind sent without progress.
+	// Once it has missed a delta it cannot apply the later ones.
 	behindSince time.Time
 	lastSeen    time.Time
 }
 
-// recentStates are the last states in ascending order of revision.
+// recentStates holds the last maxRecentStates states in ascending order of
+// revision.
 type recentStates struct {
 	states []*agreed.State
 }
@@ -48,6 +50,7 @@
 	}
 }
 
+// at returns the state at a revision, or nil if it is not held.
 func (r *recentStates) at(revision uint64) *agreed.State {
 	i, ok := slices.BinarySearchFunc(r.states, revision, func(s *agreed.State, revision uint64) int {
 		switch {
@@ -64,7 +67,8 @@
 	return r.states[i]
 }
 
-// follow notes that a host follows the state and pushes what it lacks.
+// updateSubscriber records the revision applied by a host, subscribing it if
+// necessary, and pushes what it lacks.
 func (h *Host) updateSubscriber(now time.Time, id lease.ID, addr string, applied uint64) {
 	sub := h.subscribers[id]
 	if sub == nil {
@@ -77,8 +81,9 @@
 	}
 }
 
-// named notes the revision that the host has applied. It reports whether the
-// next push should start there.
+// acknowledge records the revision that the host has applied. It reports whether
+// the next push should start there: nothing is in flight, or what is in flight is
+// considered lost after resendDelay without progress.
 func (s *subscription) acknowledge(now time.Time, applied uint64) bool {
 	if applied != s.applied {
 		s.applied, s.behindSince = applied, now
@@ -90,7 +95,7 @@
 	return true
 }
 
-// pushed notes a push up to a revision.
+// recordPush records a push up to a revision.
 func (s *subscription) recordPush(now time.Time, revision uint64) {
 	if s.sent <= s.applied {
 		s.behindSince = now
@@ -98,8 +103,8 @@
 	s.sent = revision
 }
 
-// pushAll pushes the state to every subscriber that lacks it. Subscribers at
-// the same revision share one encoded delta.
+// pushAll pushes the state to every subscriber that lacks it and drops expired
+// subscriptions. Subscribers at the same revision share one encoded delta.
 func (h *Host) pushAll(now time.Time) {
 	encoded := make(map[uint64]cbor.RawMessage)
 	for id, sub := range h.subscribers {
@@ -113,9 +118,9 @@
 	}
 }
 
-// push sends a delta, or a snapshot to a subscriber that is too far behind. The
-// encoded messages are kept by the revision at which they start; snapshots
-// under noRevision.
+// push sends a delta, or a snapshot to a subscriber that is too far behind. encoded
+// caches the encoded messages by the revision at which they start, a snapshot under
+// noRevision.
 func (h *Host) push(now time.Time, id lease.ID, sub *subscription, encoded map[uint64]cbor.RawMessage) {
 	kind, from := peer.KindDelta, sub.sent
 	base := h.recent.at(from)
@@ -138,7 +143,7 @@
 	sub.recordPush(now, h.state.Revision)
 }
 
-// noRevision is greater than any revision.
+// noRevision is the cache key of a snapshot. It exceeds every revision.
 const noRevision = ^uint64(0)
 
 func (h *Host) encodePush(base *agreed.State) ([]byte, error) {
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -9,17 +9,17 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// firstRead numbers the confirmations of linearizable reads above those of
-// lease rounds, which are below startSeq plus the rounds of a process.
+// firstReadID numbers the confirmations of linearizable reads above those of lease
+// rounds, which stay below initialSeq plus the number of rounds of a process.
 const firstReadID = uint64(1) << 63
 
-// documentResult answers a read of the document.
+// documentResult is the result of a read of the document.
 type documentResult struct {
 	document agreed.Document
 	err      error
 }
 
-// reads are the linearizable reads that wait for a confirmation of the leader.
+// pendingReads are the linearizable reads that wait for a confirmation of the leader.
 type pendingReads struct {
 	next    uint64
 	pending map[uint64]chan documentResult // buffered
@@ -29,14 +29,14 @@
 	return pendingReads{next: firstReadID, pending: make(map[uint64]chan documentResult)}
 }
 
-// failAll gives up every read.
+// failAll fails every pending read.
 func (r *pendingReads) failAll() {
 	for id := range r.pending {
 		r.finish(id, documentResult{err: result.New(result.NotLeader, "the leader changed")})
 	}
 }
 
-// finish answers a read and reports whether there was one with the number.
+// finish answers a read and reports whether there was one with the ID.
 func (r *pendingReads) finish(id uint64, d documentResult) bool {
 	reply, ok := r.pending[id]
 	if ok {
@@ -46,17 +46,19 @@
 	return ok
 }
 
+// failRead fails a read and reports whether there was one with the ID.
 func (h *Host) failRead(id uint64) bool {
 	return h.reads.finish(id, documentResult{err: result.New(result.NotLeader, "the leader changed")})
 }
 
-// finishRead answers a read after the leader was confirmed; the state then
-// includes whatever was committed before the read began.
+// finishRead answers a read after the leader was confirmed and reports whether there
+// was one with the ID. The state then includes everything that was committed before
+// the read began.
 func (h *Host) finishRead(id uint64) bool {
 	return h.reads.finish(id, documentResult{document: h.state.Document})
 }
 
-// readEvent asks for the document.
+// readEvent requests the document from this host as the leader.
 type readEvent struct {
 	reply chan documentResult
 }
@@ -73,11 +75,12 @@
 	}
 }
 
-// documentRequest asks the leader for the document.
+// documentRequest requests the document from the leader.
 type documentRequest struct{}
 
-// Document returns the document in force, read at the leader after the call.
-// It returns an error when no leader can be confirmed before ctx ends.
+// Document returns the document in force. The read is linearizable: it is answered
+// by the leader once a quorum has confirmed it after the call. It is retried until
+// ctx ends and then returns the last error.
 func (h *Host) Document(ctx context.Context) (agreed.Document, error) {
 	for {
 		d, err := h.documentOnce(ctx)
@@ -92,6 +95,7 @@
 	}
 }
 
+// documentOnce reads the document locally or at the leader, without a retry.
 func (h *Host) documentOnce(ctx context.Context) (agreed.Document, error) {
 	info := h.leaderInfo.Load()
 	switch {
@@ -107,6 +111,7 @@
 	return d, err
 }
 
+// localDocument reads the document on this host, which must be the leader.
 func (h *Host) localDocument(ctx context.Context) (agreed.Document, error) {
 	reply := make(chan documentResult, 1)
 	if !h.post(readEvent{reply: reply}) {
@@ -126,8 +131,8 @@
 	return h.localDocument(ctx)
 }
 
-// SetSeeds replaces the control hosts that are asked while this host belongs to
-// no group.
+// SetSeeds replaces the control hosts that this host contacts while it belongs to no
+// consensus group. It has no effect without open membership.
 func (h *Host) SetSeeds(hosts []string) {
 	h.post(hostSeedsEvent{hosts: hosts})
 }
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -9,22 +9,23 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Registry takes what operators and endpoints tell a control host, and
-// acknowledges it once it is agreed.
+// Registry accepts documents, failure domain changes and endpoint announcements on a
+// control host, and acknowledges each once it is part of the agreed state.
 type Registry struct {
 	host *Host
 	view view.Source
 }
 
-// NewRegistry returns the registry of a control host that follows the agreed
-// state.
+// NewRegistry returns the registry of a control host. src is the view of the agreed
+// state on the same host.
 func NewRegistry(host *Host, src view.Source) *Registry {
 	return &Registry{host: host, view: src}
 }
 
-// PutDocument puts a document in force unless an equal or higher number is. It
-// returns result code NoteInvalid with every fault when it has any, and NoQuorum
-// or NotLeader when the outcome is open; the same document may be sent again.
+// PutDocument puts a document in force unless one with an equal or higher number
+// is. An invalid document returns result code NoteInvalid with all its errors. On
+// NoQuorum or NotLeader the outcome is unknown and the same document may be sent
+// again.
 func (r *Registry) PutDocument(ctx context.Context, d note.Document, source []byte) error {
 	catalog, problems := d.Catalog()
 	if note.HasErrors(problems) {
@@ -39,7 +40,7 @@
 	return out.Err()
 }
 
-// SetDomain takes a failure domain out of use or back.
+// SetDomain takes a failure domain out of use or puts it back into use.
 func (r *Registry) SetDomain(ctx context.Context, d note.Domain) error {
 	out, err := r.host.Propose(ctx, agreed.Command{SetDomain: &agreed.SetDomain{Domain: d}})
 	if err != nil {
@@ -48,8 +49,9 @@
 	return out.Err()
 }
 
-// Announce takes an endpoint's announcement. One that says nothing new, or
-// comes from a process that another has followed, is acknowledged at once.
+// Announce proposes an endpoint's announcement. One that changes nothing, or that is
+// outdated (see agreed.State.CheckStale), is acknowledged at once. A refusal is
+// logged and not returned.
 func (r *Registry) Announce(ctx context.Context, e agreed.Endpoint) error {
 	state := r.view.Current().State
 	if state == nil {
@@ -59,7 +61,7 @@
 		return nil
 	}
 	if _, known := state.Catalog.Services[e.Service]; !known && state.Catalog.Stamp.Number == 0 {
-		return nil // taken in by a later announcement, once there is a catalog
+		return nil // a later announcement is accepted once there is a catalog
 	}
 	out, err := r.host.Propose(ctx, agreed.Command{PutEndpoint: &agreed.PutEndpoint{Endpoint: e}})
 	if err != nil {
@@ -74,12 +76,13 @@
 	return nil
 }
 
-// Retire takes an endpoint out that has left.
-func (r *Registry) Retire(ctx context.Context, id string, born uint64) error {
-	out, err := r.host.Propose(ctx, agreed.Command{RetireEndpoint: &agreed.RetireEndpoint{ID: id, StartedMS: born}})
+// Retire removes an endpoint that has left. startedMS identifies its process by
+// start time; zero means the current one.
+func (r *Registry) Retire(ctx context.Context, id string, startedMS uint64) error {
+	out, err := r.host.Propose(ctx, agreed.Command{RetireEndpoint: &agreed.RetireEndpoint{ID: id, StartedMS: startedMS}})
 	if err != nil {
 		return err
 	}
-	r.host.log.Info("endpoint_retired", "endpoint", id, "born", born, "revision", out.Revision)
+	r.host.log.Info("endpoint_retired", "endpoint", id, "born", startedMS, "revision", out.Revision)
 	return out.Err()
 }
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -13,25 +13,24 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Bounds of asking other hosts about an endpoint.
+// Limits of endpoint requests through other hosts.
 const (
-	// directShare is the share of the time that the leader spends on its own
-	// attempt before it asks other hosts.
+	// directAttemptDivisor is the divisor of the remaining time that gives the
+	// timeout of the leader's own attempt, before it tries other hosts.
 	directAttemptDivisor = 2
 	maxHelpers           = 2 // hosts
 )
 
-// endpointRequest asks a host to probe or promote an endpoint.
+// endpointRequest requests a host to probe or promote an endpoint.
 type endpointRequest struct {
 	Endpoint string `cbor:"1,keyasint"`
-	// Fence is that of an order to promote.
+	// Fence is the fence of a promotion order, zero in a probe.
 	Fence uint64 `cbor:"2,keyasint,omitempty"`
 }
 
 // ServeEndpointRequests lets the control leader probe and promote endpoints through
-// this host, for the case that it does not reach them by itself. Call it before
-// the node runs.
-func ServeEndpointRequests(node *peer.Node, source view.Source, databases EndpointManager) {
+// this host if the leader cannot reach them itself. Call it before the node runs.
+func ServeEndpointRequests(node *peer.Node, source view.Source, endpoints EndpointManager) {
 	peer.OnCall(node, peer.KindPosition, func(ctx context.Context, _ peer.Identity, r endpointRequest) (failover.Condition, error) {
 		state, e, err := findEndpoint(source, r.Endpoint)
 		if err != nil {
@@ -39,7 +38,7 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, probeTimeout)
 		defer cancel()
-		return databases.Probe(ctx, state.Catalog.Services[e.Service], e), nil
+		return endpoints.Probe(ctx, state.Catalog.Services[e.Service], e), nil
 	})
 	peer.OnCall(node, peer.KindPromote, func(ctx context.Context, _ peer.Identity, r endpointRequest) (struct{}, error) {
 		state, e, err := findEndpoint(source, r.Endpoint)
@@ -48,11 +47,12 @@
 		}
 		ctx, cancel := context.WithTimeout(ctx, promoteTimeout)
 		defer cancel()
-		_, err = databases.Promote(ctx, failover.Order{Service: state.Catalog.Services[e.Service], Endpoint: e, Fence: r.Fence})
+		_, err = endpoints.Promote(ctx, failover.Order{Service: state.Catalog.Services[e.Service], Endpoint: e, Fence: r.Fence})
 		return struct{}{}, err
 	})
 }
 
+// findEndpoint returns an endpoint and the state of this host's view.
 func findEndpoint(source view.Source, id string) (*agreed.State, agreed.Endpoint, error) {
 	state := source.Current().State
 	if state == nil {
@@ -65,16 +65,17 @@
 	return state, e, nil
 }
 
-// reacher probes and promotes endpoints, by itself or through other hosts.
+// endpointClient probes and promotes endpoints, directly or through other hosts.
 type endpointClient struct {
 	node      *peer.Node
 	endpoints EndpointManager
 	state     *agreed.State
-	// fenced orders are given by the leader alone, once.
+	// fenced orders are sent by the leader only, and once: they may be executed late.
 	fenced bool
 }
 
-// probe reads the condition of an endpoint.
+// probe returns the condition of an endpoint, read through other hosts if the
+// direct attempt cannot reach it.
 func (r endpointClient) probe(ctx context.Context, e agreed.Endpoint) failover.Condition {
 	direct, cancel := withTimeFraction(ctx, directAttemptDivisor)
 	seen := r.endpoints.Probe(direct, r.state.Catalog.Services[e.Service], e)
@@ -91,7 +92,8 @@
 	return seen
 }
 
-// promote orders an endpoint to become the primary.
+// promote orders an endpoint to become the primary. Orders without a fence are
+// repeated through other hosts if the direct attempt fails.
 func (r endpointClient) promote(ctx context.Context, e agreed.Endpoint, fence uint64) (failover.OrderOutcome, error) {
 	if r.fenced {
 		return r.endpoints.Promote(ctx, r.order(e, fence))
@@ -115,8 +117,8 @@
 	return failover.Order{Service: r.state.Catalog.Services[e.Service], Endpoint: e, Fence: fence}
 }
 
-// helpers are entry hosts that may reach the endpoint: those in its failure
-// domain first.
+// helpers returns up to maxHelpers entry hosts that may reach the endpoint, those in
+// its failure domain first.
 func (r endpointClient) helpers(e agreed.Endpoint) []agreed.Host {
 	var hosts []agreed.Host
 	for _, h := range r.state.Hosts {
@@ -145,11 +147,11 @@
 	}
 }
 
-// shorten returns a context with a fraction of the time that ctx has left.
-func withTimeFraction(ctx context.Context, share int) (context.Context, context.CancelFunc) {
+// withTimeFraction returns a context with 1/divisor of the time that ctx has left.
+func withTimeFraction(ctx context.Context, divisor int) (context.Context, context.CancelFunc) {
 	deadline, ok := ctx.Deadline()
 	if !ok {
 		return context.WithCancel(ctx)
 	}
-	return context.WithTimeout(ctx, time.Until(deadline)/time.Duration(share))
+	return context.WithTimeout(ctx, time.Until(deadline)/time.Duration(divisor))
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -12,10 +12,10 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// statusTimeout bounds the wait for the status of the leader.
+// statusTimeout limits the wait for the status of the leader.
 const statusTimeout = time.Second
 
-// statusEvent asks for the status of this host.
+// statusEvent requests the status of this host.
 type statusEvent struct {
 	reply chan Status // buffered
 }
@@ -24,8 +24,8 @@
 	e.reply <- h.status(now)
 }
 
-// Status returns the leader's status, or this host's own when the leader cannot
-// be reached.
+// Status returns the leader's status, or this host's own if the leader is unknown or
+// cannot be reached.
 func (h *Host) Status(ctx context.Context) (Status, error) {
 	info := h.leaderInfo.Load()
 	if !info.leading && info.leader != "" {
@@ -39,7 +39,7 @@
 	return h.LocalStatus(ctx)
 }
 
-// LocalStatus returns the status as this host knows it.
+// LocalStatus returns this host's own status.
 func (h *Host) LocalStatus(ctx context.Context) (Status, error) {
 	reply := make(chan Status, 1)
 	if !h.post(statusEvent{reply: reply}) {
@@ -98,7 +98,8 @@
 	return s
 }
 
-// endpointStatus lists members and endpoints that only announce themselves.
+// endpointStatus returns the status of all members and of endpoints that announce
+// themselves without being members, ordered by ID.
 func (h *Host) endpointStatus(now time.Time) []EndpointStatus {
 	var list []EndpointStatus
 	for id, e := range h.state.Endpoints {
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -19,42 +19,43 @@
 
 // Timing of a subscriber.
 const (
-	// silenceShare is the part of a lease that a control host may leave requests
-	// unanswered before the subscriber turns to another one.
+	// silenceDivisor is the divisor of the lease duration that gives the time without
+	// a grant after which the subscriber switches to another control host.
 	silenceDivisor = 3
-	// registerInterval is the time between two attempts to register, each of which
-	// may take registerTimeout: after a loss of power many hosts wait for each.
+	// registerInterval is the time between two attempts to register. Each may take
+	// registerTimeout: after a power failure many hosts register at once.
 	registerInterval = 300 * time.Millisecond
 	registerTimeout  = time.Second
 	subscriberTick   = 50 * time.Millisecond
-	// startRenewInterval is the time between two requests of a host that has no
-	// lease: the control hosts may be starting as well.
+	// initialRenewInterval is the time between two lease requests of a host without a
+	// lease. It is short since the control hosts may be starting at the same time.
 	initialRenewInterval = 100 * time.Millisecond
-	// startSilence is how long a host without a lease waits for a control host: an
-	// election of control hosts that have all started anew takes 0.1 to 0.6 s.
+	// initialSilenceTimeout is how long a host without a lease waits for an answer of
+	// a control host before it tries another. An election after all control hosts
+	// have restarted takes 0.1 to 0.6 s.
 	initialSilenceTimeout = 350 * time.Millisecond
 )
 
-// SubscriberOptions configure a Subscriber.
+// SubscriberOptions configures a Subscriber.
 type SubscriberOptions struct {
 	Fleet    string
 	Domain   string
 	Entry    bool
 	Control  bool
 	Controls []config.ControlHost
-	// OpenMembership follows the control hosts of the agreed state beside Controls, which
+	// OpenMembership adds the control hosts of the agreed state to Controls, which
 	// are then seeds.
 	OpenMembership bool
 	Peer           *peer.Node
 	Lease          lease.Config
 	Logger         *log.Logger
 	Registry       prometheus.Registerer
-	// View receives the agreed state with the lease.
+	// View receives the agreed state and the end of the lease.
 	View *view.Box
 }
 
-// Subscriber follows the agreed state on one host, holds its configuration
-// lease and keeps it registered. Run owns its state.
+// Subscriber receives the agreed state on one host, holds the host's configuration
+// lease and keeps the host registered. The goroutine of Run owns its state.
 type Subscriber struct {
 	opts   SubscriberOptions
 	log    *log.Logger
@@ -62,16 +63,17 @@
 
 	metrics *subscriberMetrics
 
-	// current is the upstream, for other goroutines.
+	// current is the upstream, the control host that the subscriber uses. Other
+	// goroutines read it.
 	current atomic.Pointer[config.ControlHost]
 
 	state  *agreed.State
 	holder *lease.Holder
-	// known are the control hosts that the state and the settings name.
+	// candidates are the control hosts that can become the upstream.
 	candidates []config.ControlHost
-	// homed is set once a control host of the own failure domain was chosen.
+	// localChosen is set once a control host in the same failure domain was chosen.
 	localChosen bool
-	// heard is when the upstream last granted a lease, or was chosen.
+	// lastGrant is when the upstream last granted a lease, or was chosen.
 	lastGrant    time.Time
 	lastRenew    time.Time
 	lastRegister time.Time // when registration was last attempted
@@ -79,7 +81,7 @@
 	leased       bool // as last logged
 }
 
-// subscriberEvent is a message to the task of a Subscriber.
+// subscriberEvent is a message to the goroutine of a Subscriber.
 type subscriberEvent interface {
 	handle(s *Subscriber, now time.Time)
 }
@@ -113,6 +115,7 @@
 	return s
 }
 
+// post queues an event without blocking. A full queue drops it.
 func (s *Subscriber) post(e subscriberEvent) {
 	select {
 	case s.events <- e:
@@ -120,7 +123,7 @@
 	}
 }
 
-// Run follows the state until ctx ends, then withdraws the view.
+// Run receives the state until ctx ends, then publishes an empty view.
 func (s *Subscriber) Run(ctx context.Context) error {
 	now := clock.Now()
 	if s.state == nil {
@@ -145,13 +148,14 @@
 	}
 }
 
-// control is the upstream.
+// upstream returns the control host in use.
 func (s *Subscriber) upstream() config.ControlHost { return *s.current.Load() }
 
-// choose makes a control host the upstream.
+// setUpstream stores the upstream for all goroutines.
 func (s *Subscriber) setUpstream(c config.ControlHost) { s.current.Store(&c) }
 
-// advance does what is due.
+// runDueTasks switches the upstream after a timeout, renews the lease and registers
+// the host, each when it is due.
 func (s *Subscriber) runDueTasks(ctx context.Context, now time.Time) {
 	s.metrics.update(s, now)
 	if s.leased {
@@ -174,9 +178,10 @@
 	}
 }
 
-// turn makes another control host the upstream. The host gives up what is on its
-// way from the former one, which would otherwise count for the revision that it
-// names now; a valid lease it keeps.
+// switchUpstream makes another control host the upstream and releases the lease
+// requests in flight at the former one. Otherwise they would count there with the
+// revision that the host has applied now, and hold back the settled revision. A
+// valid lease is kept.
 func (s *Subscriber) switchUpstream(now time.Time, next config.ControlHost) {
 	former := s.upstream()
 	s.setUpstream(next)
@@ -190,6 +195,7 @@
 	}
 }
 
+// renew sends a lease request with the applied revision to the upstream.
 func (s *Subscriber) renew(now time.Time) {
 	if s.leaving {
 		return
@@ -201,12 +207,14 @@
 	}
 }
 
-// isRegistered reports whether the state names this very process.
+// isRegistered reports whether the state contains this process with its current
+// data.
 func (s *Subscriber) isRegistered() bool {
 	host, ok := s.state.Hosts[s.opts.Peer.Host()]
 	return ok && host == s.hostRecord(host.Registered)
 }
 
+// hostRecord returns this process as a registered host.
 func (s *Subscriber) hostRecord(registered uint64) agreed.Host {
 	return agreed.Host{
 		ID:          s.opts.Peer.Host(),
@@ -219,8 +227,7 @@
 	}
 }
 
-// register proposes the registration in a goroutine; its result shows in the
-// state.
+// register proposes the registration in a goroutine. Success shows in the state.
 func (s *Subscriber) register(ctx context.Context) {
 	if s.leaving {
 		return
@@ -240,8 +247,9 @@
 	}()
 }
 
-// publish publishes the state with the end of the lease. Until the registration
-// of this process is settled, and once it was replaced, the view is not valid.
+// publish publishes the state with the end of the lease. The view is not valid
+// before the registration of this process is settled, after the process was
+// replaced, or while it leaves.
 func (s *Subscriber) publish() {
 	v := view.View{State: s.state, Settled: s.holder.Settled()}
 	host, ok := s.state.Hosts[s.opts.Peer.Host()]
@@ -253,7 +261,7 @@
 	s.logLeaseChange(registered)
 }
 
-// noteLease logs when the lease is gained or lost.
+// logLeaseChange logs when the lease is gained or lost.
 func (s *Subscriber) logLeaseChange(registered bool) {
 	valid := s.opts.View.Current().Valid()
 	if valid == s.leased {
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -10,7 +10,7 @@
 	"github.com/galenabridge/galenabridge/internal/peer"
 )
 
-// deltaEvent is a pushed delta.
+// deltaEvent is a delta pushed by a control host.
 type deltaEvent struct {
 	delta agreed.Delta
 }
@@ -21,11 +21,11 @@
 	case err == nil:
 		s.setState(now, next)
 	case e.delta.From > s.state.Revision && now.Sub(s.lastRenew) >= resendDelay:
-		s.renew(now) // shows the control host what was missed
+		s.renew(now) // reports the applied revision, so that the missed delta is resent
 	}
 }
 
-// snapshotEvent is a pushed snapshot.
+// snapshotEvent is a snapshot pushed by a control host.
 type snapshotEvent struct {
 	push snapshotPush
 }
@@ -41,7 +41,8 @@
 	}
 }
 
-// setState adopts a newer state and reports it at once, so that it can settle.
+// setState replaces the state by a newer one and reports its revision at once, so
+// that it can settle. A state of another fleet is rejected.
 func (s *Subscriber) setState(now time.Time, next *agreed.State) {
 	if next.Fleet != "" && next.Fleet != s.opts.Fleet {
 		s.log.Error("foreign_state", "fleet", next.Fleet)
@@ -57,7 +58,8 @@
 	s.renew(now)
 }
 
-// goHome turns once to a control host of the own failure domain.
+// switchToLocal switches once to a control host in the same failure domain. Without
+// open membership it does nothing.
 func (s *Subscriber) switchToLocal(now time.Time) {
 	if !s.opts.OpenMembership || s.localChosen {
 		return
@@ -68,7 +70,7 @@
 	}
 }
 
-// turnedAwayEvent tells that a control host has no state to offer.
+// renewRefusedEvent reports that a control host has no state yet.
 type renewRefusedEvent struct {
 	from string
 }
@@ -79,7 +81,7 @@
 	}
 }
 
-// seedsEvent replaces the seeds.
+// seedsEvent replaces the seeds of an open fleet.
 type seedsEvent struct {
 	seeds []config.ControlHost
 }
@@ -89,14 +91,15 @@
 	s.updateCandidates(s.state)
 }
 
-// SetSeeds replaces the seeds of an open fleet, as after a reload of settings.
+// SetSeeds replaces the seeds, for example after the settings were reloaded. Without
+// open membership or with an empty list it does nothing.
 func (s *Subscriber) SetSeeds(seeds []config.ControlHost) {
 	if s.opts.OpenMembership && len(seeds) > 0 {
 		s.post(seedsEvent{seeds: seeds})
 	}
 }
 
-// grantEvent is an answer to a request for a lease.
+// grantEvent is the answer to a lease request.
 type grantEvent struct {
 	from string
 	ok   lease.RenewOK
@@ -110,7 +113,7 @@
 	s.publish()
 }
 
-// leaveEvent stops all acting of this process.
+// leaveEvent invalidates the view for good and returns the upstream.
 type leaveEvent struct {
 	done chan config.ControlHost // buffered
 }
@@ -121,8 +124,8 @@
 	e.done <- s.upstream()
 }
 
-// Leave withdraws the view, for good, and takes the host out of the fleet. Call
-// it after the host has stopped to serve callers.
+// Leave invalidates the view for good and removes the host from the fleet. Call it
+// after the host has stopped serving callers.
 func (s *Subscriber) Leave(ctx context.Context) error {
 	done := make(chan config.ControlHost, 1)
 	s.post(leaveEvent{done: done})
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -9,8 +9,9 @@
 	"github.com/galenabridge/galenabridge/internal/rendezvous"
 )
 
-// learn notes the control hosts that the host may follow: those of the
-// settings, and in an open fleet those of the agreed state before them.
+// updateCandidates sets the control hosts that can become the upstream: the
+// configured ones, and with open membership first those of the agreed state, the
+// nearest first.
 func (s *Subscriber) updateCandidates(state *agreed.State) {
 	if !s.opts.OpenMembership {
 		s.candidates = s.opts.Controls
@@ -33,7 +34,8 @@
 	s.candidates = known
 }
 
-// distance orders control hosts: this host, those of its failure domain, others.
+// distance orders control hosts: 0 for this host, 1 for the same failure domain, 2
+// for others.
 func (s *Subscriber) distance(state *agreed.State, host string) int {
 	switch {
 	case host == s.opts.Peer.Host():
@@ -45,8 +47,8 @@
 	}
 }
 
-// firstUpstream prefers the control role of the same host. Other hosts spread
-// over the control hosts.
+// firstUpstream returns this host if it has the control role. Other hosts are spread
+// over the candidates by their incarnation.
 func (s *Subscriber) firstUpstream() config.ControlHost {
 	for _, c := range s.candidates {
 		if c.Host == s.opts.Peer.Host() {
@@ -56,22 +58,22 @@
 	return s.candidates[s.opts.Peer.Incarnation()%uint64(len(s.candidates))]
 }
 
-// nextUpstream returns the control host after the present one.
+// nextUpstream returns the candidate after the current upstream, in a cycle.
 func (s *Subscriber) nextUpstream() config.ControlHost {
 	at := slices.IndexFunc(s.candidates, func(c config.ControlHost) bool { return c.Host == s.upstream().Host })
 	return s.candidates[(at+1)%len(s.candidates)]
 }
 
-// nearest returns a control host in the failure domain of this one, if there is
-// any, so that pushes and leases stay inside of it.
+// localUpstream returns a control host in the failure domain of this host, if there
+// is one, so that pushes and leases stay inside the domain.
 func (s *Subscriber) localUpstream() (config.ControlHost, bool) {
-	var near []string
+	var local []string
 	for _, c := range s.candidates {
 		if s.distance(s.state, c.Host) < 2 {
-			near = append(near, c.Host)
+			local = append(local, c.Host)
 		}
 	}
-	chosen := rendezvous.Owner(near, s.opts.Peer.Host())
+	chosen := rendezvous.Owner(local, s.opts.Peer.Host())
 	at := slices.IndexFunc(s.candidates, func(c config.ControlHost) bool { return c.Host == chosen })
 	if at < 0 {
 		return config.ControlHost{}, false
