--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -1,6 +1,6 @@
-// Package announce takes the announcements of endpoints over HTTP and tells
-// them the primary that the fleet has agreed on. An endpoint may announce itself
-// to any host; the host passes the announcement on to the control leader.
+// Package announce receives the announcements of endpoints over HTTP and responds
+// with the agreed primary of their group. An endpoint may announce itself to any
+// host, which forwards the announcement to the control leader.
 package announce
 
 import (
@@ -20,17 +20,17 @@
 
 // Limits of an announcement.
 const (
-	maxBytes = 16 << 10
-	maxName  = 63 // bytes
+	maxBytes = 16 << 10 // of the request body
+	maxName  = 63       // bytes
 )
 
-// Roles of an endpoint as it sees itself.
+// Roles that an endpoint reports for itself.
 const (
 	RolePrimary = "primary"
 	RoleReplica = "replica"
 )
 
-// Request is an announcement.
+// Request is the JSON body of an announcement.
 type Request struct {
 	Service string `json:"service"`
 	ID      string `json:"id"`
@@ -38,42 +38,44 @@
 	Addr   string `json:"addr"`
 	Domain string `json:"domain"`
 	Role   string `json:"role"`
-	// Timeline is the database timeline, LSN the flushed position as the
-	// database prints it, such as "16/B374D848".
+	// Timeline is the database timeline, LSN the flushed log position in the format
+	// of the database, such as "16/B374D848".
 	Timeline uint32 `json:"timeline"`
 	LSN      string `json:"lsn"`
-	// Leaving asks to be taken out of use.
+	// Leaving requests that the endpoint be taken out of use.
 	Leaving bool `json:"leaving,omitempty"`
 }
 
-// Response names the primary that the fleet has agreed on. A primary that finds
-// another one named is deposed and must follow it.
+// Response is the agreed state of the endpoint's group in the view of the host. A
+// primary that gets another one as Primary is deposed and must follow it.
 type Response struct {
 	Term        uint64       `json:"term"`
 	Phase       agreed.Phase `json:"phase,omitempty"`
 	Primary     string       `json:"primary"`
 	PrimaryAddr string       `json:"primary_addr"`
-	// Member tells whether the endpoint belongs to the group.
+	// Member reports whether the endpoint belongs to the group.
 	Member bool `json:"member"`
 }
 
-// Sender passes announcements on. *control.Subscriber implements it.
+// Sender forwards announcements to the control leader. *control.Subscriber
+// implements it.
 type Sender interface {
 	Announce(a control.Announcement)
 }
 
-// Handler answers announcements.
+// Handler is the HTTP handler of announcements.
 type Handler struct {
 	view   view.Source
 	sender Sender
 }
 
-// NewHandler returns a Handler.
+// NewHandler returns a Handler that responds from the view of source.
 func NewHandler(source view.Source, sender Sender) *Handler {
 	return &Handler{view: source, sender: sender}
 }
 
-// ServeHTTP implements http.Handler.
+// ServeHTTP forwards the announcement in the request body and writes a Response. A
+// malformed announcement is rejected and not forwarded.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
 	a, err := parse(http.MaxBytesReader(w, r.Body, maxBytes))
 	if err != nil {
@@ -125,8 +127,8 @@
 	return nil
 }
 
-// parseLSN parses a log position as the database prints it: two hexadecimal
-// numbers of 32 bits. An empty text is position zero.
+// parseLSN parses a log position in the format of the database, two hexadecimal
+// numbers of 32 bits separated by a slash. An empty text is position zero.
 func parseLSN(text string) (uint64, error) {
 	if text == "" {
 		return 0, nil
@@ -140,7 +142,8 @@
 	return h<<32 | l, nil
 }
 
-// answer tells the endpoint about its group as this host knows it.
+// response returns the state of an endpoint's group in the view of this host, the
+// zero Response if the host has no state yet.
 func (h *Handler) response(e agreed.Endpoint) Response {
 	s := h.view.Current().State
 	if s == nil {
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -11,6 +11,7 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
+// recorder is a Sender that records announcements.
 type recorder struct{ got []control.Announcement }
 
 func (r *recorder) Announce(a control.Announcement) { r.got = append(r.got, a) }
@@ -21,39 +22,39 @@
 	return w
 }
 
-const good = `{"service":"log","id":"b","addr":"127.0.0.1:5432","domain":"d","role":"replica","timeline":3,"lsn":"1/A0"}`
+const validBody = `{"service":"log","id":"b","addr":"127.0.0.1:5432","domain":"d","role":"replica","timeline":3,"lsn":"1/A0"}`
 
-func TestAnnouncementIsPassedOnAndAnswered(t *testing.T) {
+func TestHandlerForwardsAnnouncement(t *testing.T) {
 	box := view.NewBox()
 	state := agreed.New()
 	state.Groups["log"] = agreed.Group{Service: "log", Term: 4, Primary: "a", Phase: agreed.PhaseActive}
 	state.Endpoints["a"] = agreed.Endpoint{ID: "a", Addr: "127.0.0.1:1"}
 	box.Publish(view.View{State: state})
-	var sent recorder
-	w := post(NewHandler(box, &sent), good)
+	var sender recorder
+	w := post(NewHandler(box, &sender), validBody)
 	want := `{"term":4,"phase":"active","primary":"a","primary_addr":"127.0.0.1:1","member":false}`
 	if w.Code != http.StatusOK || strings.TrimSpace(w.Body.String()) != want {
 		t.Fatalf("%d %s", w.Code, w.Body)
 	}
-	if len(sent.got) != 1 || sent.got[0].LSN != 1<<32|0xa0 || sent.got[0].Timeline != 3 || sent.got[0].Primary {
-		t.Fatalf("passed on %+v", sent.got)
+	if len(sender.got) != 1 || sender.got[0].LSN != 1<<32|0xa0 || sender.got[0].Timeline != 3 || sender.got[0].Primary {
+		t.Fatalf("forwarded %+v", sender.got)
 	}
 }
 
-func TestBadAnnouncementsAreRefused(t *testing.T) {
-	bad := []string{
-		``, `{`, good + good, strings.Repeat(" ", maxBytes) + good,
-		strings.Replace(good, `"log"`, `""`, 1),
-		strings.Replace(good, `"b"`, `"`+strings.Repeat("b", 64)+`"`, 1),
-		strings.Replace(good, `127.0.0.1:5432`, `localhost:5432`, 1),
-		strings.Replace(good, `replica`, `king`, 1),
-		strings.Replace(good, `1/A0`, `1A0`, 1),
-		strings.Replace(good, `1/A0`, `1/FFFFFFFFF`, 1),
+func TestHandlerRejectsMalformedAnnouncements(t *testing.T) {
+	malformed := []string{
+		``, `{`, validBody + validBody, strings.Repeat(" ", maxBytes) + validBody,
+		strings.Replace(validBody, `"log"`, `""`, 1),
+		strings.Replace(validBody, `"b"`, `"`+strings.Repeat("b", 64)+`"`, 1),
+		strings.Replace(validBody, `127.0.0.1:5432`, `localhost:5432`, 1),
+		strings.Replace(validBody, `replica`, `king`, 1),
+		strings.Replace(validBody, `1/A0`, `1A0`, 1),
+		strings.Replace(validBody, `1/A0`, `1/FFFFFFFFF`, 1),
 	}
-	for _, body := range bad {
-		var sent recorder
-		w := post(NewHandler(view.NewBox(), &sent), body)
-		if w.Code != http.StatusBadRequest || len(sent.got) != 0 || !strings.Contains(w.Body.String(), `"code":3001`) {
+	for _, body := range malformed {
+		var sender recorder
+		w := post(NewHandler(view.NewBox(), &sender), body)
+		if w.Code != http.StatusBadRequest || len(sender.got) != 0 || !strings.Contains(w.Body.String(), `"code":3001`) {
 			t.Errorf("%.60q: %d %s", body, w.Code, w.Body)
 		}
 	}
--- a/internal/control/bench_test.go
+++ b/internal/control/bench_test.go
@@ -8,8 +8,8 @@
 	"time"
 )
 
-// BenchmarkNoteToLastSubscriber measures the time from the proposal of a note
-// until the last of N hosts may act on it, over three control hosts on loopback.
+// BenchmarkNoteToLastSubscriber measures the time from the proposal of a note until
+// the last of n hosts may act on it. Three control hosts run on loopback.
 func BenchmarkNoteToLastSubscriber(b *testing.B) {
 	for _, n := range []int{9, 200} {
 		b.Run(fmt.Sprint(n), func(b *testing.B) {
@@ -31,8 +31,8 @@
 	}
 }
 
-// BenchmarkIdle measures the bytes of messages that a host and the leader
-// exchange while nothing changes.
+// BenchmarkIdle measures the message bytes per second of an entry host and of a
+// control host, and the processor time, while the state does not change.
 func BenchmarkIdle(b *testing.B) {
 	const window = 10 * time.Second
 	for _, n := range []int{9, 200} {
@@ -86,9 +86,9 @@
 
 func milliseconds(d time.Duration) float64 { return float64(d) / float64(time.Millisecond) }
 
-// BenchmarkNoteWithoutLeader measures the time from the isolation of the
-// control leader until a note proposed at once through another control host is
-// in force on the last of nine entry hosts.
+// BenchmarkNoteWithoutLeader measures the time from the isolation of the control
+// leader until a note is in force on the last of nine entry hosts. The note is
+// proposed through another control host immediately after the isolation.
 func BenchmarkNoteWithoutLeader(b *testing.B) {
 	var times []time.Duration
 	for b.Loop() {
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -12,7 +12,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-func TestSingleControlHost(t *testing.T) {
+func TestProposeSingleControlHost(t *testing.T) {
 	f := newFleet(t, 1)
 	f.waitValid("c0")
 	f.propose("c0", testNote(1, "first"), 0)
@@ -26,7 +26,7 @@
 	f.waitValid("c0", "c1", "c2", "e0", "e1")
 	out := f.propose("c1", testNote(1, "first"), 0)
 	f.waitNote(1, "c0", "c1", "c2", "e0", "e1")
-	wait(t, "the metrics follow", func() bool {
+	waitFor(t, "the metrics to show the revision", func() bool {
 		e0 := f.hosts["e0"]
 		return e0.metric(t, "galenabridge_applied_revision") >= float64(out.Revision) &&
 			e0.metric(t, "galenabridge_lease_valid") == 1 &&
@@ -34,19 +34,22 @@
 	})
 }
 
-func TestResentNoteAndRacingOperators(t *testing.T) {
+// TestProposeRepeatedAndConcurrentNotes checks that a repeated note gets the first
+// stamp, and that of three concurrent notes with one number exactly one is accepted
+// while all proposers get the stamp of that one.
+func TestProposeRepeatedAndConcurrentNotes(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	first := f.propose("c0", testNote(1, "first"), 0)
 	again := f.propose("c2", testNote(1, "first"), 0)
 	if *first.Stamp != *again.Stamp {
-		t.Fatalf("the resent note got %+v, the first %+v", again.Stamp, first.Stamp)
+		t.Fatalf("the repeated note got stamp %+v, the first %+v", again.Stamp, first.Stamp)
 	}
 	outcomes := make([]agreed.Outcome, 3)
 	var racing sync.WaitGroup
 	for i, title := range []string{"a", "b", "c"} {
 		racing.Go(func() {
-			ctx, cancel := context.WithTimeout(context.Background(), patience)
+			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			var err error
 			outcomes[i], err = f.hosts[f.controls[i].Host].control.Propose(ctx, testNote(2, title))
@@ -66,15 +69,18 @@
 			t.Errorf("code %d", out.Code)
 		}
 		if out.Stamp == nil || *out.Stamp != *outcomes[0].Stamp {
-			t.Errorf("racers were told different notes: %+v", out.Stamp)
+			t.Errorf("concurrent proposers got different stamps: %+v", out.Stamp)
 		}
 	}
 	if won != 1 {
-		t.Errorf("%d racers won", won)
+		t.Errorf("%d of the concurrent notes were accepted, want 1", won)
 	}
 }
 
-func TestIsolatedLeader(t *testing.T) {
+// TestIsolatedLeaderLosesLease guards against an isolated leader that still acts:
+// while the others elect a leader and accept a note, its lease must expire and its
+// view must stay at the former note.
+func TestIsolatedLeaderLosesLease(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	f.propose("c0", testNote(1, "first"), 0)
@@ -90,7 +96,7 @@
 	f.leader(others...)
 	f.propose(others[0], testNote(2, "without the leader"), 0)
 	f.waitNote(2, others...)
-	wait(t, "the lease of the isolated host runs out", func() bool { return !f.hosts[old].valid() })
+	waitFor(t, "the lease of the isolated host to expire", func() bool { return !f.hosts[old].valid() })
 	v := f.hosts[old].view.Current()
 	if v.State.Catalog.Stamp.Number != 1 {
 		t.Errorf("the isolated host has note %d", v.State.Catalog.Stamp.Number)
@@ -101,7 +107,9 @@
 	f.waitValid(old)
 }
 
-func TestRestartReturnsToTheCurrentState(t *testing.T) {
+// TestRestartRestoresCurrentState restarts all control hosts after more notes than
+// fit between two snapshots, so that both snapshot and log are loaded.
+func TestRestartRestoresCurrentState(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	const notes = 300
@@ -117,50 +125,52 @@
 	f.waitValid("c0", "c1", "c2")
 	for _, c := range f.controls {
 		if got := f.hosts[c.Host].noteNumber(); got != notes {
-			t.Errorf("%s acts on note %d after the restart, want %d", c.Host, got, notes)
+			t.Errorf("%s has note %d in force after the restart, want %d", c.Host, got, notes)
 		}
 	}
 	f.propose("c1", testNote(notes, "note"), 0)
 	f.propose("c1", testNote(notes, "another"), result.NoteConflict)
 }
 
-func TestNewProcessReplacesTheOld(t *testing.T) {
+// TestRegisterNewProcessInvalidatesOld starts a second process of a host: the first
+// must lose its valid view and be notified.
+func TestRegisterNewProcessInvalidatesOld(t *testing.T) {
 	f := newFleet(t, 1)
 	old := f.start("e0")
 	f.waitValid("c0", "e0")
 	f.start("e0")
 	f.waitValid("e0")
 	if old.valid() {
-		t.Error("both processes may act")
+		t.Error("the replaced process has a valid view")
 	}
 	<-old.replaced
 }
 
-func TestDeadHostAgesOutAndLeavingHostIsRemoved(t *testing.T) {
+func TestHostRemovedAfterLeaveOrCrash(t *testing.T) {
 	f := newFleet(t, 1)
 	f.start("e0")
 	f.start("e1")
 	f.waitValid("c0", "e0", "e1")
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	if err := f.hosts["e0"].subscriber.Leave(ctx); err != nil {
 		t.Fatal(err)
 	}
 	if f.hosts["e0"].valid() {
-		t.Error("a host that left may act")
+		t.Error("a host that left has a valid view")
 	}
 	f.hosts["e1"].stop()
-	wait(t, "both hosts are removed", func() bool {
+	waitFor(t, "the removal of both hosts", func() bool {
 		return len(f.hosts["c0"].view.Current().State.Hosts) == 1
 	})
 	f.waitValid("c0")
 }
 
-func TestSettledRevisionFollows(t *testing.T) {
+func TestStatusSettledRevisionReachesNote(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	out := f.propose("c0", testNote(1, "first"), 0)
-	wait(t, "the note is settled", func() bool {
+	waitFor(t, "the settling of the note", func() bool {
 		ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 		defer cancel()
 		s, err := f.hosts["c1"].control.Status(ctx)
@@ -168,9 +178,10 @@
 	})
 }
 
-// voters returns the data folders of the active voters that the leader counts.
+// voters returns the data folder identities of the active voters, or nil if there is
+// no leader.
 func (f *fleet) voters(through string) map[string]string {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	s, err := f.hosts[through].control.Status(ctx)
 	if err != nil || s.Role != "leader" {
@@ -185,11 +196,14 @@
 	return disks
 }
 
-func TestControlHostReturnsWithAnEmptyDisk(t *testing.T) {
+// TestControlHostRejoinsWithEmptyDataFolder deletes the data folder of a stopped
+// control host. The host must rejoin as a new member and vote, so that the group
+// then survives the loss of another host.
+func TestControlHostRejoinsWithEmptyDataFolder(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	f.propose("c0", testNote(1, "before"), 0)
-	wait(t, "three voters", func() bool { return len(f.voters("c0")) == 3 })
+	waitFor(t, "three voters", func() bool { return len(f.voters("c0")) == 3 })
 	former := f.voters("c0")["c2"]
 	f.hosts["c2"].stop()
 	if err := os.RemoveAll(filepath.Join(f.dir, "c2")); err != nil {
@@ -197,7 +211,7 @@
 	}
 	f.propose("c0", testNote(2, "meanwhile"), 0)
 	f.start("c2")
-	wait(t, "the host votes again with another disk", func() bool {
+	waitFor(t, "the host to vote with a new data folder", func() bool {
 		now := f.voters("c0")
 		return len(now) == 3 && now["c2"] != former
 	})
@@ -207,7 +221,9 @@
 	f.waitValid("c0", "c2")
 }
 
-func TestLostQuorumIsReportedTruthfully(t *testing.T) {
+// TestProposeWithoutQuorumFails checks that a proposal without a quorum is not
+// acknowledged, that the lease expires, and that the host recovers with a quorum.
+func TestProposeWithoutQuorumFails(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	f.hosts["c1"].stop()
@@ -218,7 +234,7 @@
 	if code := result.CodeOf(err); code != result.NoQuorum && code != result.NotLeader {
 		t.Fatalf("got %v", err)
 	}
-	wait(t, "the lease runs out", func() bool { return !f.hosts["c0"].valid() })
+	waitFor(t, "the lease to expire", func() bool { return !f.hosts["c0"].valid() })
 	f.start("c1")
 	f.waitValid("c0", "c1")
 	f.propose("c1", testNote(1, "alone"), 0)
--- a/internal/control/failover_test.go
+++ b/internal/control/failover_test.go
@@ -13,7 +13,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// serveAnnouncements serves the announcements of endpoints on a host.
+// serveAnnouncements serves the announcement handler on a host and returns its
+// address.
 func (f *fleet) serveAnnouncements(name string) string {
 	h := f.hosts[name]
 	l, err := net.Listen("tcp", "127.0.0.1:0")
@@ -35,7 +36,7 @@
 	return l.Addr().String()
 }
 
-// startGroup starts three endpoints that announce themselves to all hosts.
+// startGroup starts three database endpoints that announce themselves to all hosts.
 func (f *fleet) startGroup() *standin.Group {
 	f.t.Helper()
 	var admins []string
@@ -62,6 +63,7 @@
 	return group
 }
 
+// addService proposes the service of the group.
 func (f *fleet) addService() {
 	n := note.Note{Number: 1, Title: "service"}
 	n.Added.Services = []note.Service{{
@@ -70,7 +72,7 @@
 	f.propose("c0", agreed.Command{ApplyNote: &agreed.ApplyNote{Note: n}}, 0)
 }
 
-// group returns the group as a host knows it.
+// group returns the group in the view of a host.
 func (h *testHost) group() agreed.Group {
 	if s := h.view.Current().State; s != nil {
 		return s.Groups["log"]
@@ -78,12 +80,12 @@
 	return agreed.Group{}
 }
 
-func TestPrimaryIsReplaced(t *testing.T) {
+func TestFailoverReplacesPrimary(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	f.addService()
 	group := f.startGroup()
-	wait(t, "the group is active with three members", func() bool {
+	waitFor(t, "an active group with three members", func() bool {
 		g := f.hosts["c1"].group()
 		return g.Phase == agreed.PhaseActive && len(g.Members) == 3
 	})
@@ -92,7 +94,7 @@
 		t.Fatalf("got %+v", first)
 	}
 	group.Servers[0].Kill()
-	wait(t, "another primary is active", func() bool {
+	waitFor(t, "another active primary", func() bool {
 		g := f.hosts["c1"].group()
 		return g.Phase == agreed.PhaseActive && g.Term > first.Term
 	})
@@ -102,12 +104,15 @@
 	}
 }
 
-func TestPrimaryIsReplacedWhileTheLeaderIsIsolated(t *testing.T) {
+// TestFailoverWhileLeaderIsolated isolates the control leader and kills the primary:
+// the new leader must promote another one, and the isolated host must not act under
+// the sealed term.
+func TestFailoverWhileLeaderIsolated(t *testing.T) {
 	f := newFleet(t, 3)
 	f.waitValid("c0", "c1", "c2")
 	f.addService()
 	group := f.startGroup()
-	wait(t, "the group is active with three members", func() bool {
+	waitFor(t, "an active group with three members", func() bool {
 		g := f.hosts["c1"].group()
 		return g.Phase == agreed.PhaseActive && len(g.Members) == 3
 	})
@@ -118,53 +123,57 @@
 		if name == old {
 			continue
 		}
-		wait(t, "another primary is active on "+name, func() bool {
+		waitFor(t, "another active primary on "+name, func() bool {
 			g := h.group()
 			return g.Phase == agreed.PhaseActive && g.Term > 1 && g.Primary != "log-1"
 		})
 	}
 	if g := f.hosts[old].group(); f.hosts[old].valid() && g.Term == 1 {
-		t.Error("the isolated host may still act under the sealed term")
+		t.Error("the isolated host has a valid view with the sealed term")
 	}
 }
 
-func TestLeaderPromotesThroughOtherHosts(t *testing.T) {
+// TestFailoverThroughOtherHosts checks that a leader that reaches no endpoint itself
+// probes and promotes through other hosts.
+func TestFailoverThroughOtherHosts(t *testing.T) {
 	f := newFleet(t, 1, "c0")
 	f.start("e0")
 	f.start("e1")
 	f.waitValid("c0", "e0", "e1")
 	f.addService()
 	group := f.startGroup()
-	wait(t, "the group is active with three members", func() bool {
+	waitFor(t, "an active group with three members", func() bool {
 		g := f.hosts["c0"].group()
 		return g.Phase == agreed.PhaseActive && len(g.Members) == 3
 	})
 	group.Servers[0].Kill()
-	wait(t, "another primary is active", func() bool {
+	waitFor(t, "another active primary", func() bool {
 		g := f.hosts["c0"].group()
 		return g.Phase == agreed.PhaseActive && g.Term > 1 && g.Primary != "log-1"
 	})
 }
 
+// TestNoPromotionWithoutMajority kills two of three endpoints. No endpoint may be
+// promoted, and the status must contain the reason.
 func TestNoPromotionWithoutMajority(t *testing.T) {
 	f := newFleet(t, 1)
 	f.waitValid("c0")
 	f.addService()
 	group := f.startGroup()
-	wait(t, "the group is active with three members", func() bool {
+	waitFor(t, "an active group with three members", func() bool {
 		g := f.hosts["c0"].group()
 		return g.Phase == agreed.PhaseActive && len(g.Members) == 3
 	})
 	group.Servers[0].Kill()
 	group.Servers[1].Kill()
-	wait(t, "the status names the reason", func() bool {
-		ctx, cancel := context.WithTimeout(context.Background(), patience)
+	waitFor(t, "the status to contain the reason", func() bool {
+		ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 		defer cancel()
 		s, err := f.hosts["c0"].subscriber.Status(ctx)
 		return err == nil && len(s.Groups) == 1 && s.Groups[0].Phase == agreed.PhaseSealed && s.Groups[0].Waiting != ""
 	})
-	// The view follows the status of the leader; nothing may be promoted on the way.
-	wait(t, "the group is sealed in the view", func() bool {
+	// The view is updated after the leader's status. No promotion may show until then.
+	waitFor(t, "the sealed group in the view", func() bool {
 		g := f.hosts["c0"].group()
 		if g.Phase == agreed.PhaseActive && g.Term > 1 {
 			t.Fatalf("promoted without a majority: %+v", g)
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -25,10 +25,10 @@
 	"github.com/galenabridge/galenabridge/internal/watch"
 )
 
-// patience bounds every wait of these tests.
-const patience = 60 * time.Second
+// waitTimeout limits every wait of these tests.
+const waitTimeout = 60 * time.Second
 
-// fleet is a set of hosts in this process that talk over loopback.
+// fleet is a set of hosts in this process, connected over loopback.
 type fleet struct {
 	t        testing.TB
 	net      *network
@@ -37,19 +37,19 @@
 	hosts    map[string]*testHost
 	started  uint64
 	leases   lease.Config
-	// cutOff names hosts whose control role does not reach any endpoint.
-	cutOff map[string]bool
+	// unreachableFrom holds the hosts whose control role cannot reach any endpoint.
+	unreachableFrom map[string]bool
 }
 
-// databases returns what the control role of a host probes endpoints with.
-func (f *fleet) databases(name string) control.EndpointManager {
-	if f.cutOff[name] {
+// endpointManager returns the EndpointManager of the control role of a host.
+func (f *fleet) endpointManager(name string) control.EndpointManager {
+	if f.unreachableFrom[name] {
 		return unreachable{}
 	}
 	return watch.NewProber()
 }
 
-// unreachable reaches no endpoint.
+// unreachable is an EndpointManager that cannot reach any endpoint.
 type unreachable struct{}
 
 func (unreachable) Probe(context.Context, note.Service, agreed.Endpoint) failover.Condition {
@@ -60,7 +60,7 @@
 	return failover.OrderRefused, errors.New("no route to the endpoint")
 }
 
-// testHost is one running process of a host.
+// testHost is one process of a host.
 type testHost struct {
 	name       string
 	domain     string
@@ -75,12 +75,13 @@
 	done       chan struct{}
 }
 
-// newFleet starts control hosts c0 to c(n-1), which are entry hosts too.
-func newFleet(t testing.TB, n int, cutOff ...string) *fleet {
+// newFleet starts control hosts c0 to c(n-1), which are also entry hosts. Those in
+// unreachableFrom cannot reach endpoints.
+func newFleet(t testing.TB, n int, unreachableFrom ...string) *fleet {
 	f := &fleet{t: t, net: newNetwork(), dir: t.TempDir(), hosts: map[string]*testHost{}, leases: lease.DefaultConfig()}
-	f.cutOff = make(map[string]bool)
-	for _, name := range cutOff {
-		f.cutOff[name] = true
+	f.unreachableFrom = make(map[string]bool)
+	for _, name := range unreachableFrom {
+		f.unreachableFrom[name] = true
 	}
 	for i := range n {
 		f.controls = append(f.controls, config.ControlHost{Host: fmt.Sprintf("c%d", i), Addr: f.freeAddr(), Voter: true})
@@ -91,7 +92,7 @@
 	return f
 }
 
-// freeAddr returns an address that stays with the fleet.
+// freeAddr reserves an address until the end of the test.
 func (f *fleet) freeAddr() string {
 	r, err := f.net.reserve()
 	if err != nil {
@@ -101,6 +102,7 @@
 	return r.Addr().String()
 }
 
+// logger returns a logger that discards everything unless GB_TEST_LOG is set.
 func logger() *log.Logger {
 	if os.Getenv("GB_TEST_LOG") != "" {
 		return log.NewWithOptions(os.Stderr, log.Options{Level: log.DebugLevel, ReportTimestamp: true, TimeFormat: "05.000"})
@@ -108,7 +110,7 @@
 	return log.New(io.Discard)
 }
 
-// start starts a new process of a host.
+// start starts a new process of a host, with a greater incarnation than any before.
 func (f *fleet) start(name string) *testHost {
 	f.t.Helper()
 	f.started++
@@ -122,14 +124,14 @@
 	}
 	h.peer = peer.NewNode(peer.Options{
 		Host: name, Fleet: "fleet", Secret: "a secret of the fleet", Incarnation: f.started,
-		Listen: listen, Transport: port{f.net, name}, Logger: logger().With("host", name),
+		Listen: listen, Transport: transport{f.net, name}, Logger: logger().With("host", name),
 		OnReplaced: func() { close(h.replaced) }, Registry: h.registry,
 	})
 	if isControl {
 		h.control = control.New(control.Options{
 			Fleet: "fleet", DataDir: filepath.Join(f.dir, name), Bootstrap: true, Controls: f.controls,
 			Peer: h.peer, Lease: f.leases, Logger: logger().With("host", name), CompactEvery: 200, Registry: h.registry,
-			EndpointManager: f.databases(name),
+			EndpointManager: f.endpointManager(name),
 		})
 	}
 	h.subscriber = control.NewSubscriber(control.SubscriberOptions{
@@ -168,25 +170,25 @@
 	f.t.Cleanup(h.stop)
 }
 
-// stop ends the process without a goodbye.
+// stop ends the process without leaving the fleet, like a crash.
 func (h *testHost) stop() {
 	h.cancel()
 	<-h.done
 }
 
-// wait waits for a condition.
-func wait(t testing.TB, what string, cond func() bool) {
+// waitFor waits until a condition holds and fails the test after waitTimeout.
+func waitFor(t testing.TB, what string, cond func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !cond() {
 		if time.Now().After(deadline) {
-			t.Fatalf("never came to: %s", what)
+			t.Fatalf("timed out waiting for: %s", what)
 		}
 		time.Sleep(5 * time.Millisecond)
 	}
 }
 
-// valid reports whether the host may act now.
+// valid reports whether the host's view is valid, so that it may act.
 func (h *testHost) valid() bool { return h.view.Current().Valid() }
 
 // metric returns the sum of all series of a metric of the host.
@@ -208,9 +210,9 @@
 	return total
 }
 
-// leads reports whether the host believes to be the control leader.
+// leads reports whether the host considers itself the control leader.
 func (h *testHost) leads() bool {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	s, err := h.control.LocalStatus(ctx)
 	return err == nil && s.Leader == h.name && s.Role == "leader"
@@ -227,7 +229,7 @@
 func (f *fleet) waitValid(names ...string) {
 	f.t.Helper()
 	for _, name := range names {
-		wait(f.t, name+" may act", f.hosts[name].valid)
+		waitFor(f.t, "a valid view of "+name, f.hosts[name].valid)
 	}
 }
 
@@ -235,7 +237,7 @@
 func (f *fleet) leader(names ...string) string {
 	f.t.Helper()
 	var leader string
-	wait(f.t, "a leader", func() bool {
+	waitFor(f.t, "a leader", func() bool {
 		for _, name := range names {
 			if f.hosts[name].leads() {
 				leader = name
@@ -247,16 +249,17 @@
 	return leader
 }
 
+// testNote returns the command for a note that adds one workspace.
 func testNote(number uint64, title string) agreed.Command {
 	n := note.Note{Number: number, Title: title}
 	n.Added.Workspaces = []note.Workspace{{Name: fmt.Sprintf("w%d", number), Rate: 1, Burst: 1, Class: note.ClassBulk}}
 	return agreed.Command{ApplyNote: &agreed.ApplyNote{Note: n}}
 }
 
-// propose proposes through a host and expects a result code.
+// propose proposes through a host and fails the test on another result code.
 func (f *fleet) propose(name string, c agreed.Command, want result.Code) agreed.Outcome {
 	f.t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	out, err := f.hosts[name].control.Propose(ctx, c)
 	if err != nil {
@@ -271,6 +274,6 @@
 func (f *fleet) waitNote(number uint64, names ...string) {
 	f.t.Helper()
 	for _, name := range names {
-		wait(f.t, fmt.Sprintf("note %d on %s", number, name), func() bool { return f.hosts[name].noteNumber() >= number })
+		waitFor(f.t, fmt.Sprintf("note %d on %s", number, name), func() bool { return f.hosts[name].noteNumber() >= number })
 	}
 }
--- a/internal/control/network_test.go
+++ b/internal/control/network_test.go
@@ -8,8 +8,8 @@
 )
 
 // network carries the connections between the hosts of a test and can isolate
-// hosts: what passes an isolated host vanishes silently. Connections that lost
-// bytes fail once the isolation ends.
+// hosts. Bytes sent by or to an isolated host are dropped without an error.
+// Connections that have lost bytes fail once the isolation ends.
 type network struct {
 	mu       sync.Mutex
 	isolated map[string]bool
@@ -27,25 +27,27 @@
 	n.isolated[host] = isolated
 }
 
-func (n *network) name(addr, host string) {
+// setHost records the host of a listener or dialer address.
+func (n *network) setHost(addr, host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.byAddr[addr] = host
 }
 
-func (n *network) cut(from, toAddr string) bool {
+// dropped reports whether bytes from a host to an address are dropped.
+func (n *network) dropped(from, toAddr string) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.isolated[from] || n.isolated[n.byAddr[toAddr]]
 }
 
-// port is the peer.Transport of one host.
-type port struct {
+// transport is the peer.Transport of one host.
+type transport struct {
 	net  *network
 	host string
 }
 
-func (p port) Listen(addr string) (net.Listener, error) {
+func (p transport) Listen(addr string) (net.Listener, error) {
 	if r := p.net.reservation(addr); r != nil {
 		return r.attach(p), nil
 	}
@@ -53,25 +55,25 @@
 	if err != nil {
 		return nil, err
 	}
-	p.net.name(l.Addr().String(), p.host)
+	p.net.setHost(l.Addr().String(), p.host)
 	return listener{l, p}, nil
 }
 
-// reservation keeps an address over restarts of its host, so that nobody else
-// can take it. Connections that nobody accepts are closed.
+// reservation keeps an address bound while its host restarts, so that no other
+// process can bind it. Connections are closed while no process listens.
 type reservation struct {
 	net.Listener
-	mu    sync.Mutex
-	taker *attached
+	mu      sync.Mutex
+	current *reservedListener
 }
 
-// attached is the listener of one process at a reserved address.
-type attached struct {
+// reservedListener is the listener of one process at a reserved address.
+type reservedListener struct {
 	*reservation
-	port   port
-	conns  chan net.Conn
-	closed chan struct{}
-	once   sync.Once
+	transport transport
+	conns     chan net.Conn
+	closed    chan struct{}
+	once      sync.Once
 }
 
 // reserve binds a free address.
@@ -101,52 +103,52 @@
 			return
 		}
 		r.mu.Lock()
-		taker := r.taker
+		current := r.current
 		r.mu.Unlock()
-		if taker == nil {
+		if current == nil {
 			_ = c.Close()
 			continue
 		}
 		select {
-		case taker.conns <- c:
-		case <-taker.closed:
+		case current.conns <- c:
+		case <-current.closed:
 			_ = c.Close()
 		}
 	}
 }
 
-func (r *reservation) attach(p port) net.Listener {
-	p.net.name(r.Addr().String(), p.host)
-	a := &attached{reservation: r, port: p, conns: make(chan net.Conn), closed: make(chan struct{})}
+func (r *reservation) attach(p transport) net.Listener {
+	p.net.setHost(r.Addr().String(), p.host)
+	a := &reservedListener{reservation: r, transport: p, conns: make(chan net.Conn), closed: make(chan struct{})}
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	r.taker = a
+	r.current = a
 	return a
 }
 
-func (a *attached) Accept() (net.Conn, error) {
+func (a *reservedListener) Accept() (net.Conn, error) {
 	select {
 	case c := <-a.conns:
-		return &lossyConn{Conn: c, port: a.port}, nil
+		return &lossyConn{Conn: c, transport: a.transport}, nil
 	case <-a.closed:
 		return nil, net.ErrClosed
 	}
 }
 
-func (a *attached) Close() error {
+func (a *reservedListener) Close() error {
 	a.once.Do(func() {
 		close(a.closed)
 		a.mu.Lock()
 		defer a.mu.Unlock()
-		if a.taker == a {
-			a.taker = nil
+		if a.current == a {
+			a.current = nil
 		}
 	})
 	return nil
 }
 
-func (p port) Dial(ctx context.Context, addr string) (net.Conn, error) {
-	if p.net.cut(p.host, addr) {
+func (p transport) Dial(ctx context.Context, addr string) (net.Conn, error) {
+	if p.net.dropped(p.host, addr) {
 		<-ctx.Done()
 		return nil, ctx.Err()
 	}
@@ -155,13 +157,13 @@
 	if err != nil {
 		return nil, err
 	}
-	p.net.name(c.LocalAddr().String(), p.host)
-	return &lossyConn{Conn: c, port: p}, nil
+	p.net.setHost(c.LocalAddr().String(), p.host)
+	return &lossyConn{Conn: c, transport: p}, nil
 }
 
 type listener struct {
 	net.Listener
-	port port
+	transport transport
 }
 
 func (l listener) Accept() (net.Conn, error) {
@@ -169,21 +171,22 @@
 	if err != nil {
 		return nil, err
 	}
-	return &lossyConn{Conn: c, port: l.port}, nil
+	return &lossyConn{Conn: c, transport: l.transport}, nil
 }
 
+// lossyConn drops written bytes while one of its hosts is isolated.
 type lossyConn struct {
 	net.Conn
-	port port
-	mu   sync.Mutex
-	lost bool
+	transport transport
+	mu        sync.Mutex
+	lost      bool
 }
 
 func (c *lossyConn) Write(p []byte) (int, error) {
-	cut := c.port.net.cut(c.port.host, c.RemoteAddr().String())
+	dropped := c.transport.net.dropped(c.transport.host, c.RemoteAddr().String())
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	if cut {
+	if dropped {
 		c.lost = true
 		return len(p), nil
 	}
--- a/internal/control/publish.go
+++ b/internal/control/publish.go
@@ -28,7 +28,7 @@
 type subscription struct {
 	addr string
 	// sent is the revision last pushed, applied the one last acknowledged by the
-	// host. applied <= sent unless the host got a newer state elsewhere.
+	// host. sent is never below applied.
 	sent    uint64
 	applied uint64
 	// behindSince is since when the host has lagged behind sent without progress.
--- a/internal/control/publish_test.go
+++ b/internal/control/publish_test.go
@@ -5,9 +5,10 @@
 	"time"
 )
 
-// TestAMissedDeltaIsSentAgainWhileChangesGoOn loses one push to a host and goes
-// on to push later ones, which the host cannot apply.
-func TestAMissedDeltaIsSentAgainWhileChangesGoOn(t *testing.T) {
+// TestSubscriptionResendsMissedDelta guards against a host that stays behind after it
+// lost one push: it cannot apply the later ones, so the pushes must start again at
+// its revision within resendDelay even while new pushes follow.
+func TestSubscriptionResendsMissedDelta(t *testing.T) {
 	now := time.Unix(100, 0)
 	sub := &subscription{sent: 4, applied: 4}
 	const step = 20 * time.Millisecond
@@ -16,7 +17,7 @@
 		now = now.Add(step)
 		if sub.acknowledge(now, 4) {
 			if behind := now.Sub(time.Unix(100, 0)); behind > resendDelay+step {
-				t.Errorf("sent again after %v", behind)
+				t.Errorf("resent after %v", behind)
 			}
 			if sub.sent != 4 {
 				t.Errorf("the next push starts at %d", sub.sent)
@@ -24,18 +25,19 @@
 			return
 		}
 	}
-	t.Error("never sent again")
+	t.Error("never resent")
 }
 
-// TestAPushOnItsWayIsNotRepeated hears from a host that makes progress.
-func TestAPushOnItsWayIsNotRepeated(t *testing.T) {
+// TestSubscriptionKeepsPushInFlight checks that pushes to a host that makes progress
+// are not repeated while one is in flight.
+func TestSubscriptionKeepsPushInFlight(t *testing.T) {
 	now := time.Unix(100, 0)
 	sub := &subscription{sent: 4, applied: 4}
 	for i := range uint64(20) {
 		sub.recordPush(now, 6+i)
 		now = now.Add(resendDelay / 2)
 		if sub.acknowledge(now, 5+i) {
-			t.Fatalf("push %d is repeated", i)
+			t.Fatalf("push %d was repeated", i)
 		}
 	}
 }
