--- a/internal/agreed/apply.go
+++ b/internal/agreed/apply.go
@@ -20,9 +20,10 @@
 	}
 }
 
-// Apply applies the command at a log index. It returns s itself when the
-// command changed nothing, else a new state whose revision is index. The result
-// depends on the arguments alone.
+// Apply applies the command at a log index. It returns s itself if the command is
+// refused or changes nothing, otherwise a new state whose revision is index. s is
+// not modified. The result depends only on the arguments, so that all replicas
+// reach the same state.
 func Apply(s *State, index uint64, c Command) (*State, Outcome) {
 	next, out := apply(s, index, c)
 	if out.Code != 0 || next == nil {
@@ -34,7 +35,7 @@
 	return next, out
 }
 
-// apply returns nil for next when nothing changed.
+// apply applies one command. next is nil if nothing changed.
 func apply(s *State, index uint64, c Command) (next *State, out Outcome) {
 	switch {
 	case c.ApplyNote != nil:
@@ -66,12 +67,14 @@
 	}
 }
 
-// copyOf returns a shallow copy of s. The caller replaces the maps it changes.
+// copyOf returns a shallow copy of s. The caller clones each map before it changes
+// it.
 func copyOf(s *State) *State {
 	next := *s
 	return &next
 }
 
+// nameFleet sets the name of a state that has none. Another name is refused.
 func nameFleet(s *State, c *NameFleet) (*State, Outcome) {
 	if s.Fleet == c.Fleet {
 		return nil, Outcome{}
--- a/internal/agreed/apply_catalog.go
+++ b/internal/agreed/apply_catalog.go
@@ -6,9 +6,9 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// putCatalog puts a whole catalog in force. An equal or lower number than the
-// one in force is acknowledged and changes nothing, so that an operator may
-// send again what was not answered.
+// putCatalog replaces the whole catalog except the failure domains. A number not
+// higher than the one in force is acknowledged and changes nothing, so that an
+// operator may repeat a request that was not answered.
 func putCatalog(s *State, index uint64, c *PutCatalog) (*State, Outcome) {
 	current := s.Catalog.Stamp
 	if c.Document.Number <= current.Number {
@@ -30,6 +30,7 @@
 	return next, Outcome{Stamp: &next.Catalog.Stamp}
 }
 
+// orEmpty returns m, or an empty map for nil.
 func orEmpty[T any](m map[string]T) map[string]T {
 	if m == nil {
 		return map[string]T{}
@@ -37,7 +38,7 @@
 	return m
 }
 
-// setDomain takes a failure domain out of use or back.
+// setDomain takes a failure domain out of use or puts it back into use.
 func setDomain(s *State, d note.Domain) (*State, Outcome) {
 	if known, ok := s.Catalog.Domains[d.Name]; ok && known == d {
 		return nil, Outcome{}
@@ -51,8 +52,8 @@
 	return next, Outcome{}
 }
 
-// ForSubscriber returns the state as entry hosts get it, without what only
-// control hosts answer from.
+// ForSubscriber returns the state as sent to subscribers: without the source of the
+// document, which only control hosts serve.
 func (s *State) ForSubscriber() *State {
 	next := copyOf(s)
 	next.Document.Source = nil
--- a/internal/agreed/apply_endpoint.go
+++ b/internal/agreed/apply_endpoint.go
@@ -8,19 +8,20 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// MaxTombstones is the number of endpoints that left which the state remembers.
-// Announcements are late by seconds; this many leave in days.
+// MaxTombstones is the number of removed endpoints that the state remembers. That
+// many leave in days, while announcements are late by seconds.
 const MaxTombstones = 256
 
-// CheckStale reports why an announcement of an endpoint must not change the state:
-// it comes from a process that has left, or that another one has followed on the
-// identity or the address. A zero code admits it.
+// CheckStale returns an outcome with code zero if an announcement of an endpoint is
+// current. Otherwise it is a refusal: the endpoint's process has left, a later
+// announcement or a newer process with the same identity is recorded, or a newer
+// process has the same address.
 func (s *State) CheckStale(e Endpoint) Outcome {
-	if gone, ok := s.Retired[e.ID]; ok && e.StartedMS <= gone.StartedMS {
+	if tombstone, ok := s.Retired[e.ID]; ok && e.StartedMS <= tombstone.StartedMS {
 		return refuse(result.GroupConflict, "endpoint %q has left", e.ID)
 	}
 	if known, ok := s.Endpoints[e.ID]; ok && (e.StartedMS < known.StartedMS || e.StartedMS == known.StartedMS && e.Seq < known.Seq) {
-		return refuse(result.GroupConflict, "endpoint %q has announced itself later", e.ID)
+		return refuse(result.GroupConflict, "endpoint %q has a later announcement", e.ID)
 	}
 	for id, other := range s.Endpoints {
 		if id != e.ID && other.Addr == e.Addr && other.StartedMS > e.StartedMS {
@@ -30,14 +31,16 @@
 	return Outcome{}
 }
 
-// HasEndpoint reports whether the state holds what the announcement says.
+// HasEndpoint reports whether the state contains the endpoint as announced,
+// regardless of the announcement's number.
 func (s *State) HasEndpoint(e Endpoint) bool {
 	known, ok := s.Endpoints[e.ID]
 	return ok && known.sameExceptSeq(e)
 }
 
-// putEndpoint adds or changes an endpoint. A group takes no more members than
-// the release note gives it.
+// putEndpoint adds or changes an endpoint. A group gets no more members than its
+// service in the catalog allows. Endpoints of older processes at the same address,
+// or with the same identity in another service, are removed.
 func putEndpoint(s *State, index uint64, e Endpoint) (*State, Outcome) {
 	g, ok := s.Groups[e.Service]
 	if !ok {
@@ -72,8 +75,8 @@
 	return next, Outcome{}
 }
 
-// without returns the state without the endpoints that match, or s itself. A
-// group whose active primary is among them is sealed.
+// withoutEndpoints returns the state without the endpoints that match, or s itself
+// if none does. A group that loses its active primary is sealed.
 func (s *State) withoutEndpoints(index uint64, match func(Endpoint) bool) *State {
 	next := s
 	for _, id := range slices.Sorted(maps.Keys(s.Endpoints)) {
@@ -93,28 +96,30 @@
 	return next
 }
 
-// retireEndpoint removes an endpoint and remembers that it left.
+// retireEndpoint removes an endpoint and adds a tombstone for its process. It changes
+// nothing if the endpoint is unknown or already has a newer process.
 func retireEndpoint(s *State, index uint64, c *RetireEndpoint) (*State, Outcome) {
 	known, exists := s.Endpoints[c.ID]
-	born := c.StartedMS
-	if born == 0 {
-		born = known.StartedMS
+	startedMS := c.StartedMS
+	if startedMS == 0 {
+		startedMS = known.StartedMS
 	}
-	if !exists || known.StartedMS > born {
+	if !exists || known.StartedMS > startedMS {
 		return nil, Outcome{}
 	}
 	next := copyOf(s.withoutEndpoints(index, func(e Endpoint) bool { return e.ID == c.ID }))
-	next.Retired = addTombstone(s.Retired, c.ID, Tombstone{StartedMS: born, At: index})
+	next.Retired = addTombstone(s.Retired, c.ID, Tombstone{StartedMS: startedMS, At: index})
 	return next, Outcome{}
 }
 
-// retire returns a copy with one more entry, shortened to MaxTombstones.
-func addTombstone(all map[string]Tombstone, id string, r Tombstone) map[string]Tombstone {
+// addTombstone returns a copy of all with one more entry. Beyond MaxTombstones it
+// drops the oldest one.
+func addTombstone(all map[string]Tombstone, id string, t Tombstone) map[string]Tombstone {
 	next := maps.Clone(all)
 	if next == nil {
 		next = make(map[string]Tombstone)
 	}
-	next[id] = r
+	next[id] = t
 	if len(next) <= MaxTombstones {
 		return next
 	}
--- a/internal/agreed/apply_group.go
+++ b/internal/agreed/apply_group.go
@@ -8,9 +8,11 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Quorum returns the number of members of the service's group that must hold a
-// write before it is acknowledged. It counts the endpoints that the release
-// note asks for, so that a group with missing members does not lower it.
+// Quorum returns the number of members of the service's group that must store a
+// write before it is acknowledged: one if the primary itself waits for replicas
+// (note.AckReplicas), otherwise a majority. The majority is that of the configured
+// number of endpoints if the group has fewer members, so that missing members do not
+// lower it.
 func (s *State) Quorum(service string) int {
 	if s.Catalog.Services[service].Ack == note.AckReplicas {
 		return 1
@@ -19,7 +21,8 @@
 	return size/2 + 1
 }
 
-// withGroup returns a copy of s with a changed group.
+// withGroup returns a copy of s with a changed group. Changed of the group becomes
+// index.
 func (s *State) withGroup(g Group, index uint64) *State {
 	g.Changed = index
 	next := copyOf(s)
@@ -28,8 +31,8 @@
 	return next
 }
 
-// removeEndpoint removes a member that is neither the primary nor the candidate
-// of its group.
+// removeEndpoint removes a member from its group. It is refused while the group is
+// sealed, for the primary of an active group, and in another term than expected.
 func removeEndpoint(s *State, index uint64, c *RemoveEndpoint) (*State, Outcome) {
 	e, ok := s.Endpoints[c.ID]
 	if !ok {
@@ -49,11 +52,13 @@
 	return next, Outcome{}
 }
 
+// termConflict returns the refusal of a command that expects another term or phase.
 func termConflict(g Group, expected uint64) Outcome {
 	return refuse(result.TermConflict, "service %q is in term %d, phase %s; the command expects term %d", g.Service, g.Term, g.Phase, expected)
 }
 
-// sealGroup ends the expected term of an active group.
+// sealGroup ends the term of an active group, which must be the expected one. The
+// group can become active again only through its candidate.
 func sealGroup(s *State, index uint64, c *SealGroup) (*State, Outcome) {
 	g, ok := s.Groups[c.Service]
 	if !ok {
@@ -65,7 +70,7 @@
 	return s.withGroup(sealedGroup(g, c.Reason), index), Outcome{}
 }
 
-// sealed returns the group after the end of its term.
+// sealedGroup returns the group sealed in the next term, without a candidate.
 func sealedGroup(g Group, reason string) Group {
 	g.Term++
 	g.Phase = PhaseSealed
@@ -74,7 +79,9 @@
 	return g
 }
 
-// chooseGroup records the candidate of a sealed term.
+// chooseCandidate records the candidate of a sealed term. A repeated or older attempt
+// for the same candidate in the same chooser term changes nothing; any other choice
+// changes the group's revision and so the fence of the promotion.
 func chooseCandidate(s *State, index uint64, c *ChooseCandidate) (*State, Outcome) {
 	g, ok := s.Groups[c.Service]
 	if !ok {
@@ -93,8 +100,8 @@
 	return s.withGroup(g, index), Outcome{}
 }
 
-// activateGroup activates a sealed group with its candidate, or a forming group
-// of which a quorum is present.
+// activateGroup activates a sealed group with its candidate as primary, or a forming
+// group that has a quorum of members. The first active term is 1.
 func activateGroup(s *State, index uint64, c *ActivateGroup) (*State, Outcome) {
 	g, ok := s.Groups[c.Service]
 	if !ok {
--- a/internal/agreed/apply_host.go
+++ b/internal/agreed/apply_host.go
@@ -6,8 +6,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// registerHost adds a host. The same incarnation may register again; an older
-// one than the registered is refused.
+// registerHost adds a host or replaces its data. The registered incarnation may
+// register again and keeps its Registered revision; an older one is refused.
 func registerHost(s *State, index uint64, h Host) (*State, Outcome) {
 	known, ok := s.Hosts[h.ID]
 	if h.ID == "" || h.Incarnation == 0 {
@@ -36,7 +36,7 @@
 	return next, Outcome{}
 }
 
-// removeHost removes a host unless a newer incarnation has registered.
+// removeHost removes a host if the given incarnation is the registered one.
 func removeHost(s *State, index uint64, c *RemoveHost) (*State, Outcome) {
 	known, ok := s.Hosts[c.ID]
 	if !ok || known.Incarnation != c.Incarnation {
--- a/internal/agreed/apply_note.go
+++ b/internal/agreed/apply_note.go
@@ -8,12 +8,13 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// MaxHistory is the number of accepted notes that the state remembers. A
-// note sent again is recognised as long as it is among them.
+// MaxHistory is the number of accepted notes that the state remembers. A repeated
+// note is recognized only while it is among them.
 const MaxHistory = 1024
 
-// applyNote accepts the next note. A note with the number and digest of an
-// accepted one gets the first answer again.
+// applyNote accepts the note with the next number. A note with the number and digest
+// of an accepted one gets the stamp of the first acceptance; one with another digest
+// is a conflict.
 func applyNote(s *State, index uint64, c *ApplyNote) (*State, Outcome) {
 	number, digest := c.Note.Number, note.Digest(c.Note)
 	if stamp, ok := s.findNote(number); ok {
@@ -51,6 +52,7 @@
 	return s.History[i], true
 }
 
+// repeatedNote returns the outcome of a note whose number was accepted before.
 func repeatedNote(stamp note.Stamp, digest string) Outcome {
 	if stamp.Digest == digest {
 		return Outcome{Stamp: &stamp, Repeated: true}
@@ -61,15 +63,16 @@
 	return out
 }
 
-// appendHistory returns a copy of history with the stamp added, shortened to
-// MaxHistory.
+// appendHistory returns a copy of history with the stamps added. Beyond MaxHistory it
+// drops the oldest ones.
 func appendHistory(history []note.Stamp, stamps ...note.Stamp) []note.Stamp {
 	longer := append(slices.Clone(history), stamps...)
 	return longer[max(0, len(longer)-MaxHistory):]
 }
 
-// matchGroups gives each service of the catalog a group, and removes groups
-// and endpoints of services that were withdrawn.
+// syncGroups adds a forming group for each new service of the catalog, and removes
+// the groups and endpoints of withdrawn services. It modifies s, which must not be
+// published yet.
 func (s *State) syncGroups(index uint64) {
 	groups := maps.Clone(s.Groups)
 	for name := range s.Catalog.Services {
--- a/internal/agreed/apply_test.go
+++ b/internal/agreed/apply_test.go
@@ -13,8 +13,9 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-var received = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
+var receivedAt = time.Date(2026, 1, 2, 3, 4, 5, 0, time.UTC)
 
+// noteWith returns the command for a note that adds one workspace and services.
 func noteWith(number uint64, title string, services ...string) Command {
 	n := note.Note{Number: number, Title: title}
 	for _, name := range services {
@@ -25,16 +26,16 @@
 	n.Added.Workspaces = []note.Workspace{{
 		Name: fmt.Sprintf("w%d", number), Rate: 1, Burst: 1, Class: note.ClassBulk,
 	}}
-	return Command{ApplyNote: &ApplyNote{Note: n, Received: received}}
+	return Command{ApplyNote: &ApplyNote{Note: n, Received: receivedAt}}
 }
 
-// history applies commands in order, checks the code of each and returns the
-// last state.
+// step is a command with the expected result code.
 type step struct {
 	command Command
 	code    result.Code
 }
 
+// run applies the steps in order, checks the code of each and returns the last state.
 func run(t *testing.T, s *State, steps ...step) *State {
 	t.Helper()
 	for i, step := range steps {
@@ -63,17 +64,19 @@
 	return Command{ActivateGroup: &ActivateGroup{Service: "log", Term: term, Primary: id, Timeline: uint32(term)}}
 }
 
-func TestResentNoteGetsTheFirstAnswer(t *testing.T) {
+func TestApplyRepeatedNoteReturnsFirstStamp(t *testing.T) {
 	first, out := Apply(New(), 5, noteWith(1, "first"))
 	again := noteWith(1, "first")
-	again.ApplyNote.Received = received.Add(time.Hour)
+	again.ApplyNote.Received = receivedAt.Add(time.Hour)
 	second, repeated := Apply(first, 6, again)
 	if second != first || repeated.Code != 0 || *repeated.Stamp != *out.Stamp {
 		t.Fatalf("got %+v, want %+v", repeated, out)
 	}
 }
 
-func TestRacingNotesOneWins(t *testing.T) {
+// TestApplyNoteWithUsedNumberRefused guards against two operators that both get their
+// note accepted under one number.
+func TestApplyNoteWithUsedNumberRefused(t *testing.T) {
 	s := run(t, New(), step{noteWith(1, "mine"), 0})
 	same, out := Apply(s, 9, noteWith(1, "yours"))
 	if same != s || out.Code != result.NoteConflict {
@@ -87,7 +90,7 @@
 	run(t, s, step{noteWith(3, "too far"), result.NoteOutOfOrder}, step{noteWith(2, "next"), 0})
 }
 
-func TestInvalidNoteChangesNothing(t *testing.T) {
+func TestApplyInvalidNoteChangesNothing(t *testing.T) {
 	bad := noteWith(1, "bad")
 	bad.ApplyNote.Note.Added.Workspaces[0].Rate = -1
 	s, out := Apply(New(), 1, bad)
@@ -96,18 +99,18 @@
 	}
 }
 
-func TestHistoryIsBounded(t *testing.T) {
+func TestHistoryBoundedByMaxHistory(t *testing.T) {
 	s := New()
 	for n := range uint64(MaxHistory + 10) {
 		s = run(t, s, step{noteWith(n+1, "x"), 0})
 	}
 	if len(s.History) != MaxHistory {
-		t.Fatalf("history of %d", len(s.History))
+		t.Fatalf("history has %d entries", len(s.History))
 	}
 	run(t, s, step{noteWith(1, "x"), result.NoteOutOfOrder}, step{noteWith(20, "x"), 0})
 }
 
-func TestOldIncarnationCannotRegister(t *testing.T) {
+func TestRegisterHostOldIncarnationRefused(t *testing.T) {
 	register := func(incarnation uint64) Command {
 		return Command{RegisterHost: &RegisterHost{Host{ID: "h", Incarnation: incarnation}}}
 	}
@@ -125,7 +128,7 @@
 	}
 }
 
-func TestGroupGoesThroughItsPhases(t *testing.T) {
+func TestGroupPhaseTransitions(t *testing.T) {
 	s := run(t, New(),
 		step{noteWith(1, "first", "log"), 0},
 		step{put("a"), 0},
@@ -138,7 +141,7 @@
 		step{put("d"), result.GroupConflict}, // the group is complete
 		step{seal(2), result.TermConflict},
 		step{seal(1), 0},
-		step{seal(1), result.TermConflict}, // a second sealer lost the race
+		step{seal(1), result.TermConflict}, // already sealed by another command
 		step{activate(2, "b"), result.TermConflict},
 		step{choose(1, "b"), result.TermConflict},
 		step{choose(2, "b"), 0},
@@ -155,15 +158,15 @@
 	}
 }
 
-func TestWithdrawnServiceTakesItsGroup(t *testing.T) {
+func TestWithdrawnServiceRemovesGroup(t *testing.T) {
 	withdraw := Command{ApplyNote: &ApplyNote{Note: note.Note{Number: 2, Withdrawn: note.Names{Services: []string{"log"}}}}}
 	s := run(t, New(), step{noteWith(1, "first", "log"), 0}, step{put("a"), 0}, step{withdraw, 0})
 	if len(s.Groups) != 0 || len(s.Endpoints) != 0 {
-		t.Fatalf("left %v and %v", s.Groups, s.Endpoints)
+		t.Fatalf("remaining groups %v, endpoints %v", s.Groups, s.Endpoints)
 	}
 }
 
-// drawCommand draws a command, valid or not.
+// drawCommand generates a command, valid or not.
 func drawCommand(t *rapid.T, s *State) Command {
 	id := rapid.SampledFrom([]string{"a", "b", "c", "d"}).Draw(t, "id")
 	term := rapid.Uint64Range(0, 4).Draw(t, "term")
@@ -189,10 +192,10 @@
 	}
 }
 
-// TestDeltasLeadToTheSameState checks that patches and encodings of random
-// histories give the very state that Apply gives, that earlier states are not
-// changed by later commands, and that terms never fall.
-func TestDeltasLeadToTheSameState(t *testing.T) {
+// TestPatchMatchesApply checks for random commands that patches and a decoded
+// snapshot give the same state as Apply, that Apply does not modify the former state,
+// and that terms never decrease.
+func TestPatchMatchesApply(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		s := New()
 		follower := s
@@ -200,10 +203,10 @@
 			before := encode(t, s)
 			next, _ := Apply(s, uint64(i+1), drawCommand(t, s))
 			if !bytes.Equal(before, encode(t, s)) {
-				t.Fatal("a command changed the former state")
+				t.Fatal("a command modified the former state")
 			}
 			if next.Groups["log"].Term < s.Groups["log"].Term {
-				t.Fatal("the term fell")
+				t.Fatal("the term decreased")
 			}
 			s = next
 			if rapid.Bool().Draw(t, "push") && follower.Revision < s.Revision {
@@ -224,6 +227,7 @@
 	})
 }
 
+// patch sends the difference of two states through its encoding and applies it.
 func patch(t *rapid.T, from, to *State) *State {
 	data, err := encMode.Marshal(Diff(from, to))
 	if err != nil {
--- a/internal/agreed/command.go
+++ b/internal/agreed/command.go
@@ -10,7 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Command is one entry of the consensus log. Exactly one field is set.
+// Command is a change of the state, encoded in one entry of the consensus log.
+// Exactly one field is set.
 type Command struct {
 	ApplyNote       *ApplyNote       `cbor:"1,keyasint,omitempty"`
 	RegisterHost    *RegisterHost    `cbor:"2,keyasint,omitempty"`
@@ -26,14 +27,14 @@
 	RetireEndpoint  *RetireEndpoint  `cbor:"12,keyasint,omitempty"`
 }
 
-// PutCatalog replaces the whole catalog, but for the failure domains, when its
-// number is higher than the one in force. Any other number changes nothing.
+// PutCatalog replaces the whole catalog except the failure domains if its number is
+// higher than the one in force. Any other number changes nothing.
 type PutCatalog struct {
 	Document Document     `cbor:"1,keyasint"`
 	Catalog  note.Catalog `cbor:"2,keyasint"`
 }
 
-// SetDomain takes a failure domain out of use or back.
+// SetDomain takes a failure domain out of use or puts it back into use.
 type SetDomain struct {
 	Domain note.Domain `cbor:"1,keyasint"`
 }
@@ -42,7 +43,8 @@
 // primary leaves is sealed.
 type RetireEndpoint struct {
 	ID string `cbor:"1,keyasint"`
-	// StartedMS names the process that left; zero means the present one.
+	// StartedMS is the start time of the process that left; zero means the current
+	// one.
 	StartedMS uint64 `cbor:"2,keyasint,omitempty"`
 }
 
@@ -59,7 +61,7 @@
 	Host Host `cbor:"1,keyasint"`
 }
 
-// RemoveHost removes one incarnation of a host.
+// RemoveHost removes a host if Incarnation is the registered one.
 type RemoveHost struct {
 	ID          string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
@@ -78,7 +80,7 @@
 	Term uint64 `cbor:"2,keyasint"`
 }
 
-// SealGroup ends a term: the term grows by one and no host may act under it.
+// SealGroup ends a term: the term is incremented and no host may act under it.
 type SealGroup struct {
 	Service string `cbor:"1,keyasint"`
 	// Term is the expected current term.
@@ -91,12 +93,12 @@
 	Service   string `cbor:"1,keyasint"`
 	Term      uint64 `cbor:"2,keyasint"`
 	Candidate string `cbor:"3,keyasint"`
-	// ChooserTerm and Attempt tell choices apart; see Group.
+	// ChooserTerm and Attempt distinguish choices; see Group.
 	ChooserTerm uint64 `cbor:"4,keyasint,omitempty"`
 	Attempt     uint64 `cbor:"5,keyasint,omitempty"`
 }
 
-// ActivateGroup puts the primary of a sealed or forming group in force.
+// ActivateGroup makes a member the primary of a sealed or forming group.
 type ActivateGroup struct {
 	Service  string `cbor:"1,keyasint"`
 	Term     uint64 `cbor:"2,keyasint"`
@@ -104,24 +106,24 @@
 	Timeline uint32 `cbor:"4,keyasint"`
 }
 
-// NameFleet records the name of the fleet, once.
+// NameFleet records the name of the fleet. It cannot be changed afterwards.
 type NameFleet struct {
 	Fleet string `cbor:"1,keyasint"`
 }
 
-// Outcome is the answer to a command.
+// Outcome is the result of a command.
 type Outcome struct {
-	// Code is zero when the command succeeded or repeated one that did.
+	// Code is zero if the command succeeded or repeated one that did.
 	Code   result.Code `cbor:"1,keyasint,omitempty"`
 	Detail string      `cbor:"2,keyasint,omitempty"`
-	// Revision is the revision of the state that the answer describes.
+	// Revision is the revision of the state after the command.
 	Revision uint64 `cbor:"3,keyasint"`
-	// Stamp is the accepted note, or on a conflict the one in force under the
-	// number.
+	// Stamp identifies the accepted note, or after a refusal the conflicting one or
+	// the one in force.
 	Stamp *note.Stamp `cbor:"4,keyasint,omitempty"`
 	// Problems are the errors and warnings of a note.
 	Problems []note.Problem `cbor:"5,keyasint,omitempty"`
-	// Repeated tells that the note had been accepted before.
+	// Repeated is set if the note or a document at least as new was accepted before.
 	Repeated bool `cbor:"6,keyasint,omitempty"`
 }
 
@@ -133,12 +135,13 @@
 	return &result.Error{Code: o.Code, Detail: o.Detail}
 }
 
+// refuse returns the outcome of a command that must not change the state.
 func refuse(code result.Code, format string, args ...any) Outcome {
 	e := result.New(code, format, args...)
 	return Outcome{Code: e.Code, Detail: e.Detail}
 }
 
-// maxElements bounds the items of one decoded array or map.
+// maxElements limits the items of one decoded array or map.
 const maxElements = 4 << 20
 
 var (
@@ -152,7 +155,7 @@
 	return data, errors.Wrap(err, "encode command")
 }
 
-// DecodeCommand decodes a command of the log.
+// DecodeCommand decodes a command encoded by Encode.
 func DecodeCommand(data []byte) (Command, error) {
 	var c Command
 	err := decMode.Unmarshal(data, &c)
--- a/internal/agreed/delta.go
+++ b/internal/agreed/delta.go
@@ -9,13 +9,15 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// Changes are the entries of one map that were set and those that were removed.
+// Changes holds the entries of one map that were set, and the keys of those that
+// were removed.
 type Changes[T any] struct {
 	Set     map[string]T `cbor:"1,keyasint,omitempty"`
 	Removed []string     `cbor:"2,keyasint,omitempty"`
 }
 
-// Delta leads from the state at revision From to the one at revision To.
+// Delta is the difference between the states at revisions From and To. A nil Changes
+// means that the map is unchanged. The document's source is not included.
 type Delta struct {
 	From uint64 `cbor:"1,keyasint"`
 	To   uint64 `cbor:"2,keyasint"`
@@ -29,20 +31,19 @@
 	Hosts      *Changes[Host]           `cbor:"9,keyasint,omitempty"`
 	Endpoints  *Changes[Endpoint]       `cbor:"10,keyasint,omitempty"`
 	Groups     *Changes[Group]          `cbor:"11,keyasint,omitempty"`
-	// EntryRemoved is the field of the state after the change.
+	// EntryRemoved, HostsChanged and OwnersEpoch are fields of the state after the
+	// change.
 	EntryRemoved uint64 `cbor:"12,keyasint,omitempty"`
-	// HostsChanged is the revision of the last change of the hosts.
 	HostsChanged uint64 `cbor:"13,keyasint,omitempty"`
-	// OwnersEpoch numbers the set of control hosts after the change.
-	OwnersEpoch uint64 `cbor:"14,keyasint,omitempty"`
-	// Catalog is set when a whole catalog was put in force: what is not in a map
-	// of its own.
+	OwnersEpoch  uint64 `cbor:"14,keyasint,omitempty"`
+	// Catalog is set if the whole catalog was replaced.
 	Catalog *CatalogHeader       `cbor:"15,keyasint,omitempty"`
 	Routes  *Changes[note.Route] `cbor:"16,keyasint,omitempty"`
 	Retired *Changes[Tombstone]  `cbor:"17,keyasint,omitempty"`
 }
 
-// CatalogHeader is the part of a catalog that is not in maps.
+// CatalogHeader is the part of a catalog outside its maps. Document is the number of
+// the document.
 type CatalogHeader struct {
 	Stamp           note.Stamp `cbor:"1,keyasint"`
 	IdleTransaction int64      `cbor:"2,keyasint,omitempty"`
@@ -53,10 +54,11 @@
 	return CatalogHeader{Stamp: s.Catalog.Stamp, IdleTransaction: s.Catalog.IdleTransaction, Document: s.Document.Number}
 }
 
-// ErrGap is returned by Patch when the delta does not start at the state.
+// ErrGap is returned by Patch if the delta does not start at the state's revision.
 var ErrGap = errors.New("the delta does not start at the revision of the state")
 
-// Diff returns the delta from one state to a later one.
+// Diff returns the delta from one state to a later one. Maps shared by both states
+// are not compared.
 func Diff(from, to *State) Delta {
 	d := Delta{
 		From:         from.Revision,
@@ -88,6 +90,7 @@
 	return d
 }
 
+// diffMap returns the changes from one map to another, or nil if there are none.
 func diffMap[T any](from, to map[string]T) *Changes[T] {
 	if reflect.ValueOf(from).Pointer() == reflect.ValueOf(to).Pointer() {
 		return nil // the map was not replaced
@@ -110,8 +113,8 @@
 	return &c
 }
 
-// Patch returns the state that the delta leads to. It returns ErrGap when the
-// delta starts at another revision.
+// Patch returns the state after a delta, without changing s. It returns ErrGap if the
+// delta does not start at the revision of s or does not lead to a later one.
 func Patch(s *State, d Delta) (*State, error) {
 	if d.From != s.Revision || d.To <= d.From {
 		return nil, ErrGap
@@ -143,6 +146,7 @@
 	return next, nil
 }
 
+// patchMap returns a map with the changes, or m itself if there are none.
 func patchMap[T any](m map[string]T, c *Changes[T]) map[string]T {
 	if c == nil {
 		return m
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -8,6 +8,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
+// putDocument returns the command for a document with a route for each service.
 func putDocument(number uint64, services ...string) Command {
 	c := note.Catalog{Services: map[string]note.Service{}, Routes: map[string]note.Route{}}
 	for _, name := range services {
@@ -17,12 +18,14 @@
 	return Command{PutCatalog: &PutCatalog{Document: Document{Number: number, Source: []byte("text")}, Catalog: c}}
 }
 
-func announce(id, addr string, born, seq uint64) Command {
-	return Command{PutEndpoint: &PutEndpoint{Endpoint: Endpoint{ID: id, Service: "logs", Addr: addr, Domain: "a", StartedMS: born, Seq: seq}}}
+// announce returns the command for the announcement of an endpoint.
+func announce(id, addr string, startedMS, seq uint64) Command {
+	return Command{PutEndpoint: &PutEndpoint{Endpoint: Endpoint{ID: id, Service: "logs", Addr: addr, Domain: "a", StartedMS: startedMS, Seq: seq}}}
 }
 
-// run applies commands and returns the last state with all outcomes.
-func runDocument(t *testing.T, commands ...Command) (*State, []Outcome) {
+// applyCommands applies commands and returns the last state and all outcomes. It
+// checks that each delta gives a subscriber the same catalog and endpoints.
+func applyCommands(t *testing.T, commands ...Command) (*State, []Outcome) {
 	t.Helper()
 	s := New()
 	var outcomes []Outcome
@@ -31,7 +34,7 @@
 		if next.Revision != s.Revision {
 			patched, err := Patch(s.ForSubscriber(), Diff(s, next))
 			if err != nil || !reflect.DeepEqual(patched.Catalog, next.Catalog) || !reflect.DeepEqual(patched.Endpoints, next.Endpoints) {
-				t.Fatalf("command %d: the delta does not lead to the state: %v", i, err)
+				t.Fatalf("command %d: the patched state differs: %v", i, err)
 			}
 		}
 		s = next
@@ -40,8 +43,8 @@
 	return s, outcomes
 }
 
-func TestTheHighestDocumentIsInForce(t *testing.T) {
-	s, out := runDocument(t, putDocument(4, "logs"), putDocument(9, "logs", "more"), putDocument(9, "other"), putDocument(5, "logs"))
+func TestPutCatalogHighestNumberInForce(t *testing.T) {
+	s, out := applyCommands(t, putDocument(4, "logs"), putDocument(9, "logs", "more"), putDocument(9, "other"), putDocument(5, "logs"))
 	if s.Catalog.Stamp.Number != 9 || len(s.Catalog.Services) != 2 || s.Document.Number != 9 {
 		t.Errorf("state %+v", s.Catalog)
 	}
@@ -52,24 +55,26 @@
 	}
 }
 
-func TestDomainsOutliveADocument(t *testing.T) {
+func TestPutCatalogKeepsDomains(t *testing.T) {
 	out := Command{SetDomain: &SetDomain{Domain: note.Domain{Name: "a", Region: "r", Out: true}}}
-	s, _ := runDocument(t, putDocument(1, "logs"), out, putDocument(2, "logs"))
+	s, _ := applyCommands(t, putDocument(1, "logs"), out, putDocument(2, "logs"))
 	if !s.Catalog.Domains["a"].Out {
 		t.Error("the domain is back in use")
 	}
 }
 
-func TestLateAnnouncementsReviveNothing(t *testing.T) {
+// TestPutEndpointStaleAnnouncementsRefused guards against a late announcement that
+// adds an endpoint again after it left, or that undoes a later announcement.
+func TestPutEndpointStaleAnnouncementsRefused(t *testing.T) {
 	leave := Command{RetireEndpoint: &RetireEndpoint{ID: "e1", StartedMS: 10}}
-	s, out := runDocument(t, putDocument(1, "logs"),
+	s, out := applyCommands(t, putDocument(1, "logs"),
 		announce("e1", "x:1", 10, 5), leave,
 		announce("e1", "x:1", 10, 6), // after it left
-		announce("e2", "x:1", 20, 1), // a younger one at the address
-		announce("e0", "x:1", 15, 9), // an older one at the address
+		announce("e2", "x:1", 20, 1), // a newer process at the address
+		announce("e0", "x:1", 15, 9), // an older process at the address
 		announce("e2", "y:1", 20, 3),
-		announce("e2", "x:1", 20, 2), // overtaken
-		announce("e1", "z:1", 30, 1), // the same identity started again
+		announce("e2", "x:1", 20, 2), // older than the last announcement
+		announce("e1", "z:1", 30, 1), // the same identity in a new process
 	)
 	refused := map[int]bool{3: true, 5: true, 7: true}
 	for i, o := range out {
@@ -82,15 +87,15 @@
 	}
 }
 
-func TestAnAddressGoesToTheYoungestEndpoint(t *testing.T) {
-	s, _ := runDocument(t, putDocument(1, "logs"), announce("e1", "x:1", 10, 5), announce("e2", "x:1", 20, 1))
+func TestPutEndpointNewerProcessTakesAddress(t *testing.T) {
+	s, _ := applyCommands(t, putDocument(1, "logs"), announce("e1", "x:1", 10, 5), announce("e2", "x:1", 20, 1))
 	if _, ok := s.Endpoints["e1"]; ok || len(s.Groups["logs"].Members) != 1 {
 		t.Errorf("endpoints %+v, group %+v", s.Endpoints, s.Groups["logs"])
 	}
 }
 
-func TestAGroupIsSealedWhenItsPrimaryLeaves(t *testing.T) {
-	s, _ := runDocument(t, putDocument(1, "logs"), announce("e1", "x:1", 10, 5), announce("e2", "y:1", 10, 5),
+func TestRetireEndpointPrimarySealsGroup(t *testing.T) {
+	s, _ := applyCommands(t, putDocument(1, "logs"), announce("e1", "x:1", 10, 5), announce("e2", "y:1", 10, 5),
 		Command{ActivateGroup: &ActivateGroup{Service: "logs", Term: 1, Primary: "e1", Timeline: 1}},
 		Command{RetireEndpoint: &RetireEndpoint{ID: "e1"}})
 	g := s.Groups["logs"]
@@ -99,7 +104,9 @@
 	}
 }
 
-func TestAnotherAttemptGetsAnotherFence(t *testing.T) {
+// TestChooseCandidateFence checks that a repeated choice keeps the fence, and that
+// another attempt or another leader gets a greater one.
+func TestChooseCandidateFence(t *testing.T) {
 	choose := func(chooser, attempt uint64) Command {
 		return Command{ChooseCandidate: &ChooseCandidate{Service: "logs", Term: 2, Candidate: "e2", ChooserTerm: chooser, Attempt: attempt}}
 	}
@@ -111,18 +118,18 @@
 	}
 	var fences []uint64
 	for _, next := range []Command{choose(3, 1), choose(3, 2), choose(5, 1)} {
-		s, _ := runDocument(t, commands...)
+		s, _ := applyCommands(t, commands...)
 		commands = append(commands, next)
 		fences = append(fences, s.Groups["logs"].Changed)
 	}
-	s, _ := runDocument(t, commands...)
+	s, _ := applyCommands(t, commands...)
 	fences = append(fences, s.Groups["logs"].Changed)
 	if fences[0] != fences[1] || fences[2] <= fences[1] || fences[3] <= fences[2] {
 		t.Errorf("fences %v", fences)
 	}
 }
 
-func TestRetiredEndpointsAreBounded(t *testing.T) {
+func TestTombstonesBoundedByMaxTombstones(t *testing.T) {
 	var all map[string]Tombstone
 	for i := range uint64(2 * MaxTombstones) {
 		all = addTombstone(all, string(rune('a'+i)), Tombstone{StartedMS: i, At: i})
--- a/internal/agreed/departed_test.go
+++ b/internal/agreed/entry_removed_test.go
@@ -2,7 +2,9 @@
 
 import "testing"
 
-func TestDepartedFollowsLostEntryProcesses(t *testing.T) {
+// TestEntryRemovedRevision checks that EntryRemoved changes exactly when the process of
+// an entry host is replaced or removed, and that deltas carry it.
+func TestEntryRemovedRevision(t *testing.T) {
 	register := func(id string, incarnation uint64, entry bool) Command {
 		return Command{RegisterHost: &RegisterHost{Host: Host{ID: id, Incarnation: incarnation, Entry: entry}}}
 	}
@@ -27,14 +29,14 @@
 		before := s
 		s, _ = Apply(s, uint64(i+1), step.command)
 		if s.EntryRemoved != step.want {
-			t.Fatalf("step %d: departed %d, want %d", i+1, s.EntryRemoved, step.want)
+			t.Fatalf("step %d: EntryRemoved is %d, want %d", i+1, s.EntryRemoved, step.want)
 		}
 		if s == before {
 			continue
 		}
 		patched, err := Patch(before, Diff(before, s))
 		if err != nil || patched.EntryRemoved != step.want {
-			t.Fatalf("step %d: the delta leads to %d, %v", i+1, patched.EntryRemoved, err)
+			t.Fatalf("step %d: EntryRemoved after the delta is %d, error %v", i+1, patched.EntryRemoved, err)
 		}
 	}
 }
--- a/internal/agreed/snapshot.go
+++ b/internal/agreed/snapshot.go
@@ -2,7 +2,7 @@
 
 import "github.com/pkg/errors"
 
-// snapshotFormat is the version of the encoded state.
+// snapshotFormat is the version of the encoding of a state.
 const snapshotFormat = 1
 
 type snapshot struct {
@@ -16,14 +16,14 @@
 	return data, errors.Wrap(err, "encode state")
 }
 
-// Decode decodes a state.
+// Decode decodes a state encoded by Encode. Another format version is an error.
 func Decode(data []byte) (*State, error) {
 	snap := snapshot{State: New()}
 	if err := decMode.Unmarshal(data, &snap); err != nil {
 		return nil, errors.Wrap(err, "decode state")
 	}
 	if snap.Format != snapshotFormat {
-		return nil, errors.Errorf("state of format %d, this version reads %d", snap.Format, snapshotFormat)
+		return nil, errors.Errorf("state has format %d; this version reads format %d", snap.Format, snapshotFormat)
 	}
 	if snap.State == nil {
 		return nil, errors.New("decode state: no state")
--- a/internal/control/messages.go
+++ b/internal/control/messages.go
@@ -62,8 +62,8 @@
 }
 
 // Status describes the fleet from the point of view of the reporting control host.
-// Only the leader's status is complete: the state of leases, announcements and
-// failover is known to the leader alone.
+// Only the leader's status is complete, since only the leader has all leases, the
+// announcements and the state of failover.
 type Status struct {
 	// Host is the reporting control host.
 	Host     string `json:"host" cbor:"1,keyasint"`
