--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -163,7 +163,7 @@
 func (h *Host) rejoin() error {
 	h.log.Warn("data_folder_outdated", "action", "joining anew")
 	h.stopLeading()
-	h.reads.failAll()
+	h.pendingReads.failAll()
 	if err := h.store.Reset(); err != nil {
 		return err
 	}
@@ -193,8 +193,8 @@
 func (h *Host) updateRole(now time.Time) {
 	st := h.node.Status()
 	leading := st.Role == consensus.Leader
-	if info := h.leaderInfo.Load(); info.leading != leading || info.leader != st.Leader {
-		h.leaderInfo.Store(&leaderInfo{leading: leading, leader: st.Leader})
+	if info := h.knownLeader.Load(); info.leading != leading || info.leader != st.Leader {
+		h.knownLeader.Store(&leaderInfo{leading: leading, leader: st.Leader})
 		h.broker.Abort()
 		h.log.Info("control_leader", "leader", st.Leader, "term", st.Term, "leading", leading)
 	}
@@ -223,7 +223,7 @@
 		return
 	}
 	h.leading, h.confirmed = false, false
-	h.reads.failAll()
+	h.pendingReads.failAll()
 	h.broker.Abort()
 	h.broker.Follow()
 	h.failover.stop()
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -61,7 +61,7 @@
 }
 
 func (h *Host) nextMemberChange() (consensus.Change, bool) {
-	if h.opts.OpenMembership {
+	if h.opts.Open {
 		return h.node.NextOpenChange()
 	}
 	wanted := make([]consensus.Wanted, 0, len(h.opts.Controls))
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -143,7 +143,7 @@
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
 		case failover.AskPositions:
-			d.probe(e)
+			d.startProbes(e)
 		case failover.Promote:
 			d.promote(e)
 		case failover.Status:
@@ -164,11 +164,11 @@
 }
 
 func (d *failoverDriver) endpointClient() endpointClient {
-	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
+	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.Databases, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
-// probe starts probes of endpoints, at most one at a time for each endpoint.
-func (d *failoverDriver) probe(e failover.AskPositions) {
+// startProbes starts probes of endpoints, at most one at a time for each endpoint.
+func (d *failoverDriver) startProbes(e failover.AskPositions) {
 	client := d.endpointClient()
 	for _, id := range e.Endpoints {
 		endpoint, ok := d.host.state.Endpoints[id]
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -131,7 +131,7 @@
 		h.control = control.New(control.Options{
 			Fleet: "fleet", DataDir: filepath.Join(f.dir, name), Bootstrap: true, Controls: f.controls,
 			Peer: h.peer, Lease: f.leases, Logger: logger().With("host", name), CompactEvery: 200, Registry: h.registry,
-			EndpointManager: f.endpointManager(name),
+			Databases: f.endpointManager(name),
 		})
 	}
 	h.subscriber = control.NewSubscriber(control.SubscriberOptions{
@@ -229,7 +229,7 @@
 func (f *fleet) waitValid(names ...string) {
 	f.t.Helper()
 	for _, name := range names {
-		waitFor(f.t, "a valid view of "+name, f.hosts[name].valid)
+		waitFor(f.t, name+" to have a valid view", f.hosts[name].valid)
 	}
 }
 
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -28,15 +28,15 @@
 	// Bootstrap creates a new fleet whose first voters are those among Controls.
 	Bootstrap bool
 	Controls  []config.ControlHost
-	// OpenMembership admits every control host that requests to join. Controls are
+	// Open admits every control host that requests to join. Controls are
 	// then the seeds, and the identity of a host is its peer address.
-	OpenMembership bool
-	Peer           *peer.Node
-	Lease          lease.Config
-	Logger         *log.Logger
-	Registry       prometheus.Registerer
-	// EndpointManager probes and promotes endpoints; nil disables failover.
-	EndpointManager EndpointManager
+	Open     bool
+	Peer     *peer.Node
+	Lease    lease.Config
+	Logger   *log.Logger
+	Registry prometheus.Registerer
+	// Databases probes and promotes endpoints; nil disables failover.
+	Databases EndpointManager
 	// Fenced is set if promotion orders may be executed late. They carry a fence
 	// by which an outdated order is rejected.
 	Fenced bool
@@ -59,8 +59,8 @@
 	log     *log.Logger
 	metrics *hostMetrics
 	events  chan event
-	// leaderInfo is the known leader, for proposers in other goroutines.
-	leaderInfo atomic.Pointer[leaderInfo]
+	// knownLeader is for proposers in other goroutines.
+	knownLeader atomic.Pointer[leaderInfo]
 
 	node   *consensus.Node
 	store  *store.Store
@@ -68,10 +68,10 @@
 	recent recentStates
 	broker *lease.Broker
 
-	subscribers map[lease.ID]*subscription
-	proposals   map[uint64]pendingProposal
-	reads       pendingReads
-	announced   map[string]announcedEndpoint
+	subscribers  map[lease.ID]*subscription
+	proposals    map[uint64]pendingProposal
+	pendingReads pendingReads
+	announced    map[string]announcedEndpoint
 	// joinPositions are the positions required to join a group, by service.
 	joinPositions map[string]joinPosition
 	// lastLeased is when a registered process was last seen with a lease.
@@ -116,7 +116,7 @@
 	h := &Host{opts: opts, log: opts.Logger, metrics: newHostMetrics(opts.Registry), events: make(chan event, eventQueueSize)}
 	// The broker outlives a restart of Run: leases that it has relayed still count.
 	h.broker = lease.NewBroker(opts.Lease, initialSeq())
-	h.leaderInfo.Store(&leaderInfo{})
+	h.knownLeader.Store(&leaderInfo{})
 	h.registerHandlers()
 	return h
 }
@@ -211,7 +211,7 @@
 	h.broker.Abort()
 	h.subscribers = make(map[lease.ID]*subscription)
 	h.proposals = make(map[uint64]pendingProposal)
-	h.reads = newPendingReads()
+	h.pendingReads = newPendingReads()
 	h.announced = make(map[string]announcedEndpoint)
 	h.joinPositions = make(map[string]joinPosition)
 	h.lastLeased = make(map[lease.ID]time.Time)
@@ -254,7 +254,7 @@
 			founder = founder || c.Host == cfg.Host
 		}
 	}
-	if h.opts.OpenMembership && !founder {
+	if h.opts.Open && !founder {
 		cfg.Founders = nil // a host that is not a seed waits to be admitted
 	}
 	return cfg
@@ -262,11 +262,11 @@
 
 func (h *Host) close() {
 	h.stopLeading()
-	h.leaderInfo.Store(&leaderInfo{})
+	h.knownLeader.Store(&leaderInfo{})
 	for index := range h.proposals {
 		h.answerProposal(index, agreed.Outcome{}, result.New(result.NoQuorum, "the control host is stopping"))
 	}
-	h.reads.failAll()
+	h.pendingReads.failAll()
 	if err := h.store.Close(); err != nil {
 		h.log.Error("store_close_failed", "err", err.Error())
 	}
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -133,7 +133,7 @@
 	if h.state.HostsChanged == 0 {
 		h.broker.Found()
 	}
-	if h.opts.EndpointManager != nil {
+	if h.opts.Databases != nil {
 		h.failover = newFailoverDriver(h)
 	}
 }
@@ -169,17 +169,17 @@
 // logRegistrationWait logs which host delays the settling of a registration,
 // whenever that changes. A process cannot act until its registration is settled.
 func (h *Host) logRegistrationWait() {
-	settled, waits := h.broker.Settled(), ""
+	settled, waitingFor := h.broker.Settled(), ""
 	if settled < h.state.HostsChanged {
 		id, _ := h.broker.Slowest()
-		waits = id.Host
+		waitingFor = id.Host
 	}
-	if waits == h.waitingFor {
+	if waitingFor == h.waitingFor {
 		return
 	}
-	h.waitingFor = waits
+	h.waitingFor = waitingFor
 	id, revision := h.broker.Slowest()
-	h.log.Info("registration_waits", "for", waits, "incarnation", id.Incarnation, "at", revision, "settled", settled,
+	h.log.Info("registration_waits", "for", waitingFor, "incarnation", id.Incarnation, "at", revision, "settled", settled,
 		"registered", h.state.HostsChanged)
 }
 
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -119,7 +119,7 @@
 // NoQuorum the command may still be accepted later.
 func (h *Host) Propose(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
 	return retryProposal(ctx, func(ctx context.Context) (agreed.Outcome, error) {
-		info := h.leaderInfo.Load()
+		info := h.knownLeader.Load()
 		switch {
 		case info.leading:
 			return h.proposeLocal(ctx, c)
@@ -185,7 +185,7 @@
 // controlAddr returns the configured address of a control host, empty if it is
 // unknown. With open membership the identity is the address.
 func (h *Host) controlAddr(host string) string {
-	if h.opts.OpenMembership {
+	if h.opts.Open {
 		return host
 	}
 	for _, c := range h.opts.Controls {
@@ -212,7 +212,7 @@
 	ctx, cancel := context.WithTimeout(ctx, proposalTimeout)
 	defer cancel()
 	if p.Forwarded {
-		if !h.leaderInfo.Load().leading {
+		if !h.knownLeader.Load().leading {
 			return agreed.Outcome{}, result.New(result.NotLeader, "this host is not the leader")
 		}
 		return h.proposeLocal(ctx, p.Command)
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -48,14 +48,14 @@
 
 // failRead fails a read and reports whether there was one with the ID.
 func (h *Host) failRead(id uint64) bool {
-	return h.reads.finish(id, documentResult{err: result.New(result.NotLeader, "the leader changed")})
+	return h.pendingReads.finish(id, documentResult{err: result.New(result.NotLeader, "the leader changed")})
 }
 
 // finishRead answers a read after the leader was confirmed and reports whether there
 // was one with the ID. The state then includes everything that was committed before
 // the read began.
 func (h *Host) finishRead(id uint64) bool {
-	return h.reads.finish(id, documentResult{document: h.state.Document})
+	return h.pendingReads.finish(id, documentResult{document: h.state.Document})
 }
 
 // readEvent requests the document from this host as the leader.
@@ -68,10 +68,10 @@
 		e.reply <- documentResult{err: h.errNotLeader()}
 		return
 	}
-	h.reads.next++
-	h.reads.pending[h.reads.next] = e.reply
-	if err := h.node.ConfirmQuorum(h.reads.next); err != nil {
-		h.reads.finish(h.reads.next, documentResult{err: err})
+	h.pendingReads.next++
+	h.pendingReads.pending[h.pendingReads.next] = e.reply
+	if err := h.node.ConfirmQuorum(h.pendingReads.next); err != nil {
+		h.pendingReads.finish(h.pendingReads.next, documentResult{err: err})
 	}
 }
 
@@ -97,7 +97,7 @@
 
 // documentOnce reads the document locally or at the leader, without a retry.
 func (h *Host) documentOnce(ctx context.Context) (agreed.Document, error) {
-	info := h.leaderInfo.Load()
+	info := h.knownLeader.Load()
 	switch {
 	case info.leading:
 		return h.localDocument(ctx)
@@ -142,7 +142,7 @@
 }
 
 func (e hostSeedsEvent) handle(h *Host, _ time.Time) {
-	if h.opts.OpenMembership {
+	if h.opts.Open {
 		h.node.SetPeers(e.hosts)
 	}
 }
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -27,7 +27,7 @@
 // Status returns the leader's status, or this host's own if the leader is unknown or
 // cannot be reached.
 func (h *Host) Status(ctx context.Context) (Status, error) {
-	info := h.leaderInfo.Load()
+	info := h.knownLeader.Load()
 	if !info.leading && info.leader != "" {
 		ctx, cancel := context.WithTimeout(ctx, statusTimeout)
 		defer cancel()
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -43,13 +43,13 @@
 	Entry    bool
 	Control  bool
 	Controls []config.ControlHost
-	// OpenMembership adds the control hosts of the agreed state to Controls, which
+	// Open adds the control hosts of the agreed state to Controls, which
 	// are then seeds.
-	OpenMembership bool
-	Peer           *peer.Node
-	Lease          lease.Config
-	Logger         *log.Logger
-	Registry       prometheus.Registerer
+	Open     bool
+	Peer     *peer.Node
+	Lease    lease.Config
+	Logger   *log.Logger
+	Registry prometheus.Registerer
 	// View receives the agreed state and the end of the lease.
 	View *view.Box
 }
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -13,25 +13,25 @@
 // configured ones, and with open membership first those of the agreed state, the
 // nearest first.
 func (s *Subscriber) updateCandidates(state *agreed.State) {
-	if !s.opts.OpenMembership {
+	if !s.opts.Open {
 		s.candidates = s.opts.Controls
 		return
 	}
-	known := make([]config.ControlHost, 0, len(s.opts.Controls))
+	candidates := make([]config.ControlHost, 0, len(s.opts.Controls))
 	for _, h := range state.Hosts {
 		if h.Control {
-			known = append(known, config.ControlHost{Host: h.ID, Addr: h.PeerAddr})
+			candidates = append(candidates, config.ControlHost{Host: h.ID, Addr: h.PeerAddr})
 		}
 	}
-	slices.SortFunc(known, func(a, b config.ControlHost) int {
+	slices.SortFunc(candidates, func(a, b config.ControlHost) int {
 		return cmp.Or(s.distance(state, a.Host)-s.distance(state, b.Host), cmp.Compare(a.Host, b.Host))
 	})
 	for _, seed := range s.opts.Controls {
-		if !slices.ContainsFunc(known, func(c config.ControlHost) bool { return c.Host == seed.Host }) {
-			known = append(known, seed)
+		if !slices.ContainsFunc(candidates, func(c config.ControlHost) bool { return c.Host == seed.Host }) {
+			candidates = append(candidates, seed)
 		}
 	}
-	s.candidates = known
+	s.candidates = candidates
 }
 
 // distance orders control hosts: 0 for this host, 1 for the same failure domain, 2
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -125,15 +125,15 @@
 	seeds := config.SeedHosts(d.opts.Settings.Seeds)
 	if c := d.opts.Settings.Control; c != nil {
 		d.control = control.New(control.Options{
-			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, OpenMembership: true, Controls: seeds,
+			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, Open: true, Controls: seeds,
 			Peer: d.peers, Lease: timing, Logger: d.log, Registry: d.registry,
-			EndpointManager: d.opts.Databases, Fenced: d.opts.Fenced,
+			Databases: d.opts.Databases, Fenced: d.opts.Fenced,
 		})
 		d.owner = limits.NewOwner(d.peers, d.view, d.shares(), d.log)
 	}
 	control.ServeEndpointRequests(d.peers, d.view, d.opts.Databases)
 	d.subscriber = control.NewSubscriber(control.SubscriberOptions{
-		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, OpenMembership: true, Controls: seeds,
+		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, Open: true, Controls: seeds,
 		Entry: d.opts.Settings.Entry != nil, Control: d.opts.Settings.Control != nil,
 		Peer: d.peers, Lease: timing, Logger: d.log, View: d.view, Registry: d.registry,
 	})
