--- a/internal/agreed/apply_endpoint.go
+++ b/internal/agreed/apply_endpoint.go
@@ -44,7 +44,7 @@
 func putEndpoint(s *State, index uint64, e Endpoint) (*State, Outcome) {
 	g, ok := s.Groups[e.Service]
 	if !ok {
-		return nil, refuse(result.UnknownService, "endpoint %q belongs to service %q, which no release note names", e.ID, e.Service)
+		return nil, refuse(result.UnknownService, "endpoint %q belongs to service %q, which is not in the catalog", e.ID, e.Service)
 	}
 	known, exists := s.Endpoints[e.ID]
 	limit := s.Catalog.Services[e.Service].Endpoints
--- a/internal/agreed/apply_test.go
+++ b/internal/agreed/apply_test.go
@@ -84,7 +84,7 @@
 	}
 	for _, want := range []string{"note 1", `"mine"`, s.Catalog.Stamp.Digest} {
 		if !strings.Contains(out.Detail, want) {
-			t.Errorf("detail %q does not name %s", out.Detail, want)
+			t.Errorf("detail %q does not contain %s", out.Detail, want)
 		}
 	}
 	run(t, s, step{noteWith(3, "too far"), result.NoteOutOfOrder}, step{noteWith(2, "next"), 0})
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -161,7 +161,7 @@
 // rejoin clears the data folder and joins the group as a new member, after the
 // peers have shown that the stored data is outdated and must not be used.
 func (h *Host) rejoin() error {
-	h.log.Warn("data_folder_outdated", "action", "joining anew")
+	h.log.Warn("data_folder_outdated", "action", "rejoining as a new member")
 	h.stopLeading()
 	h.pendingReads.failAll()
 	if err := h.store.Reset(); err != nil {
