--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -25,7 +25,7 @@
 const validBody = `{"service":"log","id":"b","addr":"127.0.0.1:5432","domain":"d","role":"replica","timeline":3,"lsn":"1/A0"}`
 
 func TestHandlerForwardsAnnouncement(t *testing.T) {
-	box := view.NewBox()
+	box := view.NewPublisher()
 	state := agreed.New()
 	state.Groups["log"] = agreed.Group{Service: "log", Term: 4, Primary: "a", Phase: agreed.PhaseActive}
 	state.Endpoints["a"] = agreed.Endpoint{ID: "a", Addr: "127.0.0.1:1"}
@@ -53,7 +53,7 @@
 	}
 	for _, body := range malformed {
 		var sender recorder
-		w := post(NewHandler(view.NewBox(), &sender), body)
+		w := post(NewHandler(view.NewPublisher(), &sender), body)
 		if w.Code != http.StatusBadRequest || len(sender.got) != 0 || !strings.Contains(w.Body.String(), `"code":3001`) {
 			t.Errorf("%.60q: %d %s", body, w.Code, w.Body)
 		}
--- a/internal/control/doc.go
+++ b/internal/control/doc.go
@@ -10,5 +10,5 @@
 //
 // A Subscriber runs on every host. It receives the agreed state from one control
 // host at a time (its upstream), keeps its host registered, renews the
-// configuration lease, and publishes state and lease to a view.Box.
+// configuration lease, and publishes state and lease to a view.Publisher.
 package control
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -195,7 +195,7 @@
 	leading := st.Role == consensus.Leader
 	if info := h.knownLeader.Load(); info.leading != leading || info.leader != st.Leader {
 		h.knownLeader.Store(&leaderInfo{leading: leading, leader: st.Leader})
-		h.broker.Abort()
+		h.broker.AbortRound()
 		h.log.Info("control_leader", "leader", st.Leader, "term", st.Term, "leading", leading)
 	}
 	if h.leading && (!leading || h.term != st.Term) {
@@ -210,8 +210,8 @@
 // no read until a quorum has confirmed it; see confirmLeadership.
 func (h *Host) startLeading(now time.Time, term uint64) {
 	h.leading, h.confirmed, h.term = true, false, term
-	h.broker.Abort()
-	h.broker.Lead(now)
+	h.broker.AbortRound()
+	h.broker.BecomeLeader(now)
 	clear(h.lastLeased)
 	if err := h.node.ConfirmQuorum(electionConfirmID); err != nil {
 		h.log.Warn("confirm_failed", "err", err.Error())
@@ -224,8 +224,8 @@
 	}
 	h.leading, h.confirmed = false, false
 	h.pendingReads.failAll()
-	h.broker.Abort()
-	h.broker.Follow()
+	h.broker.AbortRound()
+	h.broker.StepDown()
 	h.failover.stop()
 	h.failover = nil
 }
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -64,18 +64,18 @@
 	if h.opts.Open {
 		return h.node.NextOpenChange()
 	}
-	wanted := make([]consensus.Wanted, 0, len(h.opts.Controls))
+	wanted := make([]consensus.DesiredMember, 0, len(h.opts.Controls))
 	for _, c := range h.opts.Controls {
-		wanted = append(wanted, consensus.Wanted{Host: c.Host, Voter: c.Voter})
+		wanted = append(wanted, consensus.DesiredMember{Host: c.Host, Voter: c.Voter})
 	}
-	slices.SortFunc(wanted, func(a, b consensus.Wanted) int { return cmp.Compare(a.Host, b.Host) })
+	slices.SortFunc(wanted, func(a, b consensus.DesiredMember) int { return cmp.Compare(a.Host, b.Host) })
 	return h.node.NextChange(wanted)
 }
 
 // removeExpiredHosts proposes to remove hosts whose lease expired more than
 // hostRemovalDelay ago. A host that may still hold a lease is never removed.
 func (h *Host) removeExpiredHosts(now time.Time) {
-	leased := h.broker.Held(now, h.registered)
+	leased := h.broker.PossibleHolders(now, h.registered)
 	for _, host := range h.state.Hosts {
 		id := lease.ID{Host: host.ID, Incarnation: host.Incarnation}
 		if leased[id] {
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -33,7 +33,7 @@
 // nothing.
 type failoverDriver struct {
 	host       *Host
-	fleet      *failover.Fleet
+	fleet      *failover.MachineSet
 	ctx        context.Context
 	cancel     context.CancelFunc
 	lastTick   time.Time
@@ -58,7 +58,7 @@
 	cfg.Fenced, cfg.Chooser = h.opts.Fenced, h.term
 	return &failoverDriver{
 		host:       h,
-		fleet:      failover.NewFleet(cfg),
+		fleet:      failover.NewMachineSet(cfg),
 		ctx:        ctx,
 		cancel:     cancel,
 		stateDirty: true,
@@ -142,7 +142,7 @@
 			}})
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
-		case failover.AskPositions:
+		case failover.QueryPositions:
 			d.startProbes(e)
 		case failover.Promote:
 			d.promote(e)
@@ -168,7 +168,7 @@
 }
 
 // startProbes starts probes of endpoints, at most one at a time for each endpoint.
-func (d *failoverDriver) startProbes(e failover.AskPositions) {
+func (d *failoverDriver) startProbes(e failover.QueryPositions) {
 	client := d.endpointClient()
 	for _, id := range e.Endpoints {
 		endpoint, ok := d.host.state.Endpoints[id]
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -208,7 +208,7 @@
 	h.recent = recentStates{}
 	h.recent.add(state)
 	h.registered = registeredProcesses(state)
-	h.broker.Abort()
+	h.broker.AbortRound()
 	h.subscribers = make(map[lease.ID]*subscription)
 	h.proposals = make(map[uint64]pendingProposal)
 	h.pendingReads = newPendingReads()
@@ -250,12 +250,12 @@
 			cfg.Peers = append(cfg.Peers, c.Host)
 		}
 		if c.Voter && h.opts.Bootstrap {
-			cfg.Founders = append(cfg.Founders, c.Host)
+			cfg.InitialVoters = append(cfg.InitialVoters, c.Host)
 			founder = founder || c.Host == cfg.Host
 		}
 	}
 	if h.opts.Open && !founder {
-		cfg.Founders = nil // a host that is not a seed waits to be admitted
+		cfg.InitialVoters = nil // a host that is not a seed waits to be admitted
 	}
 	return cfg
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -68,10 +68,10 @@
 // startLeaseRound starts a lease round if requests wait and none is in flight. The
 // leader confirms its quorum; a relay sends a request to the leader.
 func (h *Host) startLeaseRound(now time.Time) {
-	if now.Before(h.nextRound) && !h.broker.Progress() {
+	if now.Before(h.nextRound) && !h.broker.HasProgress() {
 		return
 	}
-	round, ok := h.broker.Begin(now)
+	round, ok := h.broker.BeginRound(now)
 	if !ok {
 		return
 	}
@@ -98,7 +98,7 @@
 func (h *Host) expireLeaseRound(now time.Time) {
 	if !h.roundDeadline.IsZero() && now.After(h.roundDeadline) {
 		h.roundDeadline = time.Time{}
-		h.broker.Abort()
+		h.broker.AbortRound()
 	}
 }
 
@@ -107,7 +107,7 @@
 func (h *Host) handleConfirmations(now time.Time, rd consensus.Ready) {
 	for _, id := range rd.Dropped {
 		if !h.failRead(id) {
-			h.broker.Abort()
+			h.broker.AbortRound()
 		}
 	}
 	for _, c := range rd.Confirmed {
@@ -131,7 +131,7 @@
 	h.confirmed = true
 	h.confirmedAt = now
 	if h.state.HostsChanged == 0 {
-		h.broker.Found()
+		h.broker.AssumeNoLeases()
 	}
 	if h.opts.Databases != nil {
 		h.failover = newFailoverDriver(h)
@@ -140,7 +140,7 @@
 
 // finishLeaseRound answers the requests of a confirmed round.
 func (h *Host) finishLeaseRound(id, revision, settled uint64) {
-	for _, a := range h.broker.Finish(id, revision, settled) {
+	for _, a := range h.broker.FinishRound(id, revision, settled) {
 		kind := peer.KindRenewOK
 		if a.Relay {
 			kind = peer.KindRelayOK
@@ -158,7 +158,7 @@
 		return h.broker.Settled()
 	}
 	before := h.broker.Settled()
-	e := lease.Electorate{Holders: h.possibleHolders(), Changed: h.state.HostsChanged}
+	e := lease.Registrations{Holders: h.possibleHolders(), Changed: h.state.HostsChanged}
 	settled := h.broker.Settle(now, h.state.Revision, e)
 	if settled > before && h.failover != nil {
 		h.failover.settled(now, settled)
@@ -187,7 +187,7 @@
 // exclusive identities a host has one process at a time, so a process may not hold
 // one after a newer process of its host was seen.
 func (h *Host) possibleHolders() []lease.ID {
-	if !h.opts.Lease.Exclusive {
+	if !h.opts.Lease.ExclusiveIdentity {
 		return h.registered
 	}
 	ids := make([]lease.ID, 0, len(h.registered))
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -51,7 +51,7 @@
 	Logger   *log.Logger
 	Registry prometheus.Registerer
 	// View receives the agreed state and the end of the lease.
-	View *view.Box
+	View *view.Publisher
 }
 
 // Subscriber receives the agreed state on one host, holds the host's configuration
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -69,7 +69,7 @@
 	log        *log.Logger
 	registry   *prometheus.Registry
 	peers      *peer.Node
-	view       *view.Box
+	view       *view.Publisher
 	subscriber *control.Subscriber
 	control    *control.Host
 	owner      *limits.Owner
@@ -83,7 +83,7 @@
 // New builds a host and opens its peer listener.
 func New(opts Options) (*Daemon, error) {
 	d := &Daemon{
-		opts: opts, log: opts.Logger, registry: prometheus.NewRegistry(), view: view.NewBox(),
+		opts: opts, log: opts.Logger, registry: prometheus.NewRegistry(), view: view.NewPublisher(),
 		replaced: make(chan struct{}),
 	}
 	d.peers = peer.NewNode(peer.Options{
@@ -106,7 +106,7 @@
 func timing() lease.Config {
 	cfg := lease.DefaultConfig()
 	cfg.Duration, cfg.RenewInterval = 2*time.Second, 400*time.Millisecond
-	cfg.Exclusive = true // a host is named by the address that its process listens on
+	cfg.ExclusiveIdentity = true // a host is named by the address that its process listens on
 	return cfg
 }
 
@@ -115,7 +115,7 @@
 func (d *Daemon) shares() limits.Config {
 	cfg := limits.DefaultConfig()
 	cfg.Lease = timing()
-	cfg.FloorConnections, cfg.Probes, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
+	cfg.FloorConnections, cfg.ProbeConnections, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
 	cfg.Tolerance = d.opts.Tolerance
 	return cfg
 }
@@ -267,7 +267,7 @@
 	if err == nil {
 		return
 	}
-	d.core.Abort()
+	d.core.AbortTransactions()
 	lastCtx, cancel := context.WithTimeout(ctx, max(share-2*drainPause, drainPause))
 	defer cancel()
 	if err := d.core.Drain(lastCtx); err != nil {
