--- a/internal/agreed/types.go
+++ b/internal/agreed/types.go
@@ -91,7 +91,7 @@
 	Changed uint64 `json:"changed" cbor:"7,keyasint"`
 	// Candidate is the endpoint chosen for promotion in a sealed term, empty
 	// before the choice. The choose command sets it; seal and activate clear it.
-	// A group activates only with its candidate as the primary.
+	// A sealed group activates only with its candidate as the primary.
 	Candidate string `json:"candidate,omitempty" cbor:"9,keyasint,omitempty"`
 	// ChooserTerm is the consensus term of the control leader that chose the
 	// candidate, and Attempt numbers the choices in a sealed term. Changed is the
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -64,12 +64,12 @@
 	if h.opts.Open {
 		return h.node.NextOpenChange()
 	}
-	wanted := make([]consensus.DesiredMember, 0, len(h.opts.Controls))
+	desired := make([]consensus.DesiredMember, 0, len(h.opts.Controls))
 	for _, c := range h.opts.Controls {
-		wanted = append(wanted, consensus.DesiredMember{Host: c.Host, Voter: c.Voter})
+		desired = append(desired, consensus.DesiredMember{Host: c.Host, Voter: c.Voter})
 	}
-	slices.SortFunc(wanted, func(a, b consensus.DesiredMember) int { return cmp.Compare(a.Host, b.Host) })
-	return h.node.NextChange(wanted)
+	slices.SortFunc(desired, func(a, b consensus.DesiredMember) int { return cmp.Compare(a.Host, b.Host) })
+	return h.node.NextChange(desired)
 }
 
 // removeExpiredHosts proposes to remove hosts whose lease expired more than
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -29,8 +29,8 @@
 
 // failoverDriver feeds package failover with events and carries out its effects
 // on a confirmed leader. There is a new driver for each leadership; results for a
-// former driver are dropped. On a nil driver, all methods but settled and run do
-// nothing.
+// former driver are dropped. A host that is not the leader has a nil driver, on which
+// the methods called for every host do nothing.
 type failoverDriver struct {
 	host       *Host
 	fleet      *failover.MachineSet
@@ -215,7 +215,7 @@
 	}
 }
 
-// answerEvent is the result of a probe.
+// probeEvent is the result of a probe.
 type probeEvent struct {
 	driver  *failoverDriver
 	service string
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -28,8 +28,8 @@
 	// Bootstrap creates a new fleet whose first voters are those among Controls.
 	Bootstrap bool
 	Controls  []config.ControlHost
-	// Open admits every control host that requests to join. Controls are
-	// then the seeds, and the identity of a host is its peer address.
+	// Open admits every control host that requests to join. Controls are then the
+	// seeds, and the identity of a host is its peer address.
 	Open     bool
 	Peer     *peer.Node
 	Lease    lease.Config
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -43,8 +43,8 @@
 	Entry    bool
 	Control  bool
 	Controls []config.ControlHost
-	// Open adds the control hosts of the agreed state to Controls, which
-	// are then seeds.
+	// Open adds the control hosts of the agreed state to Controls, which are then
+	// seeds.
 	Open     bool
 	Peer     *peer.Node
 	Lease    lease.Config
