--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -10,13 +10,13 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// stepEvent is a consensus message of a peer.
-type stepEvent struct {
+// consensusEvent is a consensus message received from a peer.
+type consensusEvent struct {
 	from    string
 	message consensus.Message
 }
 
-func (e stepEvent) handle(h *Host, _ time.Time) {
+func (e consensusEvent) handle(h *Host, _ time.Time) {
 	if e.message.From != e.from {
 		h.log.Warn("consensus_message_refused", "peer", e.from, "from", e.message.From)
 		return
@@ -26,29 +26,31 @@
 	}
 }
 
-// tick lets time pass for consensus, leases and the duties of the leader.
+// tick advances timeouts and runs the periodic tasks of consensus, leases and the
+// leader.
 func (h *Host) tick(now time.Time) {
 	h.node.Tick()
 	h.expireProposals(now)
-	h.expireRound(now)
-	if h.leading && !now.Before(h.duties) {
-		h.duties = now.Add(dutyInterval)
-		h.performDuties(now)
+	h.expireLeaseRound(now)
+	if h.leading && !now.Before(h.nextLeaderTasks) {
+		h.nextLeaderTasks = now.Add(leaderTaskInterval)
+		h.runLeaderTasks(now)
 	}
 	h.failover.tick(now)
 	h.metrics.update(h)
 }
 
-// process does the work that consensus hands out, until there is none.
+// process handles the output of consensus until there is none left. After a failed
+// save it returns, and the save is attempted again with the next event or tick.
 func (h *Host) process(now time.Time) error {
 	for {
 		if err := h.processReady(now); err != nil {
 			return err
 		}
-		h.followRole(now)
-		h.pumpLeases(now)
-		h.failover.refresh(now)
-		if h.saveFail != nil || !h.node.HasReady() {
+		h.updateRole(now)
+		h.startLeaseRound(now)
+		h.failover.applyPending(now)
+		if h.saveErr != nil || !h.node.HasReady() {
 			return h.compact()
 		}
 	}
@@ -56,43 +58,44 @@
 
 func (h *Host) processReady(now time.Time) error {
 	for h.node.HasReady() {
-		h.followRole(now)
+		h.updateRole(now)
 		rd := h.node.Ready()
 		if rd.Rejoin {
 			return h.rejoin()
 		}
 		if err := h.store.Save(rd.Durable); err != nil {
-			h.saveFailed(err)
+			h.recordSaveError(err)
 			return nil
 		}
-		h.saveFail = nil
-		if err := h.install(rd.Install); err != nil {
+		h.saveErr = nil
+		if err := h.installSnapshot(rd.Install); err != nil {
 			return err
 		}
 		h.sendAll(rd.Messages)
-		if err := h.applyAll(now, rd.Committed); err != nil {
+		if err := h.applyEntries(now, rd.Committed); err != nil {
 			return err
 		}
 		h.node.Advance(rd)
-		h.confirmAll(now, rd)
+		h.handleConfirmations(now, rd)
 	}
 	return nil
 }
 
-// saveFailed keeps the work for a later attempt. Proposers are told, since
-// nothing of theirs was sent.
-func (h *Host) saveFailed(err error) {
-	if h.saveFail == nil {
+// recordSaveError records that the store failed. The pending output of consensus
+// is kept and saved again later. Until then new proposals fail with the error.
+func (h *Host) recordSaveError(err error) {
+	if h.saveErr == nil {
 		h.log.Error("store_save_failed", "err", err.Error())
 	}
-	h.saveFail = err
+	h.saveErr = err
 }
 
-func (h *Host) install(snap *consensus.Snapshot) error {
+// installSnapshot replaces the state by a snapshot received from the leader.
+func (h *Host) installSnapshot(snap *consensus.Snapshot) error {
 	if snap == nil {
 		return nil
 	}
-	state, err := restore(*snap)
+	state, err := decodeSnapshot(*snap)
 	if err != nil {
 		return err
 	}
@@ -112,7 +115,9 @@
 	}
 }
 
-func (h *Host) applyAll(now time.Time, entries []consensus.Entry) error {
+// applyEntries applies committed entries in order, answers their proposers and
+// then publishes the resulting state once.
+func (h *Host) applyEntries(now time.Time, entries []consensus.Entry) error {
 	state := h.state
 	for _, e := range entries {
 		if e.Kind != consensus.EntryCommand {
@@ -137,14 +142,15 @@
 	return nil
 }
 
-// setState replaces the state and tells everyone who follows it.
+// setState replaces the state and pushes it to the subscribers. A state older than
+// the current one is ignored.
 func (h *Host) setState(now time.Time, s *agreed.State) {
 	if s.Revision < h.state.Revision {
 		return
 	}
 	h.state = s
 	h.recent.add(s)
-	h.registered = processesOf(s)
+	h.registered = registeredProcesses(s)
 	for _, id := range h.registered {
 		h.broker.Supersede(id)
 	}
@@ -152,12 +158,12 @@
 	h.failover.stateChanged()
 }
 
-// rejoin starts anew with an empty data folder after the peers have shown that
-// this one must not be used.
+// rejoin clears the data folder and joins the group as a new member, after the
+// peers have shown that the stored data is outdated and must not be used.
 func (h *Host) rejoin() error {
-	h.log.Warn("data_folder_outdated", "action", "joining anew")
+	h.log.Warn("data_folder_outdated", "action", "rejoining as a new member")
 	h.stopLeading()
-	h.reads.failAll()
+	h.pendingReads.failAll()
 	if err := h.store.Reset(); err != nil {
 		return err
 	}
@@ -169,7 +175,7 @@
 	return nil
 }
 
-// compact takes a snapshot when the log has grown.
+// compact takes a snapshot once CompactEvery entries were applied since the last.
 func (h *Host) compact() error {
 	st := h.node.Status()
 	if st.Applied < st.Snapshot+h.opts.CompactEvery {
@@ -182,12 +188,13 @@
 	return h.node.Compact(st.Applied, data)
 }
 
-// followRole notices when this host becomes the leader or ceases to be.
-func (h *Host) followRole(now time.Time) {
+// updateRole starts or stops leading when the role or term in consensus has
+// changed, and publishes the known leader to proposers.
+func (h *Host) updateRole(now time.Time) {
 	st := h.node.Status()
 	leading := st.Role == consensus.Leader
-	if info := h.lead.Load(); info.leading != leading || info.leader != st.Leader {
-		h.lead.Store(&leadInfo{leading: leading, leader: st.Leader})
+	if info := h.knownLeader.Load(); info.leading != leading || info.leader != st.Leader {
+		h.knownLeader.Store(&leaderInfo{leading: leading, leader: st.Leader})
 		h.broker.AbortRound()
 		h.log.Info("control_leader", "leader", st.Leader, "term", st.Term, "leading", leading)
 	}
@@ -199,12 +206,14 @@
 	}
 }
 
+// startLeading takes over as leader of a term. The leader runs no tasks and answers
+// no read until a quorum has confirmed it; see confirmLeadership.
 func (h *Host) startLeading(now time.Time, term uint64) {
 	h.leading, h.confirmed, h.term = true, false, term
 	h.broker.AbortRound()
 	h.broker.BecomeLeader(now)
-	clear(h.lastHeld)
-	if err := h.node.ConfirmQuorum(electionConfirm); err != nil {
+	clear(h.lastLeased)
+	if err := h.node.ConfirmQuorum(electionConfirmID); err != nil {
 		h.log.Warn("confirm_failed", "err", err.Error())
 	}
 }
@@ -214,14 +223,15 @@
 		return
 	}
 	h.leading, h.confirmed = false, false
-	h.reads.failAll()
+	h.pendingReads.failAll()
 	h.broker.AbortRound()
 	h.broker.StepDown()
 	h.failover.stop()
 	h.failover = nil
 }
 
-// errNotLeader tells proposers where to go.
+// errNotLeader returns an error with code NotLeader that names the leader if it is
+// known.
 func (h *Host) errNotLeader() error {
 	if leader := h.node.Status().Leader; leader != "" {
 		return result.New(result.NotLeader, "the leader is %s", leader)
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -18,32 +18,35 @@
 	promoteTimeout = 3 * time.Second
 )
 
-// EndpointManager reads the condition of endpoints and promotes them.
+// EndpointManager probes and promotes database endpoints.
 type EndpointManager interface {
-	// Probe reads the condition of an endpoint after the call.
+	// Probe returns the condition of an endpoint, read no earlier than the call.
 	Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition
-	// Promote orders an endpoint to become the primary. It is harmless on a
-	// primary. The error tells why the order was not accepted.
+	// Promote orders an endpoint to become the primary. It has no effect on a
+	// primary. The error is the reason why the order was not accepted.
 	Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error)
 }
 
-// failoverDriver runs the decisions of package failover on a confirmed leader.
-// A nil driver does nothing.
+// failoverDriver feeds package failover with events and carries out its effects
+// on a confirmed leader. There is a new driver for each leadership; results for a
+// former driver are dropped. A host that is not the leader has a nil driver, on which
+// the methods called for every host do nothing.
 type failoverDriver struct {
-	host    *Host
-	fleet   *failover.MachineSet
-	ctx     context.Context
-	cancel  context.CancelFunc
-	ticked  time.Time
-	changed bool
-	leaving map[string]bool
-	// probing holds the endpoints with a request on its way.
+	host       *Host
+	fleet      *failover.MachineSet
+	ctx        context.Context
+	cancel     context.CancelFunc
+	lastTick   time.Time
+	stateDirty bool
+	leaving    map[string]bool
+	// probing holds the endpoints with a probe in flight.
 	probing map[string]bool
-	// results are effects of events that arrived while consensus was busy.
+	// results are the outcomes of commands, kept for applyPending.
 	results []commandResult
 }
 
-// commandResult is the outcome of a command of the driver.
+// commandResult is the outcome of a command proposed by the driver. It is
+// committed only if it was also accepted, that is with result code zero.
 type commandResult struct {
 	service   string
 	committed bool
@@ -54,12 +57,12 @@
 	cfg := failover.DefaultConfig()
 	cfg.Fenced, cfg.Chooser = h.opts.Fenced, h.term
 	return &failoverDriver{
-		host:    h,
-		fleet:   failover.NewMachineSet(cfg),
-		ctx:     ctx,
-		cancel:  cancel,
-		changed: true,
-		probing: make(map[string]bool),
+		host:       h,
+		fleet:      failover.NewMachineSet(cfg),
+		ctx:        ctx,
+		cancel:     cancel,
+		stateDirty: true,
+		probing:    make(map[string]bool),
 	}
 }
 
@@ -69,28 +72,30 @@
 	}
 }
 
-// stateChanged notes that the agreed state has changed.
+// stateChanged marks the agreed state as changed. The change is handled by
+// applyPending.
 func (d *failoverDriver) stateChanged() {
 	if d != nil {
-		d.changed = true
+		d.stateDirty = true
 	}
 }
 
-// commandDone notes the outcome of a command of the driver.
+// commandDone records the outcome of a command of the driver for applyPending.
 func (d *failoverDriver) commandDone(service string, committed bool) {
 	if d != nil {
 		d.results = append(d.results, commandResult{service, committed})
 	}
 }
 
-// refresh passes on what was noted. Unlike the methods that note, it may
-// propose commands.
-func (d *failoverDriver) refresh(now time.Time) {
+// applyPending passes recorded state changes and command outcomes to the failover
+// state machines. Unlike stateChanged and commandDone, which are called while the
+// output of consensus is being handled, it may propose commands.
+func (d *failoverDriver) applyPending(now time.Time) {
 	if d == nil {
 		return
 	}
-	if d.changed {
-		d.changed = false
+	if d.stateDirty {
+		d.stateDirty = false
 		d.run(now, d.fleet.SetState(now, d.host.state, d.leaving))
 	}
 	results := d.results
@@ -100,24 +105,24 @@
 	}
 }
 
-// tick lets time pass.
+// tick advances the timers of the failover state machines every failoverTick.
 func (d *failoverDriver) tick(now time.Time) {
-	if d == nil || now.Sub(d.ticked) < failoverTick {
+	if d == nil || now.Sub(d.lastTick) < failoverTick {
 		return
 	}
-	d.ticked = now
+	d.lastTick = now
 	if leaving := d.host.leavingEndpoints(now); !maps.Equal(leaving, d.leaving) {
-		d.leaving, d.changed = leaving, true
+		d.leaving, d.stateDirty = leaving, true
 	}
 	d.run(now, d.fleet.StepAll(now, failover.Tick{}))
 }
 
-// settled passes on a new settled revision.
+// settled reports a new settled revision to the failover state machines.
 func (d *failoverDriver) settled(now time.Time, revision uint64) {
 	d.run(now, d.fleet.StepAll(now, failover.Settled{Revision: revision}))
 }
 
-// reason tells why a group is not active or what it waits for.
+// reason returns why a group is not active or what it waits for.
 func (d *failoverDriver) reason(service string) string {
 	if d == nil {
 		return ""
@@ -125,6 +130,7 @@
 	return d.fleet.Reason(service)
 }
 
+// run carries out effects of the failover state machines.
 func (d *failoverDriver) run(now time.Time, effects []failover.Effect) {
 	for _, effect := range effects {
 		switch e := effect.(type) {
@@ -137,7 +143,7 @@
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
 		case failover.QueryPositions:
-			d.ask(e)
+			d.startProbes(e)
 		case failover.Promote:
 			d.promote(e)
 		case failover.Status:
@@ -146,8 +152,10 @@
 	}
 }
 
+// propose appends a command of a service's state machine. Its outcome, also a
+// failure to append, reaches commandDone.
 func (d *failoverDriver) propose(now time.Time, service string, c agreed.Command) {
-	index, err := d.host.proposeNow(c)
+	index, err := d.host.appendCommand(c)
 	if err != nil {
 		d.commandDone(service, false)
 		return
@@ -155,13 +163,13 @@
 	d.host.proposals[index] = pendingProposal{term: d.host.term, until: now.Add(proposalTimeout), service: service}
 }
 
-func (d *failoverDriver) reacher() reacher {
-	return reacher{node: d.host.opts.Peer, databases: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
+func (d *failoverDriver) endpointClient() endpointClient {
+	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.Databases, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
-// ask probes endpoints, each at most once at a time.
-func (d *failoverDriver) ask(e failover.QueryPositions) {
-	reach := d.reacher()
+// startProbes starts probes of endpoints, at most one at a time for each endpoint.
+func (d *failoverDriver) startProbes(e failover.QueryPositions) {
+	client := d.endpointClient()
 	for _, id := range e.Endpoints {
 		endpoint, ok := d.host.state.Endpoints[id]
 		if !ok || d.probing[id] {
@@ -171,14 +179,15 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 			defer cancel()
-			seen := reach.probe(ctx, endpoint)
-			d.report(answerEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: seen}})
+			seen := client.probe(ctx, endpoint)
+			d.deliver(probeEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: seen}})
 		}()
 	}
 }
 
+// promote starts the promotion of an endpoint.
 func (d *failoverDriver) promote(e failover.Promote) {
-	reach := d.reacher()
+	client := d.endpointClient()
 	endpoint, ok := d.host.state.Endpoints[e.Endpoint]
 	if !ok {
 		return
@@ -187,32 +196,33 @@
 	go func() {
 		ctx, cancel := context.WithTimeout(d.ctx, promoteTimeout)
 		defer cancel()
-		outcome, err := reach.promote(ctx, endpoint, e.Fence)
+		outcome, err := client.promote(ctx, endpoint, e.Fence)
 		if err != nil {
 			d.host.log.Warn("promote_failed", "service", e.Service, "endpoint", e.Endpoint, "fence", e.Fence, "err", err.Error())
 		}
-		d.report(promotionEvent{driver: d, service: e.Service, result: failover.PromotionResult{
+		d.deliver(promotionEvent{driver: d, service: e.Service, result: failover.PromotionResult{
 			Term: e.Term, Endpoint: e.Endpoint, Fence: e.Fence, Outcome: outcome,
 		}})
 	}()
 }
 
-// report passes a result to the task of the Host, unless the driver has ended.
-func (d *failoverDriver) report(e event) {
+// deliver sends an event to the goroutine of the Host, unless the driver was
+// stopped. Unlike Host.post it waits for space in the queue.
+func (d *failoverDriver) deliver(e event) {
 	select {
 	case d.host.events <- e:
 	case <-d.ctx.Done():
 	}
 }
 
-// answerEvent is the result of a probe.
-type answerEvent struct {
+// probeEvent is the result of a probe.
+type probeEvent struct {
 	driver  *failoverDriver
 	service string
 	answer  failover.Answer
 }
 
-func (e answerEvent) handle(h *Host, now time.Time) {
+func (e probeEvent) handle(h *Host, now time.Time) {
 	if e.driver != h.failover {
 		return
 	}
@@ -234,7 +244,7 @@
 	e.driver.run(now, e.driver.fleet.Step(now, e.service, e.result))
 }
 
-// observationEvent is a watcher's report.
+// observationEvent is an observation by a watcher.
 type observationEvent struct {
 	observation Observation
 }
@@ -253,7 +263,7 @@
 	}))
 }
 
-// Observe takes a report of the watcher of this host.
+// Observe queues an observation by the watcher of this host.
 func (h *Host) Observe(o Observation) {
 	h.post(observationEvent{observation: o})
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -9,18 +9,19 @@
 	"github.com/galenabridge/galenabridge/internal/peer"
 )
 
-// electionConfirm identifies the first confirmation of a new leader. Lease
-// rounds have greater numbers.
-const electionConfirm = 1
+// electionConfirmID identifies the first confirmation of a new leader. Lease
+// rounds and reads have greater numbers.
+const electionConfirmID = 1
 
-// roundTimeout is how long a lease round may take before it is repeated.
+// roundTimeout is how long a lease round may take before its requests are moved to
+// another round.
 const roundTimeout = 800 * time.Millisecond
 
-// roundInterval is the time between two lease rounds, unless the next one tells
-// of a greater revision. Requests that arrive meanwhile share a round.
+// roundInterval is the minimum time between two lease rounds, unless the next one
+// reports a greater applied revision. Requests that arrive meanwhile share a round.
 const roundInterval = 100 * time.Millisecond
 
-// renewEvent is a request for a lease by a subscriber.
+// renewEvent is a lease request of a subscriber, or of a control host as a relay.
 type renewEvent struct {
 	from  peer.Identity
 	renew lease.Renew
@@ -28,7 +29,7 @@
 
 func (e renewEvent) handle(h *Host, now time.Time) {
 	if e.renew.Relay && !h.leading {
-		return // the relay will learn who leads
+		return // the relay learns the leader from consensus and repeats the request
 	}
 	id := lease.ID{Host: e.from.Host, Incarnation: e.from.Incarnation}
 	h.broker.Receive(now, id, e.renew)
@@ -36,22 +37,23 @@
 	case e.renew.Release:
 		delete(h.subscribers, id)
 	case h.state.Revision == 0 && !h.leading:
-		h.turnAway(e.from)
+		h.refuseRenew(e.from)
 	case !e.renew.Relay:
-		h.follow(now, id, e.from.Addr, e.renew.Applied)
+		h.updateSubscriber(now, id, e.from.Addr, e.renew.Applied)
 	}
-	h.settle(now)
+	h.updateSettled(now)
 }
 
-// turnAway tells a subscriber that this host has no state to offer, as after the
-// loss of its data folder, so that it need not wait in silence.
-func (h *Host) turnAway(from peer.Identity) {
-	if err := h.opts.Peer.Send(from.Host, from.Addr, peer.KindRenewNo, renewNo{}); err != nil {
+// refuseRenew notifies a subscriber that this host has no state, for example after
+// the loss of its data folder, so that it switches to another control host at once
+// instead of after a timeout.
+func (h *Host) refuseRenew(from peer.Identity) {
+	if err := h.opts.Peer.Send(from.Host, from.Addr, peer.KindRenewNo, renewRefusal{}); err != nil {
 		h.log.Debug("renew_answer_failed", "peer", from.Host, "err", err.Error())
 	}
 }
 
-// relayOKEvent is the leader's answer to a request of this host as a relay.
+// relayOKEvent is the leader's answer to a lease request of this host as a relay.
 type relayOKEvent struct {
 	ok lease.RenewOK
 }
@@ -60,11 +62,12 @@
 	if h.leading {
 		return
 	}
-	h.answerRound(e.ok.Seq, e.ok.Revision, e.ok.Settled)
+	h.finishLeaseRound(e.ok.Seq, e.ok.Revision, e.ok.Settled)
 }
 
-// pumpLeases starts a lease round when subscribers wait and none is in flight.
-func (h *Host) pumpLeases(now time.Time) {
+// startLeaseRound starts a lease round if requests wait and none is in flight. The
+// leader confirms its quorum; a relay sends a request to the leader.
+func (h *Host) startLeaseRound(now time.Time) {
 	if now.Before(h.nextRound) && !h.broker.HasProgress() {
 		return
 	}
@@ -73,7 +76,7 @@
 		return
 	}
 	h.nextRound = now.Add(roundInterval)
-	h.roundEnd = now.Add(roundTimeout)
+	h.roundDeadline = now.Add(roundTimeout)
 	if h.leading {
 		if err := h.node.ConfirmQuorum(round.ID); err != nil {
 			h.log.Debug("confirm_failed", "err", err.Error())
@@ -90,17 +93,18 @@
 	}
 }
 
-// expireRound repeats a round that was not answered in time.
-func (h *Host) expireRound(now time.Time) {
-	if !h.roundEnd.IsZero() && now.After(h.roundEnd) {
-		h.roundEnd = time.Time{}
+// expireLeaseRound ends a round that was not answered in time. Its requests wait
+// for the next round.
+func (h *Host) expireLeaseRound(now time.Time) {
+	if !h.roundDeadline.IsZero() && now.After(h.roundDeadline) {
+		h.roundDeadline = time.Time{}
 		h.broker.AbortRound()
 	}
 }
 
-// confirmAll takes the confirmations of a leader's quorum. They follow the
-// application of all entries committed before.
-func (h *Host) confirmAll(now time.Time, rd consensus.Ready) {
+// handleConfirmations handles the confirmations by the leader's quorum. All entries
+// committed before a confirmation have been applied by then.
+func (h *Host) handleConfirmations(now time.Time, rd consensus.Ready) {
 	for _, id := range rd.Dropped {
 		if !h.failRead(id) {
 			h.broker.AbortRound()
@@ -111,16 +115,16 @@
 			h.failRead(c.ID)
 			continue
 		}
-		h.becomeConfirmed(now)
-		if c.ID != electionConfirm && !h.finishRead(c.ID) {
-			h.answerRound(c.ID, h.state.Revision, h.settle(now))
+		h.confirmLeadership(now)
+		if c.ID != electionConfirmID && !h.finishRead(c.ID) {
+			h.finishLeaseRound(c.ID, h.state.Revision, h.updateSettled(now))
 		}
 	}
 }
 
-// becomeConfirmed lets a leader take up its duties once it knows that it has
-// applied everything committed by its predecessors.
-func (h *Host) becomeConfirmed(now time.Time) {
+// confirmLeadership starts the leader's tasks after the first confirmation in its
+// term: from then on everything committed by former leaders is applied.
+func (h *Host) confirmLeadership(now time.Time) {
 	if h.confirmed {
 		return
 	}
@@ -129,13 +133,13 @@
 	if h.state.HostsChanged == 0 {
 		h.broker.AssumeNoLeases()
 	}
-	if h.opts.EndpointManager != nil {
+	if h.opts.Databases != nil {
 		h.failover = newFailoverDriver(h)
 	}
 }
 
-// answerRound answers the requests of a finished round.
-func (h *Host) answerRound(id, revision, settled uint64) {
+// finishLeaseRound answers the requests of a confirmed round.
+func (h *Host) finishLeaseRound(id, revision, settled uint64) {
 	for _, a := range h.broker.FinishRound(id, revision, settled) {
 		kind := peer.KindRenewOK
 		if a.Relay {
@@ -147,13 +151,14 @@
 	}
 }
 
-// settle computes the settled revision on a confirmed leader and returns it.
-func (h *Host) settle(now time.Time) uint64 {
+// updateSettled returns the settled revision, the greatest one known to be applied
+// by every holder of a lease. Only a confirmed leader computes it anew.
+func (h *Host) updateSettled(now time.Time) uint64 {
 	if !h.leading || !h.confirmed {
 		return h.broker.Settled()
 	}
 	before := h.broker.Settled()
-	e := lease.Registrations{Holders: h.present(), Changed: h.state.HostsChanged}
+	e := lease.Registrations{Holders: h.possibleHolders(), Changed: h.state.HostsChanged}
 	settled := h.broker.Settle(now, h.state.Revision, e)
 	if settled > before && h.failover != nil {
 		h.failover.settled(now, settled)
@@ -161,26 +166,27 @@
 	return settled
 }
 
-// noteWait logs for whom the registration of a process waits, whenever that
-// changes. Until it is settled the process serves nothing.
-func (h *Host) noteWait() {
-	settled, waits := h.broker.Settled(), ""
+// logRegistrationWait logs which host delays the settling of a registration,
+// whenever that changes. A process cannot act until its registration is settled.
+func (h *Host) logRegistrationWait() {
+	settled, waitingFor := h.broker.Settled(), ""
 	if settled < h.state.HostsChanged {
 		id, _ := h.broker.Slowest()
-		waits = id.Host
+		waitingFor = id.Host
 	}
-	if waits == h.waits {
+	if waitingFor == h.waitingFor {
 		return
 	}
-	h.waits = waits
+	h.waitingFor = waitingFor
 	id, revision := h.broker.Slowest()
-	h.log.Info("registration_waits", "for", waits, "incarnation", id.Incarnation, "at", revision, "settled", settled,
+	h.log.Info("registration_waits", "for", waitingFor, "incarnation", id.Incarnation, "at", revision, "settled", settled,
 		"registered", h.state.HostsChanged)
 }
 
-// present returns the registered processes that may hold leases. Where a host has
-// one process at a time, those of which a newer process was met may not.
-func (h *Host) present() []lease.ID {
+// possibleHolders returns the registered processes that may hold leases. With
+// exclusive identities a host has one process at a time, so a process may not hold
+// one after a newer process of its host was seen.
+func (h *Host) possibleHolders() []lease.ID {
 	if !h.opts.Lease.Exclusive {
 		return h.registered
 	}
@@ -193,8 +199,8 @@
 	return ids
 }
 
-// processesOf returns the registered processes of a state.
-func processesOf(s *agreed.State) []lease.ID {
+// registeredProcesses returns the registered processes of a state.
+func registeredProcesses(s *agreed.State) []lease.ID {
 	ids := make([]lease.ID, 0, len(s.Hosts))
 	for _, host := range s.Hosts {
 		ids = append(ids, lease.ID{Host: host.ID, Incarnation: host.Incarnation})
--- a/internal/control/metrics.go
+++ b/internal/control/metrics.go
@@ -6,7 +6,7 @@
 	"github.com/prometheus/client_golang/prometheus"
 )
 
-// hostMetrics describe the control role.
+// hostMetrics are the metrics of the control role.
 type hostMetrics struct {
 	revision    prometheus.Gauge
 	settled     prometheus.Gauge
@@ -35,24 +35,24 @@
 	m.subscribers.Set(float64(len(h.subscribers)))
 }
 
-// subscriberMetrics describe a host as a subscriber.
+// subscriberMetrics are the metrics of a Subscriber.
 type subscriberMetrics struct {
-	applied prometheus.Gauge
-	valid   prometheus.Gauge
-	turns   prometheus.Counter
+	applied          prometheus.Gauge
+	valid            prometheus.Gauge
+	upstreamSwitches prometheus.Counter
 }
 
 func newSubscriberMetrics(reg prometheus.Registerer) *subscriberMetrics {
 	m := &subscriberMetrics{
 		applied: newGauge("galenabridge_applied_revision", "Revision of the agreed state that this host has applied."),
 		valid:   newGauge("galenabridge_lease_valid", "1 while this host may act on the agreed state."),
-		turns: prometheus.NewCounter(prometheus.CounterOpts{
+		upstreamSwitches: prometheus.NewCounter(prometheus.CounterOpts{
 			Name: "galenabridge_control_host_silent_total",
 			Help: "Times that this host turned to another control host.",
 		}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.applied, m.valid, m.turns)
+		reg.MustRegister(m.applied, m.valid, m.upstreamSwitches)
 	}
 	return m
 }
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -19,42 +19,43 @@
 
 // Timing of a subscriber.
 const (
-	// silenceShare is the part of a lease that a control host may leave requests
-	// unanswered before the subscriber turns to another one.
-	silenceShare = 3
-	// registerInterval is the time between two attempts to register, each of which
-	// may take registerTimeout: after a loss of power many hosts wait for each.
+	// silenceDivisor is the divisor of the lease duration that gives the time without
+	// a grant after which the subscriber switches to another control host.
+	silenceDivisor = 3
+	// registerInterval is the time between two attempts to register. Each may take
+	// registerTimeout: after a power failure many hosts register at once.
 	registerInterval = 300 * time.Millisecond
 	registerTimeout  = time.Second
 	subscriberTick   = 50 * time.Millisecond
-	// startRenewInterval is the time between two requests of a host that has no
-	// lease: the control hosts may be starting as well.
-	startRenewInterval = 100 * time.Millisecond
-	// startSilence is how long a host without a lease waits for a control host: an
-	// election of control hosts that have all started anew takes 0.1 to 0.6 s.
-	startSilence = 350 * time.Millisecond
+	// initialRenewInterval is the time between two lease requests of a host without a
+	// lease. It is short since the control hosts may be starting at the same time.
+	initialRenewInterval = 100 * time.Millisecond
+	// initialSilenceTimeout is how long a host without a lease waits for an answer of
+	// a control host before it tries another. An election after all control hosts
+	// have restarted takes 0.1 to 0.6 s.
+	initialSilenceTimeout = 350 * time.Millisecond
 )
 
-// SubscriberOptions configure a Subscriber.
+// SubscriberOptions configures a Subscriber.
 type SubscriberOptions struct {
 	Fleet    string
 	Domain   string
 	Entry    bool
 	Control  bool
 	Controls []config.ControlHost
-	// OpenMembership follows the control hosts of the agreed state beside Controls, which
-	// are then seeds.
-	OpenMembership bool
-	Peer           *peer.Node
-	Lease          lease.Config
-	Logger         *log.Logger
-	Registry       prometheus.Registerer
-	// View receives the agreed state with the lease.
+	// Open adds the control hosts of the agreed state to Controls, which are then
+	// seeds.
+	Open     bool
+	Peer     *peer.Node
+	Lease    lease.Config
+	Logger   *log.Logger
+	Registry prometheus.Registerer
+	// View receives the agreed state and the end of the lease.
 	View *view.Publisher
 }
 
-// Subscriber follows the agreed state on one host, holds its configuration
-// lease and keeps it registered. Run owns its state.
+// Subscriber receives the agreed state on one host, holds the host's configuration
+// lease and keeps the host registered. The goroutine of Run owns its state.
 type Subscriber struct {
 	opts   SubscriberOptions
 	log    *log.Logger
@@ -62,24 +63,25 @@
 
 	metrics *subscriberMetrics
 
-	// current is the upstream, for other goroutines.
+	// current is the upstream, the control host that the subscriber uses. Other
+	// goroutines read it.
 	current atomic.Pointer[config.ControlHost]
 
 	state  *agreed.State
 	holder *lease.Holder
-	// known are the control hosts that the state and the settings name.
-	known []config.ControlHost
-	// homed is set once a control host of the own failure domain was chosen.
-	homed bool
-	// heard is when the upstream last granted a lease, or was chosen.
-	heard      time.Time
-	renewed    time.Time
-	registered time.Time // when registration was last attempted
-	leaving    bool
-	leased     bool // as last logged
+	// candidates are the control hosts that can become the upstream.
+	candidates []config.ControlHost
+	// localChosen is set once a control host in the same failure domain was chosen.
+	localChosen bool
+	// lastGrant is when the upstream last granted a lease, or was chosen.
+	lastGrant    time.Time
+	lastRenew    time.Time
+	lastRegister time.Time // when registration was last attempted
+	leaving      bool
+	leased       bool // as last logged
 }
 
-// subscriberEvent is a message to the task of a Subscriber.
+// subscriberEvent is a message to the goroutine of a Subscriber.
 type subscriberEvent interface {
 	handle(s *Subscriber, now time.Time)
 }
@@ -93,19 +95,19 @@
 	s := &Subscriber{
 		opts:    opts,
 		log:     opts.Logger,
-		events:  make(chan subscriberEvent, eventBacklog),
+		events:  make(chan subscriberEvent, eventQueueSize),
 		metrics: newSubscriberMetrics(opts.Registry),
 	}
-	s.learn(agreed.New())
-	s.choose(s.firstUpstream())
+	s.updateCandidates(agreed.New())
+	s.setUpstream(s.firstUpstream())
 	peer.On(opts.Peer, peer.KindDelta, func(_ peer.Identity, d agreed.Delta) {
 		s.post(deltaEvent{d})
 	})
 	peer.On(opts.Peer, peer.KindSnapshot, func(_ peer.Identity, p snapshotPush) {
 		s.post(snapshotEvent{p})
 	})
-	peer.On(opts.Peer, peer.KindRenewNo, func(from peer.Identity, _ renewNo) {
-		s.post(turnedAwayEvent{from.Host})
+	peer.On(opts.Peer, peer.KindRenewNo, func(from peer.Identity, _ renewRefusal) {
+		s.post(renewRefusedEvent{from.Host})
 	})
 	peer.On(opts.Peer, peer.KindRenewOK, func(from peer.Identity, ok lease.RenewOK) {
 		s.post(grantEvent{from.Host, ok})
@@ -113,6 +115,7 @@
 	return s
 }
 
+// post queues an event without blocking. A full queue drops it.
 func (s *Subscriber) post(e subscriberEvent) {
 	select {
 	case s.events <- e:
@@ -120,21 +123,21 @@
 	}
 }
 
-// Run follows the state until ctx ends, then withdraws the view.
+// Run receives the state until ctx ends, then publishes an empty view.
 func (s *Subscriber) Run(ctx context.Context) error {
 	now := clock.Now()
 	if s.state == nil {
 		s.state = agreed.New()
 	}
-	s.holder = lease.NewHolder(s.opts.Lease, startSeq())
-	s.learn(s.state)
-	s.choose(s.firstUpstream())
-	s.heard, s.renewed, s.leaving = now, time.Time{}, false
+	s.holder = lease.NewHolder(s.opts.Lease, initialSeq())
+	s.updateCandidates(s.state)
+	s.setUpstream(s.firstUpstream())
+	s.lastGrant, s.lastRenew, s.leaving = now, time.Time{}, false
 	defer s.opts.View.Publish(view.View{})
 	ticker := time.NewTicker(subscriberTick)
 	defer ticker.Stop()
 	for {
-		s.advance(ctx, clock.Now())
+		s.runDueTasks(ctx, clock.Now())
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
@@ -145,43 +148,45 @@
 	}
 }
 
-// control is the upstream.
-func (s *Subscriber) control() config.ControlHost { return *s.current.Load() }
+// upstream returns the control host in use.
+func (s *Subscriber) upstream() config.ControlHost { return *s.current.Load() }
 
-// choose makes a control host the upstream.
-func (s *Subscriber) choose(c config.ControlHost) { s.current.Store(&c) }
+// setUpstream stores the upstream for all goroutines.
+func (s *Subscriber) setUpstream(c config.ControlHost) { s.current.Store(&c) }
 
-// advance does what is due.
-func (s *Subscriber) advance(ctx context.Context, now time.Time) {
+// runDueTasks switches the upstream after a timeout, renews the lease and registers
+// the host, each when it is due.
+func (s *Subscriber) runDueTasks(ctx context.Context, now time.Time) {
 	s.metrics.update(s, now)
 	if s.leased {
-		s.noteLease(s.isRegistered())
+		s.logLeaseChange(s.isRegistered())
 	}
-	silence, interval := s.opts.Lease.Duration/silenceShare, s.opts.Lease.RenewInterval
+	silence, interval := s.opts.Lease.Duration/silenceDivisor, s.opts.Lease.RenewInterval
 	if !s.leased {
-		silence, interval = min(silence, startSilence), min(interval, startRenewInterval)
+		silence, interval = min(silence, initialSilenceTimeout), min(interval, initialRenewInterval)
 	}
-	if now.Sub(s.heard) > silence {
-		s.turn(now, s.nextUpstream())
-		s.log.Info("control_host_silent", "next", s.control().Host)
+	if now.Sub(s.lastGrant) > silence {
+		s.switchUpstream(now, s.nextUpstream())
+		s.log.Info("control_host_silent", "next", s.upstream().Host)
 	}
-	if now.Sub(s.renewed) >= interval {
+	if now.Sub(s.lastRenew) >= interval {
 		s.renew(now)
 	}
-	if !s.isRegistered() && now.Sub(s.registered) >= registerInterval {
-		s.registered = now
+	if !s.isRegistered() && now.Sub(s.lastRegister) >= registerInterval {
+		s.lastRegister = now
 		s.register(ctx)
 	}
 }
 
-// turn makes another control host the upstream. The host gives up what is on its
-// way from the former one, which would otherwise count for the revision that it
-// names now; a valid lease it keeps.
-func (s *Subscriber) turn(now time.Time, next config.ControlHost) {
-	former := s.control()
-	s.choose(next)
-	s.heard, s.renewed = now, time.Time{}
-	s.metrics.turns.Inc()
+// switchUpstream makes another control host the upstream and releases the lease
+// requests in flight at the former one. Otherwise they would count there with the
+// revision that the host has applied now, and hold back the settled revision. A
+// valid lease is kept.
+func (s *Subscriber) switchUpstream(now time.Time, next config.ControlHost) {
+	former := s.upstream()
+	s.setUpstream(next)
+	s.lastGrant, s.lastRenew = now, time.Time{}
+	s.metrics.upstreamSwitches.Inc()
 	if former == next {
 		return
 	}
@@ -190,24 +195,27 @@
 	}
 }
 
+// renew sends a lease request with the applied revision to the upstream.
 func (s *Subscriber) renew(now time.Time) {
 	if s.leaving {
 		return
 	}
-	s.renewed = now
-	c := s.control()
+	s.lastRenew = now
+	c := s.upstream()
 	if err := s.opts.Peer.Send(c.Host, c.Addr, peer.KindRenew, s.holder.Renew(now, s.state.Revision)); err != nil {
 		s.log.Debug("renew_failed", "control", c.Host, "err", err.Error())
 	}
 }
 
-// isRegistered reports whether the state names this very process.
+// isRegistered reports whether the state contains this process with its current
+// data.
 func (s *Subscriber) isRegistered() bool {
 	host, ok := s.state.Hosts[s.opts.Peer.Host()]
-	return ok && host == s.self(host.Registered)
+	return ok && host == s.hostRecord(host.Registered)
 }
 
-func (s *Subscriber) self(registered uint64) agreed.Host {
+// hostRecord returns this process as a registered host.
+func (s *Subscriber) hostRecord(registered uint64) agreed.Host {
 	return agreed.Host{
 		ID:          s.opts.Peer.Host(),
 		PeerAddr:    s.opts.Peer.Addr(),
@@ -219,14 +227,13 @@
 	}
 }
 
-// register proposes the registration in a goroutine; its result shows in the
-// state.
+// register proposes the registration in a goroutine. Success shows in the state.
 func (s *Subscriber) register(ctx context.Context) {
 	if s.leaving {
 		return
 	}
-	c := s.control()
-	p := proposal{Command: agreed.Command{RegisterHost: &agreed.RegisterHost{Host: s.self(0)}}}
+	c := s.upstream()
+	p := proposal{Command: agreed.Command{RegisterHost: &agreed.RegisterHost{Host: s.hostRecord(0)}}}
 	go func() {
 		ctx, cancel := context.WithTimeout(ctx, registerTimeout)
 		defer cancel()
@@ -240,8 +247,9 @@
 	}()
 }
 
-// publish publishes the state with the end of the lease. Until the registration
-// of this process is settled, and once it was replaced, the view is not valid.
+// publish publishes the state with the end of the lease. The view is not valid
+// before the registration of this process is settled, after the process was
+// replaced, or while it leaves.
 func (s *Subscriber) publish() {
 	v := view.View{State: s.state, Settled: s.holder.Settled()}
 	host, ok := s.state.Hosts[s.opts.Peer.Host()]
@@ -250,11 +258,11 @@
 		v.ValidUntil = s.holder.ValidUntil(s.state.Revision)
 	}
 	s.opts.View.Publish(v)
-	s.noteLease(registered)
+	s.logLeaseChange(registered)
 }
 
-// noteLease logs when the lease is gained or lost.
-func (s *Subscriber) noteLease(registered bool) {
+// logLeaseChange logs when the lease is gained or lost.
+func (s *Subscriber) logLeaseChange(registered bool) {
 	valid := s.opts.View.Current().Valid()
 	if valid == s.leased {
 		return
@@ -265,5 +273,5 @@
 		event = "lease_gained"
 	}
 	s.log.Info(event, "revision", s.state.Revision, "settled", s.holder.Settled(), "registered", registered,
-		"control", s.control().Host, "heard_ms", clock.Since(s.heard).Milliseconds())
+		"control", s.upstream().Host, "heard_ms", clock.Since(s.lastGrant).Milliseconds())
 }
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -10,7 +10,7 @@
 	"github.com/galenabridge/galenabridge/internal/peer"
 )
 
-// deltaEvent is a pushed delta.
+// deltaEvent is a delta pushed by a control host.
 type deltaEvent struct {
 	delta agreed.Delta
 }
@@ -20,12 +20,12 @@
 	switch {
 	case err == nil:
 		s.setState(now, next)
-	case e.delta.From > s.state.Revision && now.Sub(s.renewed) >= resendAfter:
-		s.renew(now) // shows the control host what was missed
+	case e.delta.From > s.state.Revision && now.Sub(s.lastRenew) >= resendDelay:
+		s.renew(now) // reports the applied revision, so that the missed delta is resent
 	}
 }
 
-// snapshotEvent is a pushed snapshot.
+// snapshotEvent is a snapshot pushed by a control host.
 type snapshotEvent struct {
 	push snapshotPush
 }
@@ -41,15 +41,16 @@
 	}
 }
 
-// setState adopts a newer state and reports it at once, so that it can settle.
+// setState replaces the state by a newer one and reports its revision at once, so
+// that it can settle. A state of another fleet is rejected.
 func (s *Subscriber) setState(now time.Time, next *agreed.State) {
 	if next.Fleet != "" && next.Fleet != s.opts.Fleet {
 		s.log.Error("foreign_state", "fleet", next.Fleet)
 		return
 	}
 	s.state = next
-	s.learn(next)
-	s.goHome(now)
+	s.updateCandidates(next)
+	s.switchToLocal(now)
 	for _, h := range next.Hosts {
 		s.opts.Peer.Observe(h.ID, h.Incarnation)
 	}
@@ -57,60 +58,62 @@
 	s.renew(now)
 }
 
-// goHome turns once to a control host of the own failure domain.
-func (s *Subscriber) goHome(now time.Time) {
-	if !s.opts.OpenMembership || s.homed {
+// switchToLocal switches once to a control host in the same failure domain. Without
+// open membership it does nothing.
+func (s *Subscriber) switchToLocal(now time.Time) {
+	if !s.opts.Open || s.localChosen {
 		return
 	}
-	if c, ok := s.nearest(); ok {
-		s.homed = true
-		s.turn(now, c)
+	if c, ok := s.localUpstream(); ok {
+		s.localChosen = true
+		s.switchUpstream(now, c)
 	}
 }
 
-// turnedAwayEvent tells that a control host has no state to offer.
-type turnedAwayEvent struct {
+// renewRefusedEvent reports that a control host has no state yet.
+type renewRefusedEvent struct {
 	from string
 }
 
-func (e turnedAwayEvent) handle(s *Subscriber, now time.Time) {
-	if e.from == s.control().Host && !s.leased {
-		s.turn(now, s.nextUpstream())
+func (e renewRefusedEvent) handle(s *Subscriber, now time.Time) {
+	if e.from == s.upstream().Host && !s.leased {
+		s.switchUpstream(now, s.nextUpstream())
 	}
 }
 
-// seedsEvent replaces the seeds.
+// seedsEvent replaces the seeds of an open fleet.
 type seedsEvent struct {
 	seeds []config.ControlHost
 }
 
 func (e seedsEvent) handle(s *Subscriber, _ time.Time) {
 	s.opts.Controls = e.seeds
-	s.learn(s.state)
+	s.updateCandidates(s.state)
 }
 
-// SetSeeds replaces the seeds of an open fleet, as after a reload of settings.
+// SetSeeds replaces the seeds, for example after the settings were reloaded. Without
+// open membership or with an empty list it does nothing.
 func (s *Subscriber) SetSeeds(seeds []config.ControlHost) {
-	if s.opts.OpenMembership && len(seeds) > 0 {
+	if s.opts.Open && len(seeds) > 0 {
 		s.post(seedsEvent{seeds: seeds})
 	}
 }
 
-// grantEvent is an answer to a request for a lease.
+// grantEvent is the answer to a lease request.
 type grantEvent struct {
 	from string
 	ok   lease.RenewOK
 }
 
 func (e grantEvent) handle(s *Subscriber, now time.Time) {
-	if e.from == s.control().Host {
-		s.heard = now
+	if e.from == s.upstream().Host {
+		s.lastGrant = now
 	}
 	s.holder.Granted(e.ok)
 	s.publish()
 }
 
-// leaveEvent stops all acting of this process.
+// leaveEvent invalidates the view for good and returns the upstream.
 type leaveEvent struct {
 	done chan config.ControlHost // buffered
 }
@@ -118,11 +121,11 @@
 func (e leaveEvent) handle(s *Subscriber, _ time.Time) {
 	s.leaving = true
 	s.publish()
-	e.done <- s.control()
+	e.done <- s.upstream()
 }
 
-// Leave withdraws the view, for good, and takes the host out of the fleet. Call
-// it after the host has stopped to serve callers.
+// Leave invalidates the view for good and removes the host from the fleet. Call it
+// after the host has stopped serving callers.
 func (s *Subscriber) Leave(ctx context.Context) error {
 	done := make(chan config.ControlHost, 1)
 	s.post(leaveEvent{done: done})
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -9,31 +9,33 @@
 	"github.com/galenabridge/galenabridge/internal/rendezvous"
 )
 
-// learn notes the control hosts that the host may follow: those of the
-// settings, and in an open fleet those of the agreed state before them.
-func (s *Subscriber) learn(state *agreed.State) {
-	if !s.opts.OpenMembership {
-		s.known = s.opts.Controls
+// updateCandidates sets the control hosts that can become the upstream: the
+// configured ones, and with open membership first those of the agreed state, the
+// nearest first.
+func (s *Subscriber) updateCandidates(state *agreed.State) {
+	if !s.opts.Open {
+		s.candidates = s.opts.Controls
 		return
 	}
-	known := make([]config.ControlHost, 0, len(s.opts.Controls))
+	candidates := make([]config.ControlHost, 0, len(s.opts.Controls))
 	for _, h := range state.Hosts {
 		if h.Control {
-			known = append(known, config.ControlHost{Host: h.ID, Addr: h.PeerAddr})
+			candidates = append(candidates, config.ControlHost{Host: h.ID, Addr: h.PeerAddr})
 		}
 	}
-	slices.SortFunc(known, func(a, b config.ControlHost) int {
+	slices.SortFunc(candidates, func(a, b config.ControlHost) int {
 		return cmp.Or(s.distance(state, a.Host)-s.distance(state, b.Host), cmp.Compare(a.Host, b.Host))
 	})
 	for _, seed := range s.opts.Controls {
-		if !slices.ContainsFunc(known, func(c config.ControlHost) bool { return c.Host == seed.Host }) {
-			known = append(known, seed)
+		if !slices.ContainsFunc(candidates, func(c config.ControlHost) bool { return c.Host == seed.Host }) {
+			candidates = append(candidates, seed)
 		}
 	}
-	s.known = known
+	s.candidates = candidates
 }
 
-// distance orders control hosts: this host, those of its failure domain, others.
+// distance orders control hosts: 0 for this host, 1 for the same failure domain, 2
+// for others.
 func (s *Subscriber) distance(state *agreed.State, host string) int {
 	switch {
 	case host == s.opts.Peer.Host():
@@ -45,36 +47,36 @@
 	}
 }
 
-// firstUpstream prefers the control role of the same host. Other hosts spread
-// over the control hosts.
+// firstUpstream returns this host if it has the control role. Other hosts are spread
+// over the candidates by their incarnation.
 func (s *Subscriber) firstUpstream() config.ControlHost {
-	for _, c := range s.known {
+	for _, c := range s.candidates {
 		if c.Host == s.opts.Peer.Host() {
 			return c
 		}
 	}
-	return s.known[s.opts.Peer.Incarnation()%uint64(len(s.known))]
+	return s.candidates[s.opts.Peer.Incarnation()%uint64(len(s.candidates))]
 }
 
-// nextUpstream returns the control host after the present one.
+// nextUpstream returns the candidate after the current upstream, in a cycle.
 func (s *Subscriber) nextUpstream() config.ControlHost {
-	at := slices.IndexFunc(s.known, func(c config.ControlHost) bool { return c.Host == s.control().Host })
-	return s.known[(at+1)%len(s.known)]
+	at := slices.IndexFunc(s.candidates, func(c config.ControlHost) bool { return c.Host == s.upstream().Host })
+	return s.candidates[(at+1)%len(s.candidates)]
 }
 
-// nearest returns a control host in the failure domain of this one, if there is
-// any, so that pushes and leases stay inside of it.
-func (s *Subscriber) nearest() (config.ControlHost, bool) {
-	var near []string
-	for _, c := range s.known {
+// localUpstream returns a control host in the failure domain of this host, if there
+// is one, so that pushes and leases stay inside the domain.
+func (s *Subscriber) localUpstream() (config.ControlHost, bool) {
+	var local []string
+	for _, c := range s.candidates {
 		if s.distance(s.state, c.Host) < 2 {
-			near = append(near, c.Host)
+			local = append(local, c.Host)
 		}
 	}
-	chosen := rendezvous.Owner(near, s.opts.Peer.Host())
-	at := slices.IndexFunc(s.known, func(c config.ControlHost) bool { return c.Host == chosen })
+	chosen := rendezvous.Owner(local, s.opts.Peer.Host())
+	at := slices.IndexFunc(s.candidates, func(c config.ControlHost) bool { return c.Host == chosen })
 	if at < 0 {
 		return config.ControlHost{}, false
 	}
-	return s.known[at], true
+	return s.candidates[at], true
 }
