--- a/bridge/admin.go
+++ b/bridge/admin.go
@@ -9,7 +9,7 @@
 	server, err := admin.New(admin.Options{
 		Listen:    h.settings.Admin.Listen,
 		Token:     h.settings.Admin.Token,
-		Fleet:     h.subscriber,
+		Control:   h.subscriber,
 		View:      h.view,
 		Announce:  announce.NewHandler(h.view, h.subscriber),
 		Accepting: h.healthy,
--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -10,8 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Refusal is the body of an answer that is not a success.
-type Refusal struct {
+// ErrorResponse is the body of an answer that is not a success.
+type ErrorResponse struct {
 	Code     result.Code    `json:"code"`
 	Name     string         `json:"name"`
 	Detail   string         `json:"detail"`
@@ -56,7 +56,7 @@
 	if !ok {
 		status = http.StatusServiceUnavailable
 	}
-	WriteJSON(w, status, Refusal{
+	WriteJSON(w, status, ErrorResponse{
 		Code:     e.Code,
 		Name:     result.Lookup(e.Code).Name,
 		Detail:   e.Detail,
--- a/internal/admin/notes.go
+++ b/internal/admin/notes.go
@@ -10,8 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Accepted is the answer to an accepted release note.
-type Accepted struct {
+// NoteResponse is the answer to an accepted release note.
+type NoteResponse struct {
 	Stamp note.Stamp `json:"stamp"`
 	// Revision is the revision of the agreed state with the note in force.
 	Revision uint64 `json:"revision"`
@@ -33,7 +33,7 @@
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), proposeTimeout)
 	defer cancel()
-	out, err := s.opts.Fleet.Propose(ctx, agreed.Command{ApplyNote: &agreed.ApplyNote{Note: n}})
+	out, err := s.opts.Control.Propose(ctx, agreed.Command{ApplyNote: &agreed.ApplyNote{Note: n}})
 	if err == nil {
 		err = out.Err()
 	}
@@ -43,7 +43,7 @@
 		return
 	}
 	s.opts.Logger.Info("note_accepted", "number", n.Number, "digest", out.Stamp.Digest, "repeated", out.Repeated)
-	WriteJSON(w, http.StatusOK, Accepted{
+	WriteJSON(w, http.StatusOK, NoteResponse{
 		Stamp: *out.Stamp, Revision: out.Revision, Repeated: out.Repeated, Warnings: out.Problems,
 	})
 }
@@ -102,7 +102,7 @@
 func (s *Server) status(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
-	status, err := s.opts.Fleet.Status(ctx)
+	status, err := s.opts.Control.Status(ctx)
 	if err != nil {
 		WriteError(w, err)
 		return
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -9,7 +9,7 @@
 //	GET  /healthz           200 while the host accepts callers, else 503
 //	GET  /metrics           metrics in the Prometheus text format
 //
-// Errors are JSON objects with a result code; see Refusal.
+// Errors are JSON objects with a result code; see ErrorResponse.
 package admin
 
 import (
@@ -42,8 +42,8 @@
 	statusTimeout  = 3 * time.Second
 )
 
-// Fleet reaches the control hosts. *control.Subscriber implements it.
-type Fleet interface {
+// ControlClient reaches the control hosts. *control.Subscriber implements it.
+type ControlClient interface {
 	Propose(ctx context.Context, c agreed.Command) (agreed.Outcome, error)
 	Status(ctx context.Context) (control.Status, error)
 }
@@ -53,9 +53,9 @@
 	Listen string
 	// Token authenticates operators; empty allows requests from loopback
 	// addresses only.
-	Token string
-	Fleet Fleet
-	View  view.Source
+	Token   string
+	Control ControlClient
+	View    view.Source
 	// Announce takes announcements of endpoints.
 	Announce http.Handler
 	// Accepting reports whether the host accepts callers.
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -59,14 +59,14 @@
 	t.Helper()
 	f := newStateFleet()
 	accepting := true
-	return &Server{opts: Options{Token: token, Fleet: f, View: f.box, Accepting: func() bool { return accepting }, Logger: quiet()}}
+	return &Server{opts: Options{Token: token, Control: f, View: f.box, Accepting: func() bool { return accepting }, Logger: quiet()}}
 }
 
 func TestNoteIsAcceptedOnce(t *testing.T) {
 	s := newServer(t)
 	for _, repeated := range []bool{false, true} {
 		code, body := do(s, "POST", "/v1/notes", firstNote, token)
-		var a Accepted
+		var a NoteResponse
 		if err := json.Unmarshal([]byte(body), &a); code != http.StatusOK || err != nil || a.Repeated != repeated || a.Stamp.Number != 1 {
 			t.Fatalf("%d %s", code, body)
 		}
@@ -99,7 +99,7 @@
 	}
 	for _, test := range tests {
 		status, body := do(s, test.method, test.path, test.body, test.token)
-		var r Refusal
+		var r ErrorResponse
 		if err := json.Unmarshal([]byte(body), &r); err != nil || status != test.status || r.Code != test.code || r.Name == "" {
 			t.Errorf("%s %s: %d %s", test.method, test.path, status, body)
 		}
--- a/internal/agreed/apply_endpoint.go
+++ b/internal/agreed/apply_endpoint.go
@@ -55,7 +55,7 @@
 		return nil, Outcome{}
 	case exists && known.Service != e.Service && e.StartedMS <= known.StartedMS:
 		return nil, refuse(result.GroupConflict, "endpoint %q is a member of service %q", e.ID, known.Service)
-	case !exists && limit != note.OpenGroup && len(g.Members) >= limit:
+	case !exists && limit != note.UnlimitedEndpoints && len(g.Members) >= limit:
 		return nil, refuse(result.GroupConflict, "the group of service %q has all its %d endpoints", e.Service, len(g.Members))
 	}
 	if out := s.CheckStale(e); out.Code != 0 {
--- a/internal/agreed/apply_test.go
+++ b/internal/agreed/apply_test.go
@@ -159,7 +159,7 @@
 }
 
 func TestWithdrawnServiceRemovesGroup(t *testing.T) {
-	withdraw := Command{ApplyNote: &ApplyNote{Note: note.Note{Number: 2, Withdrawn: note.Names{Services: []string{"log"}}}}}
+	withdraw := Command{ApplyNote: &ApplyNote{Note: note.Note{Number: 2, Withdrawn: note.Withdrawals{Services: []string{"log"}}}}}
 	s := run(t, New(), step{noteWith(1, "first", "log"), 0}, step{put("a"), 0}, step{withdraw, 0})
 	if len(s.Groups) != 0 || len(s.Endpoints) != 0 {
 		t.Fatalf("remaining groups %v, endpoints %v", s.Groups, s.Endpoints)
--- a/internal/note/apply.go
+++ b/internal/note/apply.go
@@ -178,8 +178,8 @@
 	return problems
 }
 
-// WarnHosts warns about services with fewer connections than entry hosts.
-func (c Catalog) WarnHosts(entryHosts int) []Problem {
+// CheckEntryHosts warns about services with fewer connections than entry hosts.
+func (c Catalog) CheckEntryHosts(entryHosts int) []Problem {
 	var problems []Problem
 	for _, name := range sortedNames(c.Services) {
 		s := c.Services[name]
--- a/internal/note/check.go
+++ b/internal/note/check.go
@@ -83,7 +83,7 @@
 	return len(i.Workspaces) + len(i.Keys) + len(i.Services) + len(i.Domains)
 }
 
-func (w Names) count() int {
+func (w Withdrawals) count() int {
 	return len(w.Workspaces) + len(w.Keys) + len(w.Services) + len(w.Domains)
 }
 
--- a/internal/note/types.go
+++ b/internal/note/types.go
@@ -77,9 +77,9 @@
 	AckReplicas AckPolicy = "replicas"
 )
 
-// OpenGroup is the number of Endpoints of a service whose group takes every
+// UnlimitedEndpoints is the number of Endpoints of a service whose group takes every
 // endpoint that announces itself.
-const OpenGroup = 0
+const UnlimitedEndpoints = 0
 
 // ReadPolicy tells what a read on a route must see.
 type ReadPolicy string
@@ -130,8 +130,8 @@
 	Domains    []Domain    `json:"domains,omitempty" cbor:"4,keyasint,omitempty" validate:"dive"`
 }
 
-// Names are the entries that a note withdraws, by name or key id.
-type Names struct {
+// Withdrawals are the entries that a note withdraws, by name or key id.
+type Withdrawals struct {
 	Workspaces []string `json:"workspaces,omitempty" cbor:"1,keyasint,omitempty"`
 	Keys       []string `json:"keys,omitempty" cbor:"2,keyasint,omitempty"`
 	Services   []string `json:"services,omitempty" cbor:"3,keyasint,omitempty"`
@@ -141,11 +141,11 @@
 // Note is one release note.
 type Note struct {
 	// Number is one more than the number of the note in force.
-	Number    uint64 `json:"number" cbor:"1,keyasint" validate:"gte=1"`
-	Title     string `json:"title,omitempty" cbor:"2,keyasint,omitempty" validate:"max=200"`
-	Added     Items  `json:"added,omitzero" cbor:"3,keyasint,omitzero"`
-	Changed   Items  `json:"changed,omitzero" cbor:"4,keyasint,omitzero"`
-	Withdrawn Names  `json:"withdrawn,omitzero" cbor:"5,keyasint,omitzero"`
+	Number    uint64      `json:"number" cbor:"1,keyasint" validate:"gte=1"`
+	Title     string      `json:"title,omitempty" cbor:"2,keyasint,omitempty" validate:"max=200"`
+	Added     Items       `json:"added,omitzero" cbor:"3,keyasint,omitzero"`
+	Changed   Items       `json:"changed,omitzero" cbor:"4,keyasint,omitzero"`
+	Withdrawn Withdrawals `json:"withdrawn,omitzero" cbor:"5,keyasint,omitzero"`
 }
 
 // Stamp identifies an accepted note.
