--- a/internal/admin/notes.go
+++ b/internal/admin/notes.go
@@ -26,7 +26,7 @@
 		WriteError(w, result.New(result.MessageTooLarge, "read the note: %v", err))
 		return
 	}
-	n, problems := s.check(data)
+	n, problems := s.decodeNote(data)
 	if note.HasErrors(problems) {
 		WriteError(w, result.New(result.NoteInvalid, "the note has errors; nothing of it was applied"), problems...)
 		return
@@ -50,7 +50,7 @@
 
 // check decodes a note and finds its errors. When a field is wrong, the errors
 // against the catalog in force are reported with it.
-func (s *Server) check(data []byte) (note.Note, []note.Problem) {
+func (s *Server) decodeNote(data []byte) (note.Note, []note.Problem) {
 	n, problems := note.Decode(data)
 	if len(problems) > 0 {
 		return n, problems
@@ -64,25 +64,25 @@
 }
 
 // state returns the agreed state, or answers that there is none yet.
-func (s *Server) state(w http.ResponseWriter) *agreed.State {
+func (s *Server) currentState(w http.ResponseWriter) *agreed.State {
 	v := s.opts.View.Current()
 	if v.State == nil {
 		WriteError(w, result.New(result.NoConfigLease, "the host has not heard from the control hosts yet"))
 		return nil
 	}
-	w.Header().Set("Galenabridge-Lease-Valid", leaseText(v.Valid()))
+	w.Header().Set("Galenabridge-Lease-Valid", boolText(v.Valid()))
 	return v.State
 }
 
-func leaseText(valid bool) string {
+func boolText(valid bool) string {
 	if valid {
 		return "true"
 	}
 	return "false"
 }
 
-func (s *Server) history(w http.ResponseWriter, _ *http.Request) {
-	state := s.state(w)
+func (s *Server) getHistory(w http.ResponseWriter, _ *http.Request) {
+	state := s.currentState(w)
 	if state == nil {
 		return
 	}
@@ -93,13 +93,13 @@
 	WriteJSON(w, http.StatusOK, stamps)
 }
 
-func (s *Server) current(w http.ResponseWriter, _ *http.Request) {
-	if state := s.state(w); state != nil {
+func (s *Server) getCatalog(w http.ResponseWriter, _ *http.Request) {
+	if state := s.currentState(w); state != nil {
 		WriteJSON(w, http.StatusOK, state.Catalog.Redacted())
 	}
 }
 
-func (s *Server) status(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 	status, err := s.opts.Control.Status(ctx)
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -106,10 +106,10 @@
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/notes", s.operatorsOnly(s.postNote))
-	mux.Handle("GET /v1/notes", s.operatorsOnly(s.history))
-	mux.Handle("GET /v1/notes/current", s.operatorsOnly(s.current))
-	mux.Handle("GET /v1/status", s.operatorsOnly(s.status))
-	mux.HandleFunc("GET /healthz", s.health)
+	mux.Handle("GET /v1/notes", s.operatorsOnly(s.getHistory))
+	mux.Handle("GET /v1/notes/current", s.operatorsOnly(s.getCatalog))
+	mux.Handle("GET /v1/status", s.operatorsOnly(s.getStatus))
+	mux.HandleFunc("GET /healthz", s.getHealth)
 	if s.opts.Announce != nil {
 		mux.Handle("POST /v1/announce", s.opts.Announce)
 	}
@@ -136,7 +136,7 @@
 
 func (s *Server) authenticate(r *http.Request) error {
 	if s.opts.Token == "" {
-		if fromLoopback(r.RemoteAddr) {
+		if isLoopback(r.RemoteAddr) {
 			return nil
 		}
 		return result.New(result.NotAllowed, "no token is set: requests from loopback addresses only")
@@ -149,7 +149,7 @@
 	return nil
 }
 
-func fromLoopback(addr string) bool {
+func isLoopback(addr string) bool {
 	host, _, err := net.SplitHostPort(addr)
 	if err != nil {
 		return false
@@ -159,7 +159,7 @@
 }
 
 // health answers the balancer.
-func (s *Server) health(w http.ResponseWriter, _ *http.Request) {
+func (s *Server) getHealth(w http.ResponseWriter, _ *http.Request) {
 	if s.opts.Accepting != nil && s.opts.Accepting() {
 		WriteJSON(w, http.StatusOK, Health{Accepting: true})
 		return
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -18,29 +18,29 @@
 )
 
 // stateFleet applies commands to a state of its own.
-type stateFleet struct {
-	box   *view.Publisher
+type fakeControl struct {
+	views *view.Publisher
 	state *agreed.State
 }
 
-func newStateFleet() *stateFleet {
-	f := &stateFleet{box: view.NewPublisher(), state: agreed.New()}
-	f.box.Publish(view.View{State: f.state})
+func newFakeControl() *fakeControl {
+	f := &fakeControl{views: view.NewPublisher(), state: agreed.New()}
+	f.views.Publish(view.View{State: f.state})
 	return f
 }
 
-func (f *stateFleet) Propose(_ context.Context, c agreed.Command) (agreed.Outcome, error) {
+func (f *fakeControl) Propose(_ context.Context, c agreed.Command) (agreed.Outcome, error) {
 	var out agreed.Outcome
 	f.state, out = agreed.Apply(f.state, f.state.Revision+1, c)
-	f.box.Publish(view.View{State: f.state})
+	f.views.Publish(view.View{State: f.state})
 	return out, nil
 }
 
-func (f *stateFleet) Status(context.Context) (control.Status, error) {
+func (f *fakeControl) Status(context.Context) (control.Status, error) {
 	return control.Status{}, result.New(result.NoQuorum, "nobody answers")
 }
 
-func do(s *Server, method, path, body, token string) (int, string) {
+func serve(s *Server, method, path, body, token string) (int, string) {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
 	r.RemoteAddr = "192.0.2.1:99"
@@ -57,33 +57,33 @@
 
 func newServer(t *testing.T) *Server {
 	t.Helper()
-	f := newStateFleet()
+	f := newFakeControl()
 	accepting := true
-	return &Server{opts: Options{Token: token, Control: f, View: f.box, Accepting: func() bool { return accepting }, Logger: quiet()}}
+	return &Server{opts: Options{Token: token, Control: f, View: f.views, Accepting: func() bool { return accepting }, Logger: discardLogger()}}
 }
 
-func TestNoteIsAcceptedOnce(t *testing.T) {
+func TestPostNoteRepeatIsAcceptedOnce(t *testing.T) {
 	s := newServer(t)
 	for _, repeated := range []bool{false, true} {
-		code, body := do(s, "POST", "/v1/notes", firstNote, token)
+		code, body := serve(s, "POST", "/v1/notes", firstNote, token)
 		var a NoteResponse
 		if err := json.Unmarshal([]byte(body), &a); code != http.StatusOK || err != nil || a.Repeated != repeated || a.Stamp.Number != 1 {
 			t.Fatalf("%d %s", code, body)
 		}
 	}
-	code, body := do(s, "GET", "/v1/notes", "", token)
+	code, body := serve(s, "GET", "/v1/notes", "", token)
 	if code != http.StatusOK || !strings.Contains(body, `"title":"first"`) {
 		t.Errorf("history: %d %s", code, body)
 	}
-	code, body = do(s, "GET", "/v1/notes/current", "", token)
+	code, body = serve(s, "GET", "/v1/notes/current", "", token)
 	if code != http.StatusOK || !strings.Contains(body, `"w":{`) {
 		t.Errorf("current: %d %s", code, body)
 	}
 }
 
-func TestRefusalsAreNumbered(t *testing.T) {
+func TestErrorResponsesCarryResultCodes(t *testing.T) {
 	s := newServer(t)
-	do(s, "POST", "/v1/notes", firstNote, token)
+	serve(s, "POST", "/v1/notes", firstNote, token)
 	tests := []struct {
 		method, path, body, token string
 		status                    int
@@ -98,7 +98,7 @@
 		{"GET", "/nowhere", "", token, http.StatusNotFound, result.UnsupportedFeature},
 	}
 	for _, test := range tests {
-		status, body := do(s, test.method, test.path, test.body, test.token)
+		status, body := serve(s, test.method, test.path, test.body, test.token)
 		var r ErrorResponse
 		if err := json.Unmarshal([]byte(body), &r); err != nil || status != test.status || r.Code != test.code || r.Name == "" {
 			t.Errorf("%s %s: %d %s", test.method, test.path, status, body)
@@ -106,10 +106,10 @@
 	}
 }
 
-func TestWithoutTokenOnlyLoopbackIsServed(t *testing.T) {
+func TestWithoutTokenServesLoopbackOnly(t *testing.T) {
 	s := newServer(t)
 	s.opts.Token = ""
-	if status, body := do(s, "GET", "/v1/notes", "", ""); status != http.StatusForbidden {
+	if status, body := serve(s, "GET", "/v1/notes", "", ""); status != http.StatusForbidden {
 		t.Errorf("from afar: %d %s", status, body)
 	}
 	r := httptest.NewRequest("GET", "/v1/notes", nil)
@@ -121,26 +121,26 @@
 	}
 }
 
-func TestHealthFollowsTheEntryRole(t *testing.T) {
+func TestHealthReportsAccepting(t *testing.T) {
 	s := newServer(t)
-	if status, _ := do(s, "GET", "/healthz", "", ""); status != http.StatusOK {
+	if status, _ := serve(s, "GET", "/healthz", "", ""); status != http.StatusOK {
 		t.Errorf("accepting: %d", status)
 	}
 	s.opts.Accepting = func() bool { return false }
-	if status, _ := do(s, "GET", "/healthz", "", ""); status != http.StatusServiceUnavailable {
+	if status, _ := serve(s, "GET", "/healthz", "", ""); status != http.StatusServiceUnavailable {
 		t.Errorf("not accepting: %d", status)
 	}
 }
 
-func quiet() *log.Logger { return log.New(io.Discard) }
+func discardLogger() *log.Logger { return log.New(io.Discard) }
 
-// TestFieldAndReferenceErrorsComeTogether sends a note with a wrong field that
+// TestDecodeNoteReportsFieldAndReferenceErrors sends a note with a wrong field that
 // also withdraws what is not in force.
-func TestFieldAndReferenceErrorsComeTogether(t *testing.T) {
+func TestDecodeNoteReportsFieldAndReferenceErrors(t *testing.T) {
 	box := view.NewPublisher()
 	box.Publish(view.View{State: agreed.New()})
 	s := &Server{opts: Options{View: box}}
-	_, problems := s.check([]byte(`{"number":1,"added":{"domains":[{"name":""}]},"withdrawn":{"keys":["x"]}}`))
+	_, problems := s.decodeNote([]byte(`{"number":1,"added":{"domains":[{"name":""}]},"withdrawn":{"keys":["x"]}}`))
 	paths := make(map[string]bool)
 	for _, p := range problems {
 		paths[p.Path] = true
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -96,19 +96,19 @@
 }
 
 // entry describes one command for registration.
-type entry struct {
+type commandSpec struct {
 	name, short, long string
 	cmd               command
 }
 
 // group is a command that only holds other commands.
-type group struct {
+type commandGroup struct {
 	name, short string
-	entries     []entry
+	commands    []commandSpec
 }
 
-func topLevel() []entry {
-	return []entry{
+func topLevel() []commandSpec {
+	return []commandSpec{
 		{"serve", "run a host", "Run a host with the roles that its settings name.", &serveCommand{}},
 		{"dev", "run a whole system", "Run control, two entry hosts and one database group of three stand-in endpoints on loopback.", &devCommand{}},
 		{"standin", "run a stand-in endpoint", "Run one stand-in database endpoint.", &standinCommand{}},
@@ -118,23 +118,23 @@
 	}
 }
 
-func groups() []group {
-	return []group{
-		{"note", "work with release notes", []entry{
+func groups() []commandGroup {
+	return []commandGroup{
+		{"note", "work with release notes", []commandSpec{
 			{"check", "check a release note", "Check a release note; with --admin also against the catalog in force.", &noteCheckCommand{}},
 			{"apply", "apply a release note", "Apply a release note. Sending the same note again is safe.", &noteApplyCommand{}},
 			{"show", "show the catalog in force", "Show the catalog in force, without secrets.", &noteShowCommand{}},
 			{"diff", "show what a note would change", "Show what a release note would change in the catalog in force.", &noteDiffCommand{}},
 			{"history", "list the accepted notes", "List the accepted release notes.", &noteHistoryCommand{}},
 		}},
-		{"key", "work with keys", []entry{
+		{"key", "work with keys", []commandSpec{
 			{"new", "make a key", "Print a new key and its verifier. The key is shown only once.", &keyNewCommand{}},
 		}},
-		{"config", "work with settings", []entry{
+		{"config", "work with settings", []commandSpec{
 			{"check", "check a settings file", "Check a settings file and report every error.", &configCheckCommand{}},
 			{"example", "print example settings", "Print the settings of a host with both roles.", &configExampleCommand{}},
 		}},
-		{"store", "inspect a data folder", []entry{
+		{"store", "inspect a data folder", []commandSpec{
 			{"verify", "verify a data folder", "Verify the checksums of a data folder that no host is using.", &storeVerifyCommand{}},
 			{"dump", "print a data folder", "Print the log and snapshot of a data folder that no host is using.", &storeDumpCommand{}},
 		}},
@@ -144,7 +144,7 @@
 // register adds all commands to parser and returns the leaves.
 func register(parser *flags.Parser) (map[*flags.Command]command, error) {
 	leaves := make(map[*flags.Command]command)
-	add := func(parent *flags.Command, e entry) error {
+	add := func(parent *flags.Command, e commandSpec) error {
 		c, err := parent.AddCommand(e.name, e.short, e.long, e.cmd)
 		if err == nil {
 			leaves[c] = e.cmd
@@ -161,7 +161,7 @@
 		if err != nil {
 			return nil, err
 		}
-		for _, e := range g.entries {
+		for _, e := range g.commands {
 			if err := add(parent, e); err != nil {
 				return nil, err
 			}
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -21,7 +21,7 @@
 	return code, out.String(), errs.String()
 }
 
-func write(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file.json")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -30,10 +30,10 @@
 	return path
 }
 
-const goodNote = `{"number":1,"added":{"domains":[{"name":"osan","region":"kr-central"}]}}`
+const validNote = `{"number":1,"added":{"domains":[{"name":"osan","region":"kr-central"}]}}`
 
 func TestExitCodes(t *testing.T) {
-	good, bad := write(t, goodNote), write(t, `{"number":0}`)
+	good, bad := writeFile(t, validNote), writeFile(t, `{"number":0}`)
 	for _, c := range []struct {
 		name string
 		args []string
@@ -59,14 +59,14 @@
 	}
 }
 
-func TestExampleSettingsPassTheCheck(t *testing.T) {
+func TestConfigCheckAcceptsExample(t *testing.T) {
 	_, example, _ := invoke("config", "example")
-	if code, _, stderr := invoke("config", "check", write(t, example)); code != ExitOK {
+	if code, _, stderr := invoke("config", "check", writeFile(t, example)); code != ExitOK {
 		t.Error(stderr)
 	}
 }
 
-func TestKeyNewPrintsAMatchingPair(t *testing.T) {
+func TestKeyNewPrintsKeyAndVerifier(t *testing.T) {
 	_, out, _ := invoke("key", "new", "--workspace", "crew")
 	key, rest, ok := strings.Cut(strings.TrimPrefix(out, "key="), "\nverifier=")
 	if !ok || len(key) < 32 {
@@ -77,33 +77,33 @@
 	}
 }
 
-// TestARefusalNamesItsCode applies a note to a host that refuses it.
-func TestARefusalNamesItsCode(t *testing.T) {
+// TestNoteApplyPrintsResultCode applies a note to a host that refuses it.
+func TestNoteApplyPrintsResultCode(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
 		_, _ = w.Write([]byte(`{"code":4001,"name":"note_conflict","detail":"number 1 is in force"}`))
 	}))
 	defer host.Close()
-	code, _, stderr := invoke("note", "apply", "--admin", host.URL, write(t, goodNote))
+	code, _, stderr := invoke("note", "apply", "--admin", host.URL, writeFile(t, validNote))
 	if code != ExitRefused || !strings.Contains(stderr, "GB4001") || !strings.Contains(stderr, result.Lookup(result.NoteConflict).Name) {
 		t.Errorf("exit code %d: %s", code, stderr)
 	}
 }
 
-// TestTheNextHostIsTried gives a dead address before a live one.
-func TestTheNextHostIsTried(t *testing.T) {
+// TestNoteApplyTriesNextHost gives a dead address before a live one.
+func TestNoteApplyTriesNextHost(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"stamp":{"number":1,"digest":"d"},"revision":9}`))
 	}))
 	defer host.Close()
-	code, stdout, stderr := invoke("note", "apply", "--admin", "http://127.0.0.1:1", "--admin", host.URL, write(t, goodNote))
+	code, stdout, stderr := invoke("note", "apply", "--admin", "http://127.0.0.1:1", "--admin", host.URL, writeFile(t, validNote))
 	if code != ExitOK || !strings.Contains(stdout, "revision=9") {
 		t.Errorf("exit code %d: %s%s", code, stdout, stderr)
 	}
 }
 
 func TestExplainReadsLogs(t *testing.T) {
-	path := write(t, `time=2026-12-04T12:00:07.000Z level=warn msg=statement_refused host=h request=id-1 code=2004 result=rate_exceeded detail="over its rate" took_ms=0`+"\n")
+	path := writeFile(t, `time=2026-12-04T12:00:07.000Z level=warn msg=statement_refused host=h request=id-1 code=2004 result=rate_exceeded detail="over its rate" took_ms=0`+"\n")
 	for _, c := range []struct {
 		args []string
 		want int
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -19,7 +19,7 @@
 const requestTimeout = 20 * time.Second
 
 // maxAnswerBytes bounds the size of an answer that is read.
-const maxAnswerBytes = 64 << 20
+const maxResponseBytes = 64 << 20
 
 // adminOptions are the flags of commands that talk to a host.
 type adminOptions struct {
@@ -28,14 +28,14 @@
 }
 
 // refusal is the body of an answer that is not a success.
-type refusal struct {
+type errorResponse struct {
 	Code     int            `json:"code"`
 	Name     string         `json:"name"`
 	Detail   string         `json:"detail"`
 	Problems []note.Problem `json:"problems"`
 }
 
-func (r refusal) describe() string {
+func (r errorResponse) describe() string {
 	lines := []string{r.Name + ": " + r.Detail}
 	for _, p := range r.Problems {
 		lines = append(lines, "  "+p.String())
@@ -52,7 +52,7 @@
 	}
 	var last error
 	for _, base := range o.Admin {
-		last = doOne(method, strings.TrimSuffix(base, "/")+path, token, body, out)
+		last = doRequest(method, strings.TrimSuffix(base, "/")+path, token, body, out)
 		var exit *exitError
 		if last == nil || errors.As(last, &exit) {
 			return last
@@ -72,7 +72,7 @@
 	return strings.TrimSpace(string(data)), nil
 }
 
-func doOne(method, url, token string, body []byte, out any) error {
+func doRequest(method, url, token string, body []byte, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
@@ -87,12 +87,12 @@
 		return err
 	}
 	defer resp.Body.Close()
-	data, err := io.ReadAll(io.LimitReader(resp.Body, maxAnswerBytes))
+	data, err := io.ReadAll(io.LimitReader(resp.Body, maxResponseBytes))
 	if err != nil {
 		return err
 	}
 	if resp.StatusCode >= http.StatusBadRequest {
-		return refusedBy(resp, data)
+		return responseError(resp, data)
 	}
 	if out == nil {
 		return nil
@@ -100,8 +100,8 @@
 	return errors.Wrap(json.Unmarshal(data, out), "decode the answer")
 }
 
-func refusedBy(resp *http.Response, data []byte) error {
-	var r refusal
+func responseError(resp *http.Response, data []byte) error {
+	var r errorResponse
 	if err := json.Unmarshal(data, &r); err != nil || r.Code == 0 {
 		return exitWith(ExitRefused, errors.Errorf("%s: %s", resp.Status, bytes.TrimSpace(data)))
 	}
--- a/internal/cli/note.go
+++ b/internal/cli/note.go
@@ -28,7 +28,7 @@
 }
 
 // data returns the contents of the file.
-func (f *noteFile) data() ([]byte, error) {
+func (f *noteFile) read() ([]byte, error) {
 	data, err := os.ReadFile(f.Args.File)
 	if err != nil {
 		return nil, exitWith(ExitUsage, err)
@@ -38,15 +38,15 @@
 
 // decode reads the note without checking its fields.
 func (f *noteFile) decode(app *App) (note.Note, error) {
-	data, err := f.data()
+	data, err := f.read()
 	if err != nil {
 		return note.Note{}, err
 	}
 	n, problems := note.Decode(data)
-	return n, report(app, problems)
+	return n, reportProblems(app, problems)
 }
 
-func report(app *App, problems []note.Problem) error {
+func reportProblems(app *App, problems []note.Problem) error {
 	count := 0
 	for _, p := range problems {
 		fmt.Fprintln(app.Stderr, p)
@@ -85,7 +85,7 @@
 		}
 		_, problems = current.Apply(n)
 	}
-	if err := report(app, problems); err != nil {
+	if err := reportProblems(app, problems); err != nil {
 		return err
 	}
 	fmt.Fprintf(app.Stdout, "number=%d digest=%s ok\n", n.Number, note.Digest(n))
@@ -98,7 +98,7 @@
 }
 
 // accepted is the answer to an accepted release note.
-type accepted struct {
+type noteResponse struct {
 	Stamp    note.Stamp     `json:"stamp"`
 	Revision uint64         `json:"revision"`
 	Repeated bool           `json:"repeated"`
@@ -106,15 +106,15 @@
 }
 
 func (c *noteApplyCommand) run(app *App) error {
-	data, err := c.data()
+	data, err := c.read()
 	if err != nil {
 		return err
 	}
-	var answer accepted
+	var answer noteResponse
 	if err := c.do(http.MethodPost, notesPath, data, &answer); err != nil {
 		return err
 	}
-	if err := report(app, answer.Warnings); err != nil {
+	if err := reportProblems(app, answer.Warnings); err != nil {
 		return err
 	}
 	fmt.Fprintf(app.Stdout, "number=%d digest=%s revision=%d repeated=%t accepted\n",
@@ -155,7 +155,7 @@
 		return err
 	}
 	next, problems := current.Apply(n)
-	if err := report(app, problems); err != nil {
+	if err := reportProblems(app, problems); err != nil {
 		return err
 	}
 	for _, change := range note.Diff(current, next) {
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -29,7 +29,7 @@
 }
 
 // untilSignal returns a context that ends at SIGINT or SIGTERM.
-func untilSignal() (context.Context, context.CancelFunc) {
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return host.Run(ctx)
 }
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return dev.Run(ctx, dev.Options{
 		Listen: c.Listen, Listen2: c.Listen2, Admin: c.Admin,
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -38,21 +38,21 @@
 		Listen: c.Listen, Advertise: c.Advertise,
 		Role: standin.Role(c.Role), Upstream: c.Upstream,
 		User: c.User, Password: c.Password, Database: c.Database,
-		MaxConnections: c.Connections, ConnectDelay: none(c.ConnectDelay),
-		ReplicationDelay: none(c.ReplicationDelay), ReplayLag: none(c.Lag),
+		MaxConnections: c.Connections, ConnectDelay: noDelayIfZero(c.ConnectDelay),
+		ReplicationDelay: noDelayIfZero(c.ReplicationDelay), ReplayLag: noDelayIfZero(c.Lag),
 		Admins: c.Admins, Control: c.Control, DataDir: c.DataDir,
 		RecordsTable: c.Records, Logger: logger,
 	})
 	if err != nil {
 		return exitWith(ExitUsage, err)
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return server.Run(ctx)
 }
 
 // none turns zero into the negative value that means no delay at all.
-func none(d time.Duration) time.Duration {
+func noDelayIfZero(d time.Duration) time.Duration {
 	if d == 0 {
 		return -1
 	}
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -24,7 +24,7 @@
 	}
 	w := tabwriter.NewWriter(app.Stdout, 0, 0, 2, ' ', 0)
 	fmt.Fprintf(w, "reported by %s (%s), leader %s, term %d, revision %d, settled %d\n\n",
-		s.Host, s.Role, orNone(s.Leader), s.Term, s.Revision, s.Settled)
+		s.Host, s.Role, orDash(s.Leader), s.Term, s.Revision, s.Settled)
 	writeControls(w, s)
 	writeHosts(w, s)
 	writeGroups(w, s)
@@ -32,7 +32,7 @@
 	return w.Flush()
 }
 
-func orNone(text string) string {
+func orDash(text string) string {
 	if text == "" {
 		return "-"
 	}
@@ -62,7 +62,7 @@
 		if reason == "" {
 			reason = g.Reason
 		}
-		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%s\n", g.Service, g.Phase, g.Term, orNone(g.Primary), g.Timeline, orNone(reason))
+		fmt.Fprintf(w, "%s\t%s\t%d\t%s\t%d\t%s\n", g.Service, g.Phase, g.Term, orDash(g.Primary), g.Timeline, orDash(reason))
 	}
 	fmt.Fprintln(w)
 }
@@ -71,18 +71,18 @@
 	fmt.Fprintln(w, "ENDPOINT\tSERVICE\tDOMAIN\tADDRESS\tROLE\tTIMELINE\tPOSITION\tHEARD\tREFUSED")
 	for _, e := range s.Endpoints {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%d\t%X/%08X\t%s\t%s\n", e.ID, e.Service, e.Domain, e.Addr,
-			role(e), e.Timeline, e.LSN>>32, uint32(e.LSN), heard(e.Age), orNone(e.Refused))
+			roleName(e), e.Timeline, e.LSN>>32, uint32(e.LSN), formatAge(e.Age), orDash(e.Refused))
 	}
 }
 
-func role(e control.EndpointStatus) string {
+func roleName(e control.EndpointStatus) string {
 	if e.Primary {
 		return "primary"
 	}
 	return "replica"
 }
 
-func heard(age time.Duration) string {
+func formatAge(age time.Duration) string {
 	if age < 0 {
 		return "never"
 	}
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -244,7 +244,7 @@
 		listed = listed || c.Host == s.Host
 	}
 	if len(s.Seeds) > 0 {
-		return append(problems, s.checkEntry()...)
+		return append(problems, s.checkTLS()...)
 	}
 	if voters == 0 {
 		problems = append(problems, "controls: at least one control host votes")
@@ -252,11 +252,11 @@
 	if s.Control != nil && !listed {
 		problems = append(problems, fmt.Sprintf("controls: control host %q is not listed", s.Host))
 	}
-	return append(problems, s.checkEntry()...)
+	return append(problems, s.checkTLS()...)
 }
 
 // checkEntry checks what depends on several settings of callers and peers.
-func (s *Settings) checkEntry() []string {
+func (s *Settings) checkTLS() []string {
 	var problems []string
 	if s.Entry != nil && s.Entry.RequireTLS && s.Entry.TLS == nil {
 		problems = append(problems, "entry.require_tls: no certificate is set")
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -161,7 +161,7 @@
 		return errors.Wrap(err, "first release note")
 	}
 	for _, host := range s.entries {
-		if err := waitForAnswer(ctx, s.url(host)); err != nil {
+		if err := waitForQuery(ctx, s.url(host)); err != nil {
 			return errors.Wrap(err, "first answer")
 		}
 	}
@@ -177,9 +177,9 @@
 // pollInterval is the pause between attempts while the system starts.
 const pollInterval = 50 * time.Millisecond
 
-func waitForAnswer(ctx context.Context, url string) error {
+func waitForQuery(ctx context.Context, url string) error {
 	for {
-		err := ask(ctx, url)
+		err := queryRecords(ctx, url)
 		if err == nil {
 			return nil
 		}
@@ -191,7 +191,7 @@
 	}
 }
 
-func ask(ctx context.Context, url string) error {
+func queryRecords(ctx context.Context, url string) error {
 	conn, err := pgx.Connect(ctx, url)
 	if err != nil {
 		return err
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -14,9 +14,9 @@
 )
 
 const (
-	testTimeout = 2 * time.Minute
-	testLag     = 500 * time.Millisecond
-	roamingRuns = 50
+	testTimeout     = 2 * time.Minute
+	testLag         = 500 * time.Millisecond
+	crossHostWrites = 50
 )
 
 // startSystem runs a system until the test ends and returns its two addresses.
@@ -61,15 +61,15 @@
 	return conn
 }
 
-// TestReadYourWritesAcrossHosts writes through one entry host and reads through
+// TestReadSeesWriteOfOtherHost writes through one entry host and reads through
 // the other, on a connection opened before the write and on a new one.
-func TestReadYourWritesAcrossHosts(t *testing.T) {
+func TestReadSeesWriteOfOtherHost(t *testing.T) {
 	url, url2 := startSystem(t)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	writer := connect(ctx, t, url)
 	reader := connect(ctx, t, url2)
-	for i := range roamingRuns {
+	for i := range crossHostWrites {
 		id := fmt.Sprintf("r%d", i)
 		if _, err := writer.Exec(ctx, "insert into records (id, workspace, body) values ($1, 'crew', $2)", id, "body "+id); err != nil {
 			t.Fatal(err)
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	anyPort = "127.0.0.1:0"
+	loopbackAnyPort = "127.0.0.1:0"
 	// devSecret is no secret: the system listens on loopback only.
-	devSecret = "loopback-development-fleet"
+	fleetSecret = "loopback-development-fleet"
 )
 
 var domains = []string{"osan", "pohang", "heuksan"}
 
 func (s *system) settings(host, domain string) *config.Settings {
 	return &config.Settings{
-		Host: host, Fleet: fleet, Domain: domain, FleetSecret: devSecret,
-		Peer:     config.Peer{Listen: anyPort},
-		Admin:    config.Admin{Listen: anyPort},
-		Controls: []config.ControlHost{{Host: controlHost, Addr: anyPort, Voter: true}},
+		Host: host, Fleet: fleet, Domain: domain, FleetSecret: fleetSecret,
+		Peer:     config.Peer{Listen: loopbackAnyPort},
+		Admin:    config.Admin{Listen: loopbackAnyPort},
+		Controls: []config.ControlHost{{Host: controlHost, Addr: loopbackAnyPort, Voter: true}},
 	}
 }
 
@@ -46,7 +46,7 @@
 	settings := s.settings(host, domain)
 	settings.Controls[0].Addr = s.control.PeerAddr()
 	if listen == "" {
-		listen = anyPort
+		listen = loopbackAnyPort
 	}
 	settings.Entry = &config.Entry{
 		Listen:          listen,
--- a/internal/note/apply.go
+++ b/internal/note/apply.go
@@ -13,15 +13,15 @@
 func (c Catalog) Apply(n Note) (Catalog, []Problem) {
 	problems := n.Check()
 	next := c.clone()
-	withdraw(next.Workspaces, n.Withdrawn.Workspaces, "withdrawn.workspaces", &problems)
-	withdraw(next.Keys, n.Withdrawn.Keys, "withdrawn.keys", &problems)
-	withdraw(next.Services, n.Withdrawn.Services, "withdrawn.services", &problems)
-	withdraw(next.Domains, n.Withdrawn.Domains, "withdrawn.domains", &problems)
+	withdrawItems(next.Workspaces, n.Withdrawn.Workspaces, "withdrawn.workspaces", &problems)
+	withdrawItems(next.Keys, n.Withdrawn.Keys, "withdrawn.keys", &problems)
+	withdrawItems(next.Services, n.Withdrawn.Services, "withdrawn.services", &problems)
+	withdrawItems(next.Domains, n.Withdrawn.Domains, "withdrawn.domains", &problems)
 
-	put(next.Workspaces, c.Workspaces, n.Added.Workspaces, n.Changed.Workspaces, "workspaces", Workspace.id, &problems)
-	put(next.Keys, c.Keys, n.Added.Keys, n.Changed.Keys, "keys", Key.id, &problems)
-	put(next.Services, c.Services, n.Added.Services, n.Changed.Services, "services", Service.id, &problems)
-	put(next.Domains, c.Domains, n.Added.Domains, n.Changed.Domains, "domains", Domain.id, &problems)
+	putItems(next.Workspaces, c.Workspaces, n.Added.Workspaces, n.Changed.Workspaces, "workspaces", Workspace.id, &problems)
+	putItems(next.Keys, c.Keys, n.Added.Keys, n.Changed.Keys, "keys", Key.id, &problems)
+	putItems(next.Services, c.Services, n.Added.Services, n.Changed.Services, "services", Service.id, &problems)
+	putItems(next.Domains, c.Domains, n.Added.Domains, n.Changed.Domains, "domains", Domain.id, &problems)
 
 	problems = append(problems, next.checkReferences()...)
 	sortProblems(problems)
@@ -40,24 +40,24 @@
 func (c Catalog) clone() Catalog {
 	return Catalog{
 		Stamp:      c.Stamp,
-		Workspaces: cloneMap(c.Workspaces),
-		Keys:       cloneMap(c.Keys),
-		Services:   cloneMap(c.Services),
-		Domains:    cloneMap(c.Domains),
+		Workspaces: cloneOrNew(c.Workspaces),
+		Keys:       cloneOrNew(c.Keys),
+		Services:   cloneOrNew(c.Services),
+		Domains:    cloneOrNew(c.Domains),
 		Routes:     maps.Clone(c.Routes),
 
 		IdleTransaction: c.IdleTransaction,
 	}
 }
 
-func cloneMap[T any](m map[string]T) map[string]T {
+func cloneOrNew[T any](m map[string]T) map[string]T {
 	if m == nil {
 		return make(map[string]T)
 	}
 	return maps.Clone(m)
 }
 
-func withdraw[T any](m map[string]T, names []string, path string, problems *[]Problem) {
+func withdrawItems[T any](m map[string]T, names []string, path string, problems *[]Problem) {
 	for i, name := range names {
 		if _, ok := m[name]; !ok {
 			*problems = append(*problems, Problem{
@@ -73,7 +73,7 @@
 
 // put adds and changes the items of one kind. An added item must be new, a
 // changed one must be in force before the note, and no item may stand twice.
-func put[T any](
+func putItems[T any](
 	next, before map[string]T, added, changed []T, kind string, id func(T) string, problems *[]Problem,
 ) {
 	seen := make(map[string]bool, len(added)+len(changed))
--- a/internal/note/check.go
+++ b/internal/note/check.go
@@ -149,14 +149,14 @@
 
 func fieldProblem(f validator.FieldError) Problem {
 	_, path, _ := strings.Cut(f.Namespace(), ".")
-	p := Problem{Path: path, Value: fmt.Sprint(f.Value()), Reason: reasonFor(f)}
+	p := Problem{Path: path, Value: fmt.Sprint(f.Value()), Reason: fieldReason(f)}
 	if strings.HasSuffix(path, "password") || strings.HasSuffix(path, "verifier") {
 		p.Value = ""
 	}
 	return p
 }
 
-func reasonFor(f validator.FieldError) string {
+func fieldReason(f validator.FieldError) string {
 	switch f.Tag() {
 	case "required":
 		return "must be set"
--- a/internal/note/diff.go
+++ b/internal/note/diff.go
@@ -48,13 +48,13 @@
 		c := Change{Kind: kind, Name: name}
 		switch {
 		case !inA:
-			c.Op, c.After = "+", render(after)
+			c.Op, c.After = "+", redactedJSON(after)
 		case !inB:
-			c.Op, c.Before = "-", render(before)
+			c.Op, c.Before = "-", redactedJSON(before)
 		case reflect.DeepEqual(before, after):
 			continue
 		default:
-			c.Op, c.Before, c.After = "~", render(before), render(after)
+			c.Op, c.Before, c.After = "~", redactedJSON(before), redactedJSON(after)
 		}
 		changes = append(changes, c)
 	}
@@ -62,7 +62,7 @@
 }
 
 // render returns the JSON form of an entry without its secrets.
-func render(v any) string {
+func redactedJSON(v any) string {
 	data, err := json.Marshal(redact(v))
 	if err != nil {
 		return fmt.Sprintf("%+v", redact(v))
--- a/internal/note/document.go
+++ b/internal/note/document.go
@@ -23,9 +23,9 @@
 func (d Document) Catalog() (Catalog, []Problem) {
 	var problems []Problem
 	c := Catalog{
-		Services:   collect(d.Services, "services", Service.id, &problems),
-		Workspaces: collect(d.Workspaces, "workspaces", Workspace.id, &problems),
-		Keys:       collect(d.Keys, "keys", Key.id, &problems),
+		Services:   indexByName(d.Services, "services", Service.id, &problems),
+		Workspaces: indexByName(d.Workspaces, "workspaces", Workspace.id, &problems),
+		Keys:       indexByName(d.Keys, "keys", Key.id, &problems),
 		Routes:     make(map[string]Route, len(d.Routes)),
 
 		IdleTransaction: d.IdleTransaction,
@@ -41,7 +41,7 @@
 }
 
 // collect indexes items by name; no name may stand twice.
-func collect[T any](items []T, kind string, id func(T) string, problems *[]Problem) map[string]T {
+func indexByName[T any](items []T, kind string, id func(T) string, problems *[]Problem) map[string]T {
 	all := make(map[string]T, len(items))
 	for i, item := range items {
 		name := id(item)
@@ -57,7 +57,7 @@
 	return all
 }
 
-var policies = []ReadPolicy{ReadPrimary, ReadBounded, ReadOwnWrites}
+var readPolicies = []ReadPolicy{ReadPrimary, ReadBounded, ReadOwnWrites}
 
 func (c Catalog) checkRoutes(routes []Route, problems *[]Problem) {
 	type place struct{ database, path string }
@@ -80,7 +80,7 @@
 		if r.Timeout <= 0 {
 			report("timeout_ms", fmt.Sprint(r.Timeout), "must be above zero")
 		}
-		if !slices.Contains(policies, r.Policy) {
+		if !slices.Contains(readPolicies, r.Policy) {
 			report("policy", string(r.Policy), "is not known")
 		}
 		if other, ok := c.Routes[r.Database]; !ok || r.Path < other.Path {
--- a/internal/note/document_test.go
+++ b/internal/note/document_test.go
@@ -14,7 +14,7 @@
 	}
 }
 
-func TestDocumentStatesACatalog(t *testing.T) {
+func TestDocumentCatalogHoldsItsEntries(t *testing.T) {
 	c, problems := document().Catalog()
 	if len(problems) > 0 {
 		t.Fatal(problems)
@@ -24,8 +24,8 @@
 	}
 }
 
-// TestEveryFaultOfADocumentIsNamed puts one fault at a time into a document.
-func TestEveryFaultOfADocumentIsNamed(t *testing.T) {
+// TestDocumentCatalogReportsInvalidEntries puts one fault at a time into a document.
+func TestDocumentCatalogReportsInvalidEntries(t *testing.T) {
 	faults := map[string]func(d *Document){
 		"unknown service": func(d *Document) { d.Routes[0].Service = "gone" },
 		"same place": func(d *Document) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func TestTheRouteWithTheLeastPathServesADatabase(t *testing.T) {
+func TestDocumentCatalogTakesRouteWithLeastPath(t *testing.T) {
 	d := document()
 	d.Routes = append([]Route{{Name: "s", Database: "launch", Service: "logs", Path: "/deep", Policy: ReadPrimary, Timeout: 1}}, d.Routes...)
 	c, problems := d.Catalog()
--- a/internal/note/note_test.go
+++ b/internal/note/note_test.go
@@ -102,7 +102,7 @@
 	}
 }
 
-func TestKeysOfOneWorkspaceShareTheSalt(t *testing.T) {
+func TestApplyRefusesTwoSaltsInOneWorkspace(t *testing.T) {
 	n := firstNote()
 	other := strings.Replace(testVerifier, "c2FsdHNhbHRzYWx0c2FsdA==", "b3RoZXJzYWx0b3RoZXJzYQ==", 1)
 	n.Added.Keys = append(n.Added.Keys, Key{ID: "crew-2", Workspace: "crew", Verifier: other})
