--- a/internal/note/apply.go
+++ b/internal/note/apply.go
@@ -7,9 +7,9 @@
 	"slices"
 )
 
-// Apply returns the catalog as changed by n and the problems found. When any
-// problem is an error, the catalog is returned unchanged. The stamp of the
-// result is left to the caller.
+// Apply returns the catalog with the changes of n, and every problem found in n by
+// itself and against the catalog. If any problem is an error, c is returned
+// unchanged. c is never modified; the caller sets the stamp of the result.
 func (c Catalog) Apply(n Note) (Catalog, []Problem) {
 	problems := n.Check()
 	next := c.clone()
@@ -36,7 +36,8 @@
 func (s Service) id() string   { return s.Name }
 func (d Domain) id() string    { return d.Name }
 
-// clone copies the maps of the catalog; a nil map becomes an empty one.
+// clone copies the catalog and its maps. A nil map becomes an empty one, except
+// Routes, which stays nil.
 func (c Catalog) clone() Catalog {
 	return Catalog{
 		Stamp:      c.Stamp,
@@ -57,13 +58,14 @@
 	return maps.Clone(m)
 }
 
+// withdrawItems deletes names from m. A name that is not in m is a problem.
 func withdrawItems[T any](m map[string]T, names []string, path string, problems *[]Problem) {
 	for i, name := range names {
 		if _, ok := m[name]; !ok {
 			*problems = append(*problems, Problem{
 				Path:   fmt.Sprintf("%s[%d]", path, i),
 				Value:  name,
-				Reason: "is not in force",
+				Reason: "does not exist in the catalog",
 			})
 			continue
 		}
@@ -71,8 +73,10 @@
 	}
 }
 
-// put adds and changes the items of one kind. An added item must be new, a
-// changed one must be in force before the note, and no item may stand twice.
+// putItems writes the added and changed items of one kind into next. An added item
+// must not be in next, where the withdrawn items are already deleted. A changed item
+// must be in the catalog before the note and must not be withdrawn by it. No item may
+// appear twice in the note.
 func putItems[T any](
 	next, before map[string]T, added, changed []T, kind string, id func(T) string, problems *[]Problem,
 ) {
@@ -89,9 +93,9 @@
 		_, exists := next[name]
 		switch {
 		case seen[name]:
-			report("added", i, name, "stands twice in the note")
+			report("added", i, name, "appears twice in the note")
 		case exists:
-			report("added", i, name, "is already in force; use changed")
+			report("added", i, name, "already exists in the catalog; use changed")
 		}
 		seen[name] = true
 		next[name] = item
@@ -102,23 +106,24 @@
 		_, exists := next[name]
 		switch {
 		case seen[name]:
-			report("changed", i, name, "stands twice in the note")
+			report("changed", i, name, "appears twice in the note")
 		case !existed || !exists:
-			report("changed", i, name, "is not in force; use added")
+			report("changed", i, name, "does not exist in the catalog; use added")
 		}
 		seen[name] = true
 		next[name] = item
 	}
 }
 
-// checkReferences verifies that the names used by one entry are in force.
+// checkReferences checks what spans several entries: references to workspaces and
+// services, the salts of the keys of a workspace, and connections against slots.
 func (c Catalog) checkReferences() []Problem {
 	var problems []Problem
 	for _, id := range sortedNames(c.Keys) {
 		workspace := c.Keys[id].Workspace
 		if _, ok := c.Workspaces[workspace]; !ok {
 			problems = append(problems, Problem{
-				Path: "keys." + id + ".workspace", Value: workspace, Reason: "names no workspace in force",
+				Path: "keys." + id + ".workspace", Value: workspace, Reason: "refers to a workspace that is not in the catalog",
 			})
 		}
 	}
@@ -126,7 +131,7 @@
 		for _, service := range c.Workspaces[name].Services {
 			if _, ok := c.Services[service]; !ok {
 				problems = append(problems, Problem{
-					Path: "workspaces." + name + ".services", Value: service, Reason: "names no service in force",
+					Path: "workspaces." + name + ".services", Value: service, Reason: "refers to a service that is not in the catalog",
 				})
 			}
 		}
@@ -135,8 +140,8 @@
 	return append(problems, c.checkConnections()...)
 }
 
-// checkSalts verifies that the keys of a workspace share salt and iteration
-// count: the server sends both before it can know which key the caller holds.
+// checkSalts verifies that the keys of a workspace share salt and iteration count:
+// in SCRAM the server sends both before it learns which key the caller has.
 func (c Catalog) checkSalts() []Problem {
 	var problems []Problem
 	first := make(map[string]Verifier)
@@ -144,7 +149,7 @@
 		key := c.Keys[id]
 		v, err := ParseVerifier(key.Verifier)
 		if err != nil {
-			continue // reported by Check
+			continue // Check reports it
 		}
 		other, ok := first[key.Workspace]
 		if !ok {
@@ -154,14 +159,15 @@
 		if v.Iterations != other.Iterations || !bytes.Equal(v.Salt, other.Salt) {
 			problems = append(problems, Problem{
 				Path:   "keys." + id + ".verifier",
-				Reason: "salt and iterations differ from another key of the workspace",
+				Reason: "salt or iteration count differs from that of another key of the workspace",
 			})
 		}
 	}
 	return problems
 }
 
-// checkConnections warns about services with fewer connections than slots.
+// checkConnections returns a warning for each service that has fewer connections than
+// slots per endpoint.
 func (c Catalog) checkConnections() []Problem {
 	var problems []Problem
 	for _, name := range sortedNames(c.Services) {
@@ -170,7 +176,7 @@
 			problems = append(problems, Problem{
 				Path:    "services." + name + ".connections",
 				Value:   fmt.Sprint(s.Connections),
-				Reason:  fmt.Sprintf("is below the %d slots, which can then not all be used", s.Slots),
+				Reason:  fmt.Sprintf("is below the %d slots, so that not all slots can be used", s.Slots),
 				Warning: true,
 			})
 		}
@@ -178,7 +184,8 @@
 	return problems
 }
 
-// CheckEntryHosts warns about services with fewer connections than entry hosts.
+// CheckEntryHosts returns a warning for each service that has fewer connections per
+// endpoint than there are entry hosts.
 func (c Catalog) CheckEntryHosts(entryHosts int) []Problem {
 	var problems []Problem
 	for _, name := range sortedNames(c.Services) {
@@ -187,7 +194,7 @@
 			problems = append(problems, Problem{
 				Path:    "services." + name + ".connections",
 				Value:   fmt.Sprint(s.Connections),
-				Reason:  fmt.Sprintf("is below the %d entry hosts; some will have to wait for a connection", entryHosts),
+				Reason:  fmt.Sprintf("is below the %d entry hosts, so that some hosts wait for a connection", entryHosts),
 				Warning: true,
 			})
 		}
@@ -199,7 +206,7 @@
 	return slices.Sorted(maps.Keys(m))
 }
 
-// KeysOf returns the keys of a workspace in order of their ids.
+// KeysOf returns the keys of a workspace, sorted by id.
 func (c Catalog) KeysOf(workspace string) []Key {
 	var keys []Key
 	for _, id := range sortedNames(c.Keys) {
@@ -210,7 +217,8 @@
 	return keys
 }
 
-// Allows reports whether the workspace may use the service.
+// Allows reports whether the workspace may use the service. A workspace without a list
+// of services may use all of them.
 func (w Workspace) Allows(service string) bool {
 	return len(w.Services) == 0 || slices.Contains(w.Services, service)
 }
--- a/internal/note/check.go
+++ b/internal/note/check.go
@@ -13,14 +13,14 @@
 	"github.com/pkg/errors"
 )
 
-// Problem is one error of a release note.
+// Problem is one error or warning about a release note or a document.
 type Problem struct {
-	// Path locates the field, such as added.workspaces[0].rate.
+	// Path is the JSON path of the field, such as added.workspaces[0].rate.
 	Path string `json:"path"`
-	// Value is the refused value; secrets are left out.
+	// Value is the invalid value; it is empty for secrets.
 	Value  string `json:"value,omitempty"`
 	Reason string `json:"reason"`
-	// Warning marks a problem that does not keep the note from being applied.
+	// Warning marks a problem that does not prevent the note from being applied.
 	Warning bool `json:"warning,omitempty"`
 }
 
@@ -48,6 +48,7 @@
 
 var validate = newValidator()
 
+// newValidator returns a validator that reports fields by their JSON names.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	v.RegisterTagNameFunc(func(field reflect.StructField) string {
@@ -57,7 +58,8 @@
 	return v
 }
 
-// Check verifies each field of the note on its own, without the catalog.
+// Check validates each field of the note without reference to the catalog. The
+// problems are sorted by path.
 func (n Note) Check() []Problem {
 	var problems []Problem
 	var fields validator.ValidationErrors
@@ -69,7 +71,7 @@
 	problems = append(problems, checkKeys("added.keys", n.Added.Keys)...)
 	problems = append(problems, checkKeys("changed.keys", n.Changed.Keys)...)
 	if n.isEmpty() {
-		problems = append(problems, Problem{Path: "added", Reason: "the note changes nothing"})
+		problems = append(problems, Problem{Path: "added", Reason: "the note contains no changes"})
 	}
 	sortProblems(problems)
 	return problems
@@ -111,29 +113,30 @@
 	ServerKey  []byte
 }
 
-// Bounds of a verifier.
+// Limits of a verifier.
 const (
-	minIterations = 4096
+	minIterations = 4096 // lower bound of RFC 7677
 	maxIterations = 1_000_000
 	keyBytes      = 32 // length of a SHA-256 digest
 )
 
-// ParseVerifier decodes a verifier in PostgreSQL's form
-// SCRAM-SHA-256$ITERATIONS:SALT$STOREDKEY:SERVERKEY.
+// ParseVerifier decodes a verifier in PostgreSQL's format
+// SCRAM-SHA-256$ITERATIONS:SALT$STOREDKEY:SERVERKEY, where salt and keys are base64.
+// Its errors never contain the verifier.
 func ParseVerifier(text string) (Verifier, error) {
 	parts := strings.Split(text, "$")
 	if len(parts) != 3 || parts[0] != "SCRAM-SHA-256" {
-		return Verifier{}, errors.New("must have the form SCRAM-SHA-256$iterations:salt$stored:server")
+		return Verifier{}, errors.New("must have the format SCRAM-SHA-256$iterations:salt$stored:server")
 	}
-	rounds, salt, ok := strings.Cut(parts[1], ":")
+	iterations, salt, ok := strings.Cut(parts[1], ":")
 	stored, server, ok2 := strings.Cut(parts[2], ":")
 	if !ok || !ok2 {
-		return Verifier{}, errors.New("must have the form SCRAM-SHA-256$iterations:salt$stored:server")
+		return Verifier{}, errors.New("must have the format SCRAM-SHA-256$iterations:salt$stored:server")
 	}
 	var v Verifier
 	var err error
-	if v.Iterations, err = strconv.Atoi(rounds); err != nil || v.Iterations < minIterations || v.Iterations > maxIterations {
-		return Verifier{}, errors.Errorf("iterations must be from %d to %d", minIterations, maxIterations)
+	if v.Iterations, err = strconv.Atoi(iterations); err != nil || v.Iterations < minIterations || v.Iterations > maxIterations {
+		return Verifier{}, errors.Errorf("iteration count must be from %d to %d", minIterations, maxIterations)
 	}
 	if v.Salt, err = base64.StdEncoding.DecodeString(salt); err != nil || len(v.Salt) == 0 {
 		return Verifier{}, errors.New("salt must be base64")
@@ -147,6 +150,7 @@
 	return v, nil
 }
 
+// fieldProblem converts a validation error and omits the value of a secret.
 func fieldProblem(f validator.FieldError) Problem {
 	_, path, _ := strings.Cut(f.Namespace(), ".")
 	p := Problem{Path: path, Value: fmt.Sprint(f.Value()), Reason: fieldReason(f)}
@@ -174,10 +178,11 @@
 	return "must satisfy " + f.Tag()
 }
 
+// decodeProblem converts an error of the JSON decoder.
 func decodeProblem(err error) Problem {
-	var typed *json.UnmarshalTypeError
-	if errors.As(err, &typed) {
-		return Problem{Path: typed.Field, Value: typed.Value, Reason: "must be of type " + typed.Type.String()}
+	var typeErr *json.UnmarshalTypeError
+	if errors.As(err, &typeErr) {
+		return Problem{Path: typeErr.Field, Value: typeErr.Value, Reason: "must be of type " + typeErr.Type.String()}
 	}
 	return Problem{Reason: strings.TrimPrefix(err.Error(), "json: ")}
 }
--- a/internal/note/diff.go
+++ b/internal/note/diff.go
@@ -13,8 +13,8 @@
 	Op   string `json:"op"`
 	Kind string `json:"kind"`
 	Name string `json:"name"`
-	// Before and After are the JSON forms without secrets; one is empty for
-	// entries that are added or withdrawn.
+	// Before and After are the entry as JSON, with digests in place of secrets.
+	// Before is empty for an added entry, After for a withdrawn one.
 	Before string `json:"before,omitempty"`
 	After  string `json:"after,omitempty"`
 }
@@ -30,7 +30,8 @@
 	return fmt.Sprintf("~ %s %s %s -> %s", c.Kind, c.Name, c.Before, c.After)
 }
 
-// Diff lists what differs from a to b, ordered by kind and name.
+// Diff returns the changes from a to b: workspaces, keys, services and domains in that
+// order, each sorted by name. It does not compare routes.
 func Diff(a, b Catalog) []Change {
 	changes := diffMaps("workspace", a.Workspaces, b.Workspaces)
 	changes = append(changes, diffMaps("key", a.Keys, b.Keys)...)
@@ -61,7 +62,7 @@
 	return changes
 }
 
-// render returns the JSON form of an entry without its secrets.
+// redactedJSON encodes an entry as JSON, with digests in place of its secrets.
 func redactedJSON(v any) string {
 	data, err := json.Marshal(redact(v))
 	if err != nil {
@@ -70,6 +71,8 @@
 	return string(data)
 }
 
+// redact returns a copy of a key or service with digests in place of its secrets, and
+// any other entry as it is.
 func redact(v any) any {
 	switch item := v.(type) {
 	case Key:
@@ -82,7 +85,8 @@
 	return v
 }
 
-// fingerprint replaces a secret by a short digest, which shows that it changed.
+// fingerprint returns a short digest of a secret, so that a changed secret shows in a
+// diff.
 func fingerprint(secret string) string {
 	if secret == "" {
 		return ""
@@ -90,7 +94,8 @@
 	return "sha256:" + shortDigest(secret)
 }
 
-// Redacted returns a copy of the catalog without secrets, for display.
+// Redacted returns a copy of the catalog for display, with short digests in place of
+// secrets.
 func (c Catalog) Redacted() Catalog {
 	next := c.clone()
 	for id, k := range next.Keys {
--- a/internal/note/document.go
+++ b/internal/note/document.go
@@ -5,10 +5,10 @@
 	"slices"
 )
 
-// Document is a whole catalog as an operator states it, in place of the release
-// notes that lead to it. Domains are not part of it.
+// Document is a complete configuration that replaces the catalog, as an alternative to
+// a sequence of release notes. It has no failure domains.
 type Document struct {
-	// Number orders documents: the highest one is in force.
+	// Number orders documents: the one with the highest number is in force.
 	Number     uint64
 	Routes     []Route
 	Services   []Service
@@ -18,8 +18,8 @@
 	IdleTransaction int64
 }
 
-// Catalog returns the catalog that the document states, or every problem that
-// it has. A document with a problem is refused whole.
+// Catalog converts the document to a catalog and returns every problem found, sorted
+// by path. The catalog is valid only if there are none.
 func (d Document) Catalog() (Catalog, []Problem) {
 	var problems []Problem
 	c := Catalog{
@@ -33,14 +33,14 @@
 	c.checkRoutes(d.Routes, &problems)
 	for _, key := range d.Keys {
 		if _, ok := c.Workspaces[key.Workspace]; !ok {
-			problems = append(problems, Problem{Path: "keys." + key.ID, Value: key.Workspace, Reason: "names no workspace"})
+			problems = append(problems, Problem{Path: "keys." + key.ID, Value: key.Workspace, Reason: "refers to a workspace that is not in the document"})
 		}
 	}
 	sortProblems(problems)
 	return c, problems
 }
 
-// collect indexes items by name; no name may stand twice.
+// indexByName returns items keyed by name. An empty or repeated name is a problem.
 func indexByName[T any](items []T, kind string, id func(T) string, problems *[]Problem) map[string]T {
 	all := make(map[string]T, len(items))
 	for i, item := range items {
@@ -50,7 +50,7 @@
 			*problems = append(*problems, Problem{Path: path, Reason: "has no name"})
 		}
 		if _, ok := all[name]; ok {
-			*problems = append(*problems, Problem{Path: path, Value: name, Reason: "stands twice"})
+			*problems = append(*problems, Problem{Path: path, Value: name, Reason: "appears twice"})
 		}
 		all[name] = item
 	}
@@ -59,29 +59,31 @@
 
 var readPolicies = []ReadPolicy{ReadPrimary, ReadBounded, ReadOwnWrites}
 
+// checkRoutes validates the routes and adds them to c.Routes. Of several routes with one
+// database name, c.Routes holds the one with the least path.
 func (c Catalog) checkRoutes(routes []Route, problems *[]Problem) {
-	type place struct{ database, path string }
-	taken := make(map[place]bool, len(routes))
+	type routeKey struct{ database, path string }
+	seen := make(map[routeKey]bool, len(routes))
 	for i, r := range routes {
 		report := func(field, value, reason string) {
 			*problems = append(*problems, Problem{Path: fmt.Sprintf("routes[%d].%s", i, field), Value: value, Reason: reason})
 		}
-		at := place{r.Database, r.Path}
-		if taken[at] {
-			report("database", r.Database, "another route has this database and path")
+		key := routeKey{r.Database, r.Path}
+		if seen[key] {
+			report("database", r.Database, "another route has the same database and path")
 		}
-		taken[at] = true
+		seen[key] = true
 		if _, ok := c.Services[r.Service]; !ok {
-			report("service", r.Service, "names no service")
+			report("service", r.Service, "refers to a service that is not in the document")
 		}
 		if r.Database == "" {
-			report("database", "", "is empty")
+			report("database", "", "must be set")
 		}
 		if r.Timeout <= 0 {
-			report("timeout_ms", fmt.Sprint(r.Timeout), "must be above zero")
+			report("timeout_ms", fmt.Sprint(r.Timeout), "must be greater than zero")
 		}
 		if !slices.Contains(readPolicies, r.Policy) {
-			report("policy", string(r.Policy), "is not known")
+			report("policy", string(r.Policy), "must be one of primary, bounded, own_writes")
 		}
 		if other, ok := c.Routes[r.Database]; !ok || r.Path < other.Path {
 			c.Routes[r.Database] = r
--- a/internal/note/document_test.go
+++ b/internal/note/document_test.go
@@ -4,6 +4,7 @@
 	"testing"
 )
 
+// document returns a valid document.
 func document() Document {
 	return Document{
 		Number:     7,
@@ -24,11 +25,12 @@
 	}
 }
 
-// TestDocumentCatalogReportsInvalidEntries puts one fault at a time into a document.
+// TestDocumentCatalogReportsInvalidEntries makes one entry of a valid document invalid
+// per case. An invalid entry that goes unreported would be put in force.
 func TestDocumentCatalogReportsInvalidEntries(t *testing.T) {
-	faults := map[string]func(d *Document){
+	cases := map[string]func(d *Document){
 		"unknown service": func(d *Document) { d.Routes[0].Service = "gone" },
-		"same place": func(d *Document) {
+		"same database and path": func(d *Document) {
 			d.Routes = append(d.Routes, Route{Name: "s", Database: "launch", Service: "logs", Path: "/", Policy: ReadPrimary, Timeout: 1})
 		},
 		"no timeout":       func(d *Document) { d.Routes[0].Timeout = 0 },
@@ -39,22 +41,24 @@
 		"service twice":    func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
 		"nameless service": func(d *Document) { d.Services = append(d.Services, Service{}) },
 	}
-	for name, plant := range faults {
+	for name, invalidate := range cases {
 		t.Run(name, func(t *testing.T) {
 			d := document()
-			plant(&d)
+			invalidate(&d)
 			if _, problems := d.Catalog(); !HasErrors(problems) {
-				t.Error("the fault was not found")
+				t.Error("Catalog reported no error")
 			}
 		})
 	}
 }
 
+// TestDocumentCatalogTakesRouteWithLeastPath lists the route with the longer path first.
+// Statements carry no path, so the least path decides which route serves a database.
 func TestDocumentCatalogTakesRouteWithLeastPath(t *testing.T) {
 	d := document()
 	d.Routes = append([]Route{{Name: "s", Database: "launch", Service: "logs", Path: "/deep", Policy: ReadPrimary, Timeout: 1}}, d.Routes...)
 	c, problems := d.Catalog()
 	if HasErrors(problems) || c.Routes["launch"].Name != "r" {
-		t.Errorf("%v, route %q", problems, c.Routes["launch"].Name)
+		t.Errorf("problems %v, route %q, want r", problems, c.Routes["launch"].Name)
 	}
 }
--- a/internal/note/note_test.go
+++ b/internal/note/note_test.go
@@ -9,6 +9,7 @@
 const testVerifier = "SCRAM-SHA-256$4096:c2FsdHNhbHRzYWx0c2FsdA==$" +
 	"AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=:AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8="
 
+// firstNote returns a note that adds one entry of each kind to an empty catalog.
 func firstNote() Note {
 	return Note{
 		Number: 1,
@@ -39,7 +40,7 @@
 		t.Errorf("note not applied: %+v", next)
 	}
 	if c.Domains["osan"].Out || len(c.Keys) != 1 {
-		t.Errorf("the old catalog changed: %+v", c)
+		t.Errorf("Apply modified its receiver: %+v", c)
 	}
 }
 
@@ -102,12 +103,15 @@
 	}
 }
 
+// TestApplyRefusesTwoSaltsInOneWorkspace adds a second key with another salt. The server
+// sends one salt before it learns which key the caller has, so that callers with the
+// other key could not authenticate.
 func TestApplyRefusesTwoSaltsInOneWorkspace(t *testing.T) {
 	n := firstNote()
 	other := strings.Replace(testVerifier, "c2FsdHNhbHRzYWx0c2FsdA==", "b3RoZXJzYWx0b3RoZXJzYQ==", 1)
 	n.Added.Keys = append(n.Added.Keys, Key{ID: "crew-2", Workspace: "crew", Verifier: other})
 	if _, problems := (Catalog{}).Apply(n); !HasErrors(problems) {
-		t.Error("accepted two salts for one workspace")
+		t.Error("accepted two different salts in one workspace")
 	}
 }
 
--- a/internal/note/parse.go
+++ b/internal/note/parse.go
@@ -8,11 +8,11 @@
 	"io"
 )
 
-// MaxNoteBytes is the largest release note that Parse accepts.
+// MaxNoteBytes is the maximum size of an encoded release note in bytes.
 const MaxNoteBytes = 4 << 20
 
-// Parse decodes a release note and checks each field on its own. The problems
-// are sorted by path; the note is meaningful only when there are none.
+// Parse decodes a release note and validates each field without reference to a catalog.
+// The problems are sorted by path; the note is valid only if there are none.
 func Parse(data []byte) (Note, []Problem) {
 	n, problems := Decode(data)
 	if len(problems) > 0 {
@@ -21,8 +21,8 @@
 	return n, n.Check()
 }
 
-// Decode decodes a release note without checking its fields. Unknown fields and
-// text after the note are errors.
+// Decode decodes a release note without validating its fields. Unknown fields, trailing
+// data and more than MaxNoteBytes are errors.
 func Decode(data []byte) (Note, []Problem) {
 	if len(data) > MaxNoteBytes {
 		return Note{}, []Problem{{Path: "", Reason: "the note is larger than 4 MiB"}}
@@ -34,24 +34,25 @@
 		return Note{}, []Problem{decodeProblem(err)}
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return Note{}, []Problem{{Path: "", Reason: "text after the note"}}
+		return Note{}, []Problem{{Path: "", Reason: "unexpected data after the note"}}
 	}
 	return n, nil
 }
 
-// Digest returns the lower-case hexadecimal SHA-256 of the note's canonical
-// JSON, which does not depend on white space or the order of fields in the file.
+// Digest returns the lower-case hexadecimal SHA-256 of the note's canonical JSON, which
+// does not depend on white space or on the order of fields in the file.
 func Digest(n Note) string {
 	data, err := json.Marshal(n)
 	if err != nil {
-		// A Note holds only strings, numbers and slices; floats from JSON are finite.
+		// Cannot happen: a Note has only strings, booleans, slices and numbers, and
+		// JSON has no infinite or NaN numbers.
 		panic(err)
 	}
 	sum := sha256.Sum256(data)
 	return hex.EncodeToString(sum[:])
 }
 
-// shortDigestBytes is the length of the digests shown in place of secrets.
+// shortDigestBytes is the length in bytes of the digests shown in place of secrets.
 const shortDigestBytes = 6
 
 func shortDigest(text string) string {
