--- a/internal/admin/answer.go
+++ b/internal/admin/answer.go
@@ -10,7 +10,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// ErrorResponse is the body of an answer that is not a success.
+// ErrorResponse is the body of an error response.
 type ErrorResponse struct {
 	Code     result.Code    `json:"code"`
 	Name     string         `json:"name"`
@@ -18,8 +18,7 @@
 	Problems []note.Problem `json:"problems,omitempty"`
 }
 
-// httpStatus maps result codes to HTTP status codes. Codes that are missing
-// answer 503.
+// httpStatus maps result codes to HTTP status codes. All other codes map to 503.
 var httpStatus = map[result.Code]int{
 	result.NotAllowed:         http.StatusForbidden,
 	result.BadKey:             http.StatusUnauthorized,
@@ -33,7 +32,7 @@
 	result.DiskFull:           http.StatusInsufficientStorage,
 }
 
-// WriteJSON answers with a value.
+// WriteJSON sends a response with value as JSON.
 func WriteJSON(w http.ResponseWriter, status int, value any) {
 	data, err := json.Marshal(value)
 	if err != nil {
@@ -45,8 +44,8 @@
 	_, _ = w.Write(append(data, '\n'))
 }
 
-// WriteError answers with the result code of err. Errors without a code are
-// reported as NoQuorum, since no control host gave an answer.
+// WriteError sends an ErrorResponse with the result code of err. An error without a code
+// is reported as NoQuorum, since it means that no control host answered.
 func WriteError(w http.ResponseWriter, err error, problems ...note.Problem) {
 	var e *result.Error
 	if !errors.As(err, &e) {
--- a/internal/admin/notes.go
+++ b/internal/admin/notes.go
@@ -10,12 +10,12 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// NoteResponse is the answer to an accepted release note.
+// NoteResponse is the response to an accepted release note.
 type NoteResponse struct {
 	Stamp note.Stamp `json:"stamp"`
-	// Revision is the revision of the agreed state with the note in force.
+	// Revision is the revision of the agreed state in which the note is in force.
 	Revision uint64 `json:"revision"`
-	// Repeated tells that the note had been accepted before.
+	// Repeated reports whether the same note had been accepted before.
 	Repeated bool           `json:"repeated"`
 	Warnings []note.Problem `json:"warnings,omitempty"`
 }
@@ -28,7 +28,7 @@
 	}
 	n, problems := s.decodeNote(data)
 	if note.HasErrors(problems) {
-		WriteError(w, result.New(result.NoteInvalid, "the note has errors; nothing of it was applied"), problems...)
+		WriteError(w, result.New(result.NoteInvalid, "the release note has errors and was not applied"), problems...)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), proposeTimeout)
@@ -48,8 +48,9 @@
 	})
 }
 
-// check decodes a note and finds its errors. When a field is wrong, the errors
-// against the catalog in force are reported with it.
+// decodeNote decodes a note and validates its fields. If a field is invalid, the problems
+// that the note has against the catalog in force are returned as well, so that an
+// operator sees all of them at once.
 func (s *Server) decodeNote(data []byte) (note.Note, []note.Problem) {
 	n, problems := note.Decode(data)
 	if len(problems) > 0 {
@@ -63,11 +64,13 @@
 	return n, problems
 }
 
-// state returns the agreed state, or answers that there is none yet.
+// currentState returns the latest agreed state that the host received and sets a header
+// that reports whether its configuration lease is valid. If there is no state yet, it
+// sends an error response and returns nil.
 func (s *Server) currentState(w http.ResponseWriter) *agreed.State {
 	v := s.opts.View.Current()
 	if v.State == nil {
-		WriteError(w, result.New(result.NoConfigLease, "the host has not heard from the control hosts yet"))
+		WriteError(w, result.New(result.NoConfigLease, "the host has not received the agreed state from a control host yet"))
 		return nil
 	}
 	w.Header().Set("Galenabridge-Lease-Valid", boolText(v.Valid()))
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -1,12 +1,12 @@
-// Package admin serves a host's HTTP interface for operators, endpoints, the
-// balancer and the collector of metrics.
+// Package admin serves the HTTP interface of a host for operators, endpoints, load
+// balancers and Prometheus.
 //
-//	POST /v1/notes          accept a release note
+//	POST /v1/notes          apply a release note
 //	GET  /v1/notes          the stamps of accepted notes, newest last
 //	GET  /v1/notes/current  the catalog in force, without secrets
-//	GET  /v1/status         hosts, groups and endpoints as the leader sees them
+//	GET  /v1/status         hosts, groups and endpoints as reported by the leader
 //	POST /v1/announce       announcements of endpoints
-//	GET  /healthz           200 while the host accepts callers, else 503
+//	GET  /healthz           200 while the host accepts callers, otherwise 503
 //	GET  /metrics           metrics in the Prometheus text format
 //
 // Errors are JSON objects with a result code; see ErrorResponse.
@@ -32,36 +32,37 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Limits of a request.
+// Timeouts of a request.
 const (
 	headerTimeout = 5 * time.Second
 	readTimeout   = 30 * time.Second
 	idleTimeout   = 2 * time.Minute
-	// proposeTimeout bounds the wait for the control hosts.
+	// proposeTimeout limits the wait for the control hosts to commit a note.
 	proposeTimeout = 10 * time.Second
 	statusTimeout  = 3 * time.Second
 )
 
-// ControlClient reaches the control hosts. *control.Subscriber implements it.
+// ControlClient sends requests to the control hosts. *control.Subscriber implements it.
 type ControlClient interface {
 	Propose(ctx context.Context, c agreed.Command) (agreed.Outcome, error)
 	Status(ctx context.Context) (control.Status, error)
 }
 
-// Options configure a Server.
+// Options configures a Server.
 type Options struct {
 	Listen string
-	// Token authenticates operators; empty allows requests from loopback
-	// addresses only.
+	// Token is the bearer token of operators; if it is empty, only requests from
+	// loopback addresses are allowed.
 	Token   string
 	Control ControlClient
 	View    view.Source
-	// Announce takes announcements of endpoints.
+	// Announce handles announcements of endpoints; nil serves none.
 	Announce http.Handler
-	// Accepting reports whether the host accepts callers.
+	// Accepting reports whether the host accepts callers; nil means that it does not.
 	Accepting func() bool
-	Gatherer  prometheus.Gatherer
-	Logger    *log.Logger
+	// Gatherer supplies the metrics; nil serves none.
+	Gatherer prometheus.Gatherer
+	Logger   *log.Logger // nil means log.Default()
 }
 
 // Server is the admin interface of one host.
@@ -70,7 +71,7 @@
 	listener net.Listener
 }
 
-// New binds the listener.
+// New returns a server that listens on opts.Listen. Run serves requests.
 func New(opts Options) (*Server, error) {
 	l, err := net.Listen("tcp", opts.Listen)
 	if err != nil {
@@ -85,7 +86,7 @@
 // Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// Run serves until ctx ends.
+// Run serves requests until ctx ends, then closes all connections.
 func (s *Server) Run(ctx context.Context) error {
 	server := &http.Server{
 		Handler:           s.Handler(),
@@ -102,7 +103,7 @@
 	return errors.Wrap(err, "serve operators")
 }
 
-// Handler returns the routes of the interface.
+// Handler returns the handler of all routes. Other routes are UnsupportedFeature errors.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/notes", s.operatorsOnly(s.postNote))
@@ -122,8 +123,7 @@
 	return mux
 }
 
-// operatorsOnly lets requests with the token through; without a token set,
-// those from loopback addresses.
+// operatorsOnly passes authenticated requests to next.
 func (s *Server) operatorsOnly(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := s.authenticate(r); err != nil {
@@ -134,17 +134,19 @@
 	})
 }
 
+// authenticate checks the bearer token in constant time. If no token is set, it accepts
+// requests from loopback addresses only.
 func (s *Server) authenticate(r *http.Request) error {
 	if s.opts.Token == "" {
 		if isLoopback(r.RemoteAddr) {
 			return nil
 		}
-		return result.New(result.NotAllowed, "no token is set: requests from loopback addresses only")
+		return result.New(result.NotAllowed, "no token is configured, so only requests from loopback addresses are allowed")
 	}
 	given, ok := strings.CutPrefix(r.Header.Get("Authorization"), "Bearer ")
 	want, got := sha256.Sum256([]byte(s.opts.Token)), sha256.Sum256([]byte(given))
 	if !ok || subtle.ConstantTimeCompare(want[:], got[:]) != 1 {
-		return result.New(result.BadKey, "missing or wrong token")
+		return result.New(result.BadKey, "missing or invalid token")
 	}
 	return nil
 }
@@ -158,7 +160,7 @@
 	return ip != nil && ip.IsLoopback()
 }
 
-// health answers the balancer.
+// getHealth serves the health check of load balancers.
 func (s *Server) getHealth(w http.ResponseWriter, _ *http.Request) {
 	if s.opts.Accepting != nil && s.opts.Accepting() {
 		WriteJSON(w, http.StatusOK, Health{Accepting: true})
@@ -167,7 +169,7 @@
 	WriteJSON(w, http.StatusServiceUnavailable, Health{})
 }
 
-// Health is the answer to the balancer.
+// Health is the response to a health check.
 type Health struct {
 	Accepting bool `json:"accepting"`
 }
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -17,7 +17,7 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// stateFleet applies commands to a state of its own.
+// fakeControl applies commands to a local state. Its status is always unavailable.
 type fakeControl struct {
 	views *view.Publisher
 	state *agreed.State
@@ -37,9 +37,10 @@
 }
 
 func (f *fakeControl) Status(context.Context) (control.Status, error) {
-	return control.Status{}, result.New(result.NoQuorum, "nobody answers")
+	return control.Status{}, result.New(result.NoQuorum, "no control host answers")
 }
 
+// serve passes a request from another host to s and returns the status code and body.
 func serve(s *Server, method, path, body, token string) (int, string) {
 	w := httptest.NewRecorder()
 	r := httptest.NewRequest(method, path, strings.NewReader(body))
@@ -62,6 +63,8 @@
 	return &Server{opts: Options{Token: token, Control: f, View: f.views, Accepting: func() bool { return accepting }, Logger: discardLogger()}}
 }
 
+// TestPostNoteRepeatIsAcceptedOnce posts the same note twice, as an operator does after a
+// lost response. The second response must be marked as repeated.
 func TestPostNoteRepeatIsAcceptedOnce(t *testing.T) {
 	s := newServer(t)
 	for _, repeated := range []bool{false, true} {
@@ -81,6 +84,8 @@
 	}
 }
 
+// TestErrorResponsesCarryResultCodes checks the HTTP status and the result code of each
+// kind of error.
 func TestErrorResponsesCarryResultCodes(t *testing.T) {
 	s := newServer(t)
 	serve(s, "POST", "/v1/notes", firstNote, token)
@@ -110,7 +115,7 @@
 	s := newServer(t)
 	s.opts.Token = ""
 	if status, body := serve(s, "GET", "/v1/notes", "", ""); status != http.StatusForbidden {
-		t.Errorf("from afar: %d %s", status, body)
+		t.Errorf("from another host: %d %s", status, body)
 	}
 	r := httptest.NewRequest("GET", "/v1/notes", nil)
 	r.RemoteAddr = "127.0.0.1:99"
@@ -134,8 +139,8 @@
 
 func discardLogger() *log.Logger { return log.New(io.Discard) }
 
-// TestDecodeNoteReportsFieldAndReferenceErrors sends a note with a wrong field that
-// also withdraws what is not in force.
+// TestDecodeNoteReportsFieldAndReferenceErrors decodes a note with an invalid field that
+// also withdraws a key that does not exist. Both problems must be reported at once.
 func TestDecodeNoteReportsFieldAndReferenceErrors(t *testing.T) {
 	box := view.NewPublisher()
 	box.Publish(view.View{State: agreed.New()})
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,6 +1,6 @@
-// Package config defines the settings file of a host: its JSON schema, the
-// defaults and the checks. Settings hold what differs between hosts; what is
-// common to the fleet comes from release notes.
+// Package config defines the settings file of a host: its JSON schema, defaults and
+// validation. Settings are specific to a host; configuration that is common to the fleet
+// comes from release notes.
 package config
 
 import (
@@ -19,13 +19,14 @@
 
 // Settings are the settings of one host.
 type Settings struct {
-	// Host is the identity of the host, unique in the fleet.
+	// Host is the identity of the host, unique in the fleet. With Seeds it defaults to
+	// the peer address.
 	Host string `json:"host" validate:"required,max=63"`
-	// Fleet names the fleet; hosts of other fleets are refused.
+	// Fleet is the name of the fleet; connections from hosts of other fleets are refused.
 	Fleet string `json:"fleet" validate:"required,max=63"`
-	// Domain is the failure domain that the host stands in.
+	// Domain is the failure domain of the host.
 	Domain string `json:"domain" validate:"required,max=63"`
-	// FleetSecret authenticates the hosts of a fleet to each other.
+	// FleetSecret is the shared secret that authenticates hosts of the fleet to each other.
 	FleetSecret string `json:"fleet_secret" validate:"required,min=16"`
 
 	Peer    Peer     `json:"peer"`
@@ -34,9 +35,9 @@
 	Control *Control `json:"control,omitempty"`
 	// Controls lists the control hosts by identity and peer address.
 	Controls []ControlHost `json:"controls,omitempty" validate:"required_without=Seeds,dive"`
-	// Seeds are peer addresses of some control hosts, in place of Controls: every
-	// control host that asks is then taken in, and the identity of a host is its
-	// peer address.
+	// Seeds are the peer addresses of some control hosts, as an alternative to Controls:
+	// every control host that requests membership is then admitted, and the identity of
+	// a host is its peer address.
 	Seeds []string `json:"seeds,omitempty" validate:"omitempty,dive,ipport"`
 	Log   Log      `json:"log"`
 }
@@ -49,12 +50,13 @@
 	TLS       *TLS   `json:"tls,omitempty"`
 }
 
-// Admin holds the settings for operators, announcements, health and metrics.
+// Admin holds the settings of the HTTP interface for operators, announcements, health
+// checks and metrics.
 type Admin struct {
-	// Listen may be empty where another interface serves operators.
+	// Listen may be empty if another interface serves operators.
 	Listen string `json:"listen" validate:"omitempty,ipport"`
-	// Token authenticates operators who post release notes; empty allows
-	// requests from loopback addresses only.
+	// Token is the bearer token of operators; if it is empty, only requests from
+	// loopback addresses are allowed.
 	Token string `json:"token,omitempty" validate:"omitempty,min=16"`
 }
 
@@ -62,26 +64,26 @@
 type Entry struct {
 	Listen string `json:"listen" validate:"required,ipport"`
 	TLS    *TLS   `json:"tls,omitempty"`
-	// RequireTLS refuses callers that do not use TLS.
+	// RequireTLS refuses connections without TLS.
 	RequireTLS bool `json:"require_tls,omitempty"`
-	// MaxMessage is the largest message accepted from a caller, in bytes.
+	// MaxMessage is the maximum size of a message from a caller in bytes.
 	MaxMessage int `json:"max_message,omitempty" validate:"gte=0"`
-	// DefaultDeadline bounds the wait of a request that names no deadline.
+	// DefaultDeadline limits the wait of a request that sets no deadline.
 	DefaultDeadline Duration `json:"default_deadline,omitempty"`
-	// DrainTimeout bounds a graceful shutdown.
+	// DrainTimeout limits a graceful shutdown.
 	DrainTimeout Duration `json:"drain_timeout,omitempty"`
 }
 
-// Control holds the settings of the role that keeps the agreed state.
+// Control holds the settings of the role that replicates the agreed state by consensus.
 type Control struct {
-	// DataDir is the folder for the consensus log and snapshots.
+	// DataDir is the directory of the consensus log and snapshots.
 	DataDir string `json:"data_dir" validate:"required"`
-	// Bootstrap founds a new fleet from the control hosts listed in Controls.
-	// It is ignored when the data folder already holds a log.
+	// Bootstrap creates a new fleet from the control hosts listed in Controls. It is
+	// ignored if DataDir already contains a log.
 	Bootstrap bool `json:"bootstrap,omitempty"`
 }
 
-// SeedHosts returns the control hosts that the seeds name.
+// SeedHosts returns a voting control host for each seed, with its address as identity.
 func SeedHosts(seeds []string) []ControlHost {
 	hosts := make([]ControlHost, 0, len(seeds))
 	for _, addr := range seeds {
@@ -90,28 +92,28 @@
 	return hosts
 }
 
-// ControlHost names a control host.
+// ControlHost is the identity and peer address of a control host.
 type ControlHost struct {
 	Host string `json:"host" validate:"required,max=63"`
 	Addr string `json:"addr" validate:"required,ipport"`
-	// Voter tells whether the host votes; the others relay.
+	// Voter reports whether the host votes; the others are relays only.
 	Voter bool `json:"voter"`
 }
 
-// TLS names the files of a certificate.
+// TLS holds the paths of PEM files.
 type TLS struct {
 	Cert string `json:"cert" validate:"required"`
 	Key  string `json:"key" validate:"required"`
-	// CA verifies peers; it is required for peers and unused for callers.
+	// CA verifies the certificates of peers. It is required in Peer and unused in Entry.
 	CA string `json:"ca,omitempty"`
 }
 
-// Log holds the settings for logs.
+// Log holds the settings of the log.
 type Log struct {
 	Level string `json:"level,omitempty" validate:"omitempty,oneof=debug info warn error"`
 }
 
-// Duration is a time.Duration written as a string such as "250ms".
+// Duration is a time.Duration that is encoded in JSON as a string such as "250ms".
 type Duration time.Duration
 
 // MarshalJSON implements json.Marshaler.
@@ -123,7 +125,7 @@
 func (d *Duration) UnmarshalJSON(data []byte) error {
 	var text string
 	if err := json.Unmarshal(data, &text); err != nil {
-		return errors.New("a duration is a string such as \"250ms\"")
+		return errors.New("duration must be a string such as \"250ms\"")
 	}
 	parsed, err := time.ParseDuration(text)
 	if err != nil {
@@ -133,14 +135,14 @@
 	return nil
 }
 
-// Defaults for settings that are left out.
+// Defaults of optional settings.
 const (
 	DefaultMaxMessage   = 16 << 20 // bytes
 	DefaultDeadline     = Duration(15 * time.Second)
 	DefaultDrainTimeout = Duration(30 * time.Second)
 )
 
-// Load reads, completes and checks the settings file at path.
+// Load reads the settings file at path, sets defaults and validates it.
 func Load(path string) (*Settings, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -149,7 +151,8 @@
 	return Parse(data)
 }
 
-// Parse decodes, completes and checks settings. Unknown fields are errors.
+// Parse decodes settings, sets defaults and validates them. Unknown fields and trailing
+// data are errors.
 func Parse(data []byte) (*Settings, error) {
 	var s Settings
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -158,7 +161,7 @@
 		return nil, errors.Wrap(err, "settings")
 	}
 	if _, err := dec.Token(); err != io.EOF {
-		return nil, errors.New("settings: text after the JSON object")
+		return nil, errors.New("settings: unexpected data after the JSON object")
 	}
 	if err := s.Complete(); err != nil {
 		return nil, err
@@ -166,7 +169,7 @@
 	return &s, nil
 }
 
-// Complete sets the defaults of what was left out and checks the settings.
+// Complete sets the defaults of missing settings and validates the result.
 func (s *Settings) Complete() error {
 	s.setDefaults()
 	return s.Check()
@@ -198,6 +201,7 @@
 
 var validate = newValidator()
 
+// newValidator returns a validator with the rule ipport: an IP address and a port.
 func newValidator() *validator.Validate {
 	v := validator.New(validator.WithRequiredStructEnabled())
 	must(v.RegisterValidation("ipport", func(fl validator.FieldLevel) bool {
@@ -214,7 +218,7 @@
 	}
 }
 
-// Check reports every error of the settings at once.
+// Check validates the settings and returns one error that lists every problem.
 func (s *Settings) Check() error {
 	var problems []string
 	var fields validator.ValidationErrors
@@ -230,10 +234,12 @@
 	return errors.Errorf("settings: %s", strings.Join(problems, "; "))
 }
 
+// checkRoles checks that the host has a role and the fleet a voting control host. With
+// seeds, the list of control hosts is not checked.
 func (s *Settings) checkRoles() []string {
 	var problems []string
 	if s.Entry == nil && s.Control == nil {
-		problems = append(problems, "entry, control: a host has at least one role")
+		problems = append(problems, "entry, control: a host needs at least one role")
 	}
 	voters := 0
 	listed := false
@@ -247,7 +253,7 @@
 		return append(problems, s.checkTLS()...)
 	}
 	if voters == 0 {
-		problems = append(problems, "controls: at least one control host votes")
+		problems = append(problems, "controls: at least one control host must be a voter")
 	}
 	if s.Control != nil && !listed {
 		problems = append(problems, fmt.Sprintf("controls: control host %q is not listed", s.Host))
@@ -255,7 +261,7 @@
 	return append(problems, s.checkTLS()...)
 }
 
-// checkEntry checks what depends on several settings of callers and peers.
+// checkTLS checks the certificates that other settings require.
 func (s *Settings) checkTLS() []string {
 	var problems []string
 	if s.Entry != nil && s.Entry.RequireTLS && s.Entry.TLS == nil {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,21 +28,21 @@
 	}
 	_, err = Parse(data)
 	if err == nil {
-		t.Fatal("accepted wrong settings")
+		t.Fatal("accepted invalid settings")
 	}
 	for _, want := range []string{"host:", "peer.listen: localhost:1", "fleet_secret:", "controls[1].addr: nowhere"} {
 		if !strings.Contains(err.Error(), want) {
-			t.Errorf("%q does not name %q", err, want)
+			t.Errorf("error %q does not contain %q", err, want)
 		}
 	}
 	if strings.Contains(err.Error(), "short") {
-		t.Error("the error shows the fleet secret")
+		t.Error("error contains the fleet secret")
 	}
 }
 
 func TestParseRefusesUnknownFields(t *testing.T) {
 	if _, err := Parse([]byte(`{"host":"a","colour":"red"}`)); err == nil || !strings.Contains(err.Error(), "colour") {
-		t.Errorf("got %v", err)
+		t.Errorf("got error %v, want one that names the field", err)
 	}
 }
 
@@ -55,7 +55,7 @@
 	f.Fuzz(func(t *testing.T, data []byte) {
 		s, err := Parse(data)
 		if err == nil && s.Check() != nil {
-			t.Error("accepted settings that fail their own check")
+			t.Error("Parse accepted settings that Check refuses")
 		}
 	})
 }
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -17,7 +17,8 @@
 	return name
 }
 
-// describe formats a field error as path, value and reason.
+// describe formats a field error as path, value and violated rule. The value of a secret
+// or token is left out.
 func describe(f validator.FieldError) string {
 	_, path, _ := strings.Cut(f.Namespace(), ".")
 	reason := f.Tag()
--- a/internal/config/example.go
+++ b/internal/config/example.go
@@ -1,7 +1,7 @@
 package config
 
-// Example returns settings of a host that has both roles. The fleet secret
-// must be replaced before use.
+// Example returns valid settings of a host with both roles. The fleet secret is a
+// placeholder that must be replaced before use.
 func Example() *Settings {
 	s := &Settings{
 		Host:        "osan-1",
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -1,5 +1,5 @@
-// Package dev runs a whole system on loopback in one process: a control host,
-// two entry hosts and one database group of three stand-in endpoints.
+// Package dev runs a complete system for development on loopback in one process: a
+// control host, two entry hosts and one database group of three stand-in endpoints.
 package dev
 
 import (
@@ -18,7 +18,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// Names of the parts of the system.
+// Service and Workspace are the names of the only service and the only workspace.
 const (
 	Service   = "launchlog"
 	Workspace = "crew"
@@ -31,19 +31,19 @@
 	database    = "ledger"
 )
 
-// readyTimeout bounds the wait for the first answer through both entry hosts.
+// readyTimeout limits the time until a query succeeds through both entry hosts.
 const readyTimeout = 60 * time.Second
 
-// Options configure the system. Empty addresses let the system choose a port.
+// Options configures the system. For an empty address, a free port on loopback is used.
 type Options struct {
-	// Listen and Listen2 are the callers' addresses of the two entry hosts.
+	// Listen and Listen2 are the addresses on which the two entry hosts serve callers.
 	Listen  string
 	Listen2 string
-	// Admin is the operators' address of the control host.
+	// Admin is the admin address of the control host.
 	Admin string
-	// ReplayLag is the lag of the replicas.
+	// ReplayLag is the time from the flush of a transaction on a replica to its replay.
 	ReplayLag time.Duration
-	// Ready receives the line that tells the addresses.
+	// Ready receives one line with the URLs of the hosts once the system is ready.
 	Ready  io.Writer
 	Logger *log.Logger
 }
@@ -51,14 +51,15 @@
 // system is a running system.
 type system struct {
 	opts    Options
-	dataDir string
+	dataDir string // temporary, removed when Run returns
 	control *bridge.Host
 	entries []*bridge.Host
 	group   *standin.Group
-	key     string
+	key     string // key of Workspace, set by firstNote
 }
 
-// Run runs the system until ctx ends, then shuts it down gracefully.
+// Run runs the system until ctx ends and then shuts it down gracefully. It returns nil
+// after a shutdown by ctx.
 func Run(ctx context.Context, opts Options) error {
 	s, err := start(opts)
 	if err != nil {
@@ -82,11 +83,11 @@
 	return err
 }
 
-// start opens all listeners.
+// start creates the hosts and endpoints and opens their listeners.
 func start(opts Options) (*system, error) {
 	dir, err := os.MkdirTemp("", "galenabridge-dev-")
 	if err != nil {
-		return nil, errors.Wrap(err, "data folder")
+		return nil, errors.Wrap(err, "create data folder")
 	}
 	s := &system{opts: opts, dataDir: dir}
 	if err := s.open(); err != nil {
@@ -118,8 +119,8 @@
 	return err
 }
 
-// addHosts adds the parts to the group. The endpoints outlive the hosts, so that
-// a graceful shutdown can end the requests in progress.
+// addHosts adds the hosts and endpoints to the group. The endpoints stop after the hosts,
+// so that requests in progress can complete during a graceful shutdown.
 func (s *system) addHosts(ctx context.Context, group *run.Group) {
 	endpointCtx, stopEndpoints := context.WithCancel(context.WithoutCancel(ctx))
 	hostCtx, stopHosts := context.WithCancel(ctx)
@@ -132,7 +133,8 @@
 	}, func(error) { stopHosts() })
 }
 
-// runHosts runs the hosts until ctx ends. The last one stops after the others.
+// runHosts runs the hosts until ctx ends. The last one is stopped after the others have
+// returned.
 func runHosts(ctx context.Context, hosts []*bridge.Host) error {
 	last := len(hosts) - 1
 	lastCtx, stopLast := context.WithCancel(context.WithoutCancel(ctx))
@@ -152,17 +154,17 @@
 	return err
 }
 
-// prepare applies the first release note and prints the ready line once both
-// entry hosts answer.
+// prepare applies the first release note and writes the ready line once a query succeeds
+// through each entry host.
 func (s *system) prepare(ctx context.Context) error {
 	ctx, cancel := context.WithTimeout(ctx, readyTimeout)
 	defer cancel()
 	if err := s.applyFirstNote(ctx); err != nil {
-		return errors.Wrap(err, "first release note")
+		return errors.Wrap(err, "apply first release note")
 	}
 	for _, host := range s.entries {
 		if err := waitForQuery(ctx, s.url(host)); err != nil {
-			return errors.Wrap(err, "first answer")
+			return errors.Wrap(err, "first query")
 		}
 	}
 	_, err := fmt.Fprintf(s.opts.Ready, "ready url=%s url2=%s admin=http://%s\n",
@@ -174,9 +176,10 @@
 	return fmt.Sprintf("postgres://%s:%s@%s/%s?sslmode=disable", Workspace, s.key, h.CallerAddr(), Service)
 }
 
-// pollInterval is the pause between attempts while the system starts.
+// pollInterval is the time between attempts while the system starts.
 const pollInterval = 50 * time.Millisecond
 
+// waitForQuery waits until a query through url succeeds or ctx ends.
 func waitForQuery(ctx context.Context, url string) error {
 	for {
 		err := queryRecords(ctx, url)
@@ -185,7 +188,7 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "no answer")
+			return errors.Wrap(err, "query not answered in time")
 		case <-time.After(pollInterval):
 		}
 	}
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -19,7 +19,8 @@
 	crossHostWrites = 50
 )
 
-// startSystem runs a system until the test ends and returns its two addresses.
+// startSystem runs a system until the test ends and returns the database URLs of its
+// two entry hosts.
 func startSystem(t *testing.T) (url, url2 string) {
 	t.Helper()
 	reader, writer := io.Pipe()
@@ -61,8 +62,9 @@
 	return conn
 }
 
-// TestReadSeesWriteOfOtherHost writes through one entry host and reads through
-// the other, on a connection opened before the write and on a new one.
+// TestReadSeesWriteOfOtherHost writes through one entry host and reads through the other,
+// on a connection opened before the write and on a new one. It guards against a stale
+// read from a replica, which replays the write only after testLag.
 func TestReadSeesWriteOfOtherHost(t *testing.T) {
 	url, url2 := startSystem(t)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -82,6 +84,7 @@
 	}
 }
 
+// checkBody fails the test unless the record has the body that was written.
 func checkBody(ctx context.Context, t *testing.T, conn *pgx.Conn, id string) {
 	t.Helper()
 	var body string
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -18,7 +18,7 @@
 
 const (
 	loopbackAnyPort = "127.0.0.1:0"
-	// devSecret is no secret: the system listens on loopback only.
+	// fleetSecret need not be secret, since the system listens on loopback only.
 	fleetSecret = "loopback-development-fleet"
 )
 
@@ -57,7 +57,8 @@
 	return settings
 }
 
-// firstNote describes the system to itself.
+// firstNote returns the release note with the workspace, its key, the service and the
+// failure domains. It generates the key and stores it in s.key.
 func (s *system) firstNote() note.Note {
 	s.key = scramauth.NewKey()
 	n := note.Note{Number: 1, Title: "development system"}
@@ -75,7 +76,7 @@
 	return n
 }
 
-// applyFirstNote posts the note until the control host has accepted it.
+// applyFirstNote posts the first note repeatedly until the control host has accepted it.
 func (s *system) applyFirstNote(ctx context.Context) error {
 	body, err := json.Marshal(s.firstNote())
 	if err != nil {
