--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -1,5 +1,5 @@
-// Package cli implements the command line of galenabridge: the daemon commands
-// and the operators' commands, which talk to the admin address of any host.
+// Package cli implements the command line of galenabridge: commands that run a daemon,
+// offline tools, and operators' commands, which call the admin interface of any host.
 package cli
 
 import (
@@ -13,13 +13,13 @@
 // Exit codes of the command line.
 const (
 	ExitOK          = 0
-	ExitFailure     = 1 // the command failed for a reason named on stderr
-	ExitUsage       = 2 // wrong arguments or settings
-	ExitRefused     = 3 // the system refused the request; see the result code
-	ExitUnreachable = 4 // no host answered; the outcome may be unknown
+	ExitFailure     = 1 // the command failed; stderr has the reason
+	ExitUsage       = 2 // invalid arguments or settings
+	ExitRefused     = 3 // a host refused the request or a release note is invalid
+	ExitUnreachable = 4 // no host answered; a change may have been applied or not
 )
 
-// exitError carries an exit code with its cause.
+// exitError is an error with an exit code.
 type exitError struct {
 	code  int
 	cause error
@@ -38,16 +38,17 @@
 	Stdin  io.Reader
 	Stdout io.Writer
 	Stderr io.Writer
-	// Version is the version of the build.
+	// Version is the version that the version command prints.
 	Version string
 }
 
-// command is a leaf of the command line.
+// command is a command that can be run, in contrast to a commandGroup.
 type command interface {
 	run(app *App) error
 }
 
-// Main runs the command named by args and returns the exit code.
+// Main runs the command that args select and returns the exit code. Errors are written
+// to Stderr.
 func (a *App) Main(args []string) int {
 	parser := flags.NewNamedParser("galenabridge", flags.HelpFlag|flags.PassDoubleDash)
 	parser.ShortDescription = "database proxy with session consistency"
@@ -65,7 +66,7 @@
 	return a.exitCode(commands[activeLeaf(parser)].run(a))
 }
 
-// activeLeaf returns the innermost command that the arguments named.
+// activeLeaf returns the innermost command that the parsed arguments select.
 func activeLeaf(parser *flags.Parser) *flags.Command {
 	leaf := parser.Active
 	for leaf.Active != nil {
@@ -74,6 +75,7 @@
 	return leaf
 }
 
+// exitCode writes an error, or the requested help, and returns the exit code.
 func (a *App) exitCode(err error) int {
 	if err == nil {
 		return ExitOK
@@ -95,13 +97,13 @@
 	return ExitFailure
 }
 
-// entry describes one command for registration.
+// commandSpec describes a command for registration.
 type commandSpec struct {
 	name, short, long string
 	cmd               command
 }
 
-// group is a command that only holds other commands.
+// commandGroup is a command that only has subcommands.
 type commandGroup struct {
 	name, short string
 	commands    []commandSpec
@@ -109,11 +111,11 @@
 
 func topLevel() []commandSpec {
 	return []commandSpec{
-		{"serve", "run a host", "Run a host with the roles that its settings name.", &serveCommand{}},
-		{"dev", "run a whole system", "Run control, two entry hosts and one database group of three stand-in endpoints on loopback.", &devCommand{}},
+		{"serve", "run a host", "Run a host with the roles in its settings.", &serveCommand{}},
+		{"dev", "run a complete development system", "Run a control host, two entry hosts and one database group of three stand-in endpoints on loopback.", &devCommand{}},
 		{"standin", "run a stand-in endpoint", "Run one stand-in database endpoint.", &standinCommand{}},
 		{"status", "show the state of the fleet", "Show hosts, leases, groups and endpoints.", &statusCommand{}},
-		{"explain", "explain a request from logs", "Join the log lines of several hosts about one request, and the changes of belief around it, into one account in order.", &explainCommand{}},
+		{"explain", "explain a request from logs", "Merge the log lines of several hosts about one request, and the state changes around it, in order of time.", &explainCommand{}},
 		{"version", "print the version", "Print the version of this build.", &versionCommand{}},
 	}
 }
@@ -122,13 +124,13 @@
 	return []commandGroup{
 		{"note", "work with release notes", []commandSpec{
 			{"check", "check a release note", "Check a release note; with --admin also against the catalog in force.", &noteCheckCommand{}},
-			{"apply", "apply a release note", "Apply a release note. Sending the same note again is safe.", &noteApplyCommand{}},
+			{"apply", "apply a release note", "Apply a release note. Applying the same note again is safe.", &noteApplyCommand{}},
 			{"show", "show the catalog in force", "Show the catalog in force, without secrets.", &noteShowCommand{}},
 			{"diff", "show what a note would change", "Show what a release note would change in the catalog in force.", &noteDiffCommand{}},
 			{"history", "list the accepted notes", "List the accepted release notes.", &noteHistoryCommand{}},
 		}},
 		{"key", "work with keys", []commandSpec{
-			{"new", "make a key", "Print a new key and its verifier. The key is shown only once.", &keyNewCommand{}},
+			{"new", "generate a key", "Generate a key and print it with its verifier. The key is not stored.", &keyNewCommand{}},
 		}},
 		{"config", "work with settings", []commandSpec{
 			{"check", "check a settings file", "Check a settings file and report every error.", &configCheckCommand{}},
@@ -141,7 +143,7 @@
 	}
 }
 
-// register adds all commands to parser and returns the leaves.
+// register adds all commands to parser and returns those that can be run.
 func register(parser *flags.Parser) (map[*flags.Command]command, error) {
 	leaves := make(map[*flags.Command]command)
 	add := func(parent *flags.Command, e commandSpec) error {
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -13,7 +13,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// invoke runs the command line and returns its exit code and output.
+// invoke runs the command line in this process and returns its exit code and output.
 func invoke(args ...string) (code int, stdout, stderr string) {
 	var out, errs bytes.Buffer
 	app := &App{Stdout: &out, Stderr: &errs, Version: "test"}
@@ -21,6 +21,7 @@
 	return code, out.String(), errs.String()
 }
 
+// writeFile writes text to a file in a new folder and returns its path.
 func writeFile(t *testing.T, text string) string {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "file.json")
@@ -33,24 +34,24 @@
 const validNote = `{"number":1,"added":{"domains":[{"name":"osan","region":"kr-central"}]}}`
 
 func TestExitCodes(t *testing.T) {
-	good, bad := writeFile(t, validNote), writeFile(t, `{"number":0}`)
+	valid, invalid := writeFile(t, validNote), writeFile(t, `{"number":0}`)
 	for _, c := range []struct {
 		name string
 		args []string
 		want int
 	}{
 		{"help", []string{"--help"}, ExitOK},
-		{"help of a command", []string{"note", "apply", "--help"}, ExitOK},
+		{"help of a subcommand", []string{"note", "apply", "--help"}, ExitOK},
 		{"no command", nil, ExitUsage},
 		{"unknown command", []string{"frobnicate"}, ExitUsage},
 		{"unknown flag", []string{"version", "--loud"}, ExitUsage},
-		{"surplus argument", []string{"version", "now"}, ExitUsage},
+		{"unexpected argument", []string{"version", "now"}, ExitUsage},
 		{"version", []string{"version"}, ExitOK},
 		{"missing settings", []string{"serve", "--config", "/nonexistent"}, ExitUsage},
-		{"good note", []string{"note", "check", good}, ExitOK},
-		{"bad note", []string{"note", "check", bad}, ExitRefused},
+		{"valid note", []string{"note", "check", valid}, ExitOK},
+		{"invalid note", []string{"note", "check", invalid}, ExitRefused},
 		{"missing note", []string{"note", "check", "/nonexistent"}, ExitUsage},
-		{"nobody answers", []string{"note", "apply", "--admin", "http://127.0.0.1:1", good}, ExitUnreachable},
+		{"no host answers", []string{"note", "apply", "--admin", "http://127.0.0.1:1", valid}, ExitUnreachable},
 		{"not a data folder", []string{"store", "verify", "/nonexistent"}, ExitFailure},
 	} {
 		if code, _, stderr := invoke(c.args...); code != c.want {
@@ -77,7 +78,8 @@
 	}
 }
 
-// TestNoteApplyPrintsResultCode applies a note to a host that refuses it.
+// TestNoteApplyPrintsResultCode applies a note to a host that refuses it. The exit code
+// and stderr must show the refusal and its result code.
 func TestNoteApplyPrintsResultCode(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		w.WriteHeader(http.StatusConflict)
@@ -90,7 +92,8 @@
 	}
 }
 
-// TestNoteApplyTriesNextHost gives a dead address before a live one.
+// TestNoteApplyTriesNextHost passes an address that refuses connections before the
+// address of a host. One unreachable host must not make the command fail.
 func TestNoteApplyTriesNextHost(t *testing.T) {
 	host := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, _ *http.Request) {
 		_, _ = w.Write([]byte(`{"stamp":{"number":1,"digest":"d"},"revision":9}`))
--- a/internal/cli/client.go
+++ b/internal/cli/client.go
@@ -15,19 +15,19 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// requestTimeout bounds one request to an admin address.
+// requestTimeout limits one request to an admin address.
 const requestTimeout = 20 * time.Second
 
-// maxAnswerBytes bounds the size of an answer that is read.
+// maxResponseBytes is the maximum number of bytes read from a response.
 const maxResponseBytes = 64 << 20
 
-// adminOptions are the flags of commands that talk to a host.
+// adminOptions are the flags of commands that call the admin interface of a host.
 type adminOptions struct {
 	Admin     []string `long:"admin" env:"GALENABRIDGE_ADMIN" env-delim:"," value-name:"URL" default:"http://127.0.0.1:7080" description:"admin address of a host; may be repeated, the next one is tried when one does not answer"`
 	TokenFile string   `long:"token-file" env:"GALENABRIDGE_TOKEN_FILE" value-name:"FILE" description:"file that holds the operators' token"`
 }
 
-// refusal is the body of an answer that is not a success.
+// errorResponse is the body of an error response; see admin.ErrorResponse.
 type errorResponse struct {
 	Code     int            `json:"code"`
 	Name     string         `json:"name"`
@@ -35,6 +35,7 @@
 	Problems []note.Problem `json:"problems"`
 }
 
+// describe returns the error on one line, followed by one line per problem.
 func (r errorResponse) describe() string {
 	lines := []string{r.Name + ": " + r.Detail}
 	for _, p := range r.Problems {
@@ -43,35 +44,39 @@
 	return strings.Join(lines, "\n")
 }
 
-// do sends a request to the first admin address that answers and decodes the
-// answer into out. A refusal becomes an error with ExitRefused.
+// do tries the admin addresses in order until one answers and decodes the response into
+// out, unless out is nil. An error response ends the attempts with ExitRefused. If no
+// address answers, the error has ExitUnreachable.
 func (o *adminOptions) do(method, path string, body []byte, out any) error {
 	token, err := o.token()
 	if err != nil {
 		return err
 	}
-	var last error
-	for _, base := range o.Admin {
-		last = doRequest(method, strings.TrimSuffix(base, "/")+path, token, body, out)
+	var lastErr error
+	for _, url := range o.Admin {
+		lastErr = doRequest(method, strings.TrimSuffix(url, "/")+path, token, body, out)
 		var exit *exitError
-		if last == nil || errors.As(last, &exit) {
-			return last
+		if lastErr == nil || errors.As(lastErr, &exit) {
+			return lastErr
 		}
 	}
-	return exitWith(ExitUnreachable, errors.Wrap(last, "no host answered"))
+	return exitWith(ExitUnreachable, errors.Wrap(lastErr, "no host answered"))
 }
 
+// token returns the operators' token, or an empty string if no file is set.
 func (o *adminOptions) token() (string, error) {
 	if o.TokenFile == "" {
 		return "", nil
 	}
 	data, err := os.ReadFile(o.TokenFile)
 	if err != nil {
-		return "", exitWith(ExitUsage, errors.Wrap(err, "token file"))
+		return "", exitWith(ExitUsage, errors.Wrap(err, "read token file"))
 	}
 	return strings.TrimSpace(string(data)), nil
 }
 
+// doRequest sends one request. Its error is an *exitError if the URL is invalid or the host
+// sent an error response, and any other error if another host may be tried.
 func doRequest(method, url, token string, body []byte, out any) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
@@ -97,9 +102,11 @@
 	if out == nil {
 		return nil
 	}
-	return errors.Wrap(json.Unmarshal(data, out), "decode the answer")
+	return errors.Wrap(json.Unmarshal(data, out), "decode response")
 }
 
+// responseError converts an error response. A body that is not an errorResponse is shown
+// as it is.
 func responseError(resp *http.Response, data []byte) error {
 	var r errorResponse
 	if err := json.Unmarshal(data, &r); err != nil || r.Code == 0 {
--- a/internal/cli/explain.go
+++ b/internal/cli/explain.go
@@ -23,31 +23,32 @@
 	if err != nil {
 		return exitWith(ExitUsage, err)
 	}
-	account := explain.Explain(lines, c.Args.Request)
+	report := explain.Explain(lines, c.Args.Request)
 	if skipped > 0 {
-		account.Missing = append(account.Missing, fmt.Sprintf("%d lines hold no event", skipped))
+		report.Missing = append(report.Missing, fmt.Sprintf("%d lines hold no event", skipped))
 	}
 	if c.JSON {
-		err = writeJSON(app, account)
+		err = writeJSON(app, report)
 	} else {
-		err = account.WriteText(app.Stdout)
+		err = report.WriteText(app.Stdout)
 	}
-	if err == nil && len(account.Entries) == 0 {
-		err = exitWith(ExitFailure, errors.Errorf("nothing is known of request %q", c.Args.Request))
+	if err == nil && len(report.Entries) == 0 {
+		err = exitWith(ExitFailure, errors.Errorf("no log line mentions request %q", c.Args.Request))
 	}
 	return err
 }
 
+// read returns the events of all logs and the number of lines without one.
 func (c *explainCommand) read(stdin io.Reader) (lines []explain.Line, skipped int, err error) {
 	if len(c.Args.Files) == 0 {
 		return explain.Read(stdin)
 	}
 	for _, path := range c.Args.Files {
-		more, without, err := readLog(path)
+		fileLines, fileSkipped, err := readLog(path)
 		if err != nil {
 			return nil, 0, err
 		}
-		lines, skipped = append(lines, more...), skipped+without
+		lines, skipped = append(lines, fileLines...), skipped+fileSkipped
 	}
 	return lines, skipped, nil
 }
--- a/internal/cli/key.go
+++ b/internal/cli/key.go
@@ -13,9 +13,9 @@
 // keyPair is a new key with its verifier.
 type keyPair struct {
 	Workspace string `json:"workspace"`
-	// Key is given to the caller and kept nowhere else.
+	// Key is the secret of the caller. It is not stored anywhere.
 	Key string `json:"key"`
-	// Verifier goes into a release note.
+	// Verifier is the value for the key's entry in a release note.
 	Verifier string `json:"verifier"`
 }
 
--- a/internal/cli/note.go
+++ b/internal/cli/note.go
@@ -20,14 +20,14 @@
 	statusPath  = "/v1/status"
 )
 
-// noteFile is the positional argument of commands that read a note.
+// noteFile is the positional argument of commands that read a release note.
 type noteFile struct {
 	Args struct {
 		File string `positional-arg-name:"FILE" description:"release note in JSON"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// data returns the contents of the file.
+// read returns the contents of the file.
 func (f *noteFile) read() ([]byte, error) {
 	data, err := os.ReadFile(f.Args.File)
 	if err != nil {
@@ -36,7 +36,7 @@
 	return data, nil
 }
 
-// decode reads the note without checking its fields.
+// decode reads and decodes the note without validating its fields.
 func (f *noteFile) decode(app *App) (note.Note, error) {
 	data, err := f.read()
 	if err != nil {
@@ -46,6 +46,8 @@
 	return n, reportProblems(app, problems)
 }
 
+// reportProblems prints the problems to stderr. It returns an error with ExitRefused if any
+// of them is not a warning.
 func reportProblems(app *App, problems []note.Problem) error {
 	count := 0
 	for _, p := range problems {
@@ -60,6 +62,7 @@
 	return nil
 }
 
+// catalog fetches the catalog in force, without secrets.
 func (o *adminOptions) catalog() (note.Catalog, error) {
 	var c note.Catalog
 	err := o.do(http.MethodGet, currentPath, nil, &c)
@@ -97,7 +100,7 @@
 	noteFile
 }
 
-// accepted is the answer to an accepted release note.
+// noteResponse is the response to an accepted release note; see admin.NoteResponse.
 type noteResponse struct {
 	Stamp    note.Stamp     `json:"stamp"`
 	Revision uint64         `json:"revision"`
@@ -110,15 +113,15 @@
 	if err != nil {
 		return err
 	}
-	var answer noteResponse
-	if err := c.do(http.MethodPost, notesPath, data, &answer); err != nil {
+	var resp noteResponse
+	if err := c.do(http.MethodPost, notesPath, data, &resp); err != nil {
 		return err
 	}
-	if err := reportProblems(app, answer.Warnings); err != nil {
+	if err := reportProblems(app, resp.Warnings); err != nil {
 		return err
 	}
 	fmt.Fprintf(app.Stdout, "number=%d digest=%s revision=%d repeated=%t accepted\n",
-		answer.Stamp.Number, answer.Stamp.Digest, answer.Revision, answer.Repeated)
+		resp.Stamp.Number, resp.Stamp.Digest, resp.Revision, resp.Repeated)
 	return nil
 }
 
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -14,7 +14,7 @@
 	"github.com/galenabridge/galenabridge/internal/dev"
 )
 
-// newLogger returns a logger that writes one line of key=value pairs an event.
+// newLogger returns a logger that writes each event as one line in logfmt.
 func newLogger(w io.Writer, level string) (*log.Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -28,7 +28,7 @@
 	}), nil
 }
 
-// untilSignal returns a context that ends at SIGINT or SIGTERM.
+// signalContext returns a context that ends on SIGINT or SIGTERM.
 func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
--- a/internal/cli/standin.go
+++ b/internal/cli/standin.go
@@ -51,7 +51,8 @@
 	return server.Run(ctx)
 }
 
-// none turns zero into the negative value that means no delay at all.
+// noDelayIfZero returns -1 for zero. In standin.Options a negative delay means none,
+// whereas zero selects the default.
 func noDelayIfZero(d time.Duration) time.Duration {
 	if d == 0 {
 		return -1
--- a/internal/cli/status.go
+++ b/internal/cli/status.go
@@ -32,6 +32,7 @@
 	return w.Flush()
 }
 
+// orDash returns a dash in place of an empty column.
 func orDash(text string) string {
 	if text == "" {
 		return "-"
@@ -82,6 +83,7 @@
 	return "replica"
 }
 
+// formatAge formats the age of an announcement; a negative age means that there was none.
 func formatAge(age time.Duration) string {
 	if age < 0 {
 		return "never"
--- a/internal/cli/store.go
+++ b/internal/cli/store.go
@@ -2,7 +2,8 @@
 
 import "github.com/galenabridge/galenabridge/internal/store"
 
-// dataDir is the positional argument of commands that read a data folder.
+// dataDir is the positional argument of commands that read the data folder of a control
+// host.
 type dataDir struct {
 	Args struct {
 		Dir string `positional-arg-name:"DIR" description:"data folder of a control host"`
