--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -192,7 +192,7 @@
 	}
 	ids := make([]lease.ID, 0, len(h.registered))
 	for _, id := range h.registered {
-		if h.opts.Peer.Newest(id.Host) <= id.Incarnation {
+		if h.opts.Peer.NewestIncarnation(id.Host) <= id.Incarnation {
 			ids = append(ids, id)
 		}
 	}
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -52,7 +52,7 @@
 	s.updateCandidates(next)
 	s.switchToLocal(now)
 	for _, h := range next.Hosts {
-		s.opts.Peer.Observe(h.ID, h.Incarnation)
+		s.opts.Peer.ObserveIncarnation(h.ID, h.Incarnation)
 	}
 	s.publish()
 	s.renew(now)
--- a/internal/entry/backends.go
+++ b/internal/entry/backends.go
@@ -150,7 +150,7 @@
 	defer b.mu.RUnlock()
 	for id, member := range b.members {
 		if member.service == service && id != primary {
-			member.monitor.Nudge()
+			member.monitor.RequestPoll()
 		}
 	}
 }
--- a/internal/entry/copy.go
+++ b/internal/entry/copy.go
@@ -75,6 +75,6 @@
 		if result.CodeOf(reason) != result.ShuttingDown {
 			return nil, reason
 		}
-		s.conn.Resume()
+		s.conn.ClearReadDeadline()
 	}
 }
--- a/internal/entry/request_id.go
+++ b/internal/entry/request_id.go
@@ -88,7 +88,7 @@
 		if err == nil {
 			return nil
 		}
-		var refused *pgback.Refusal
+		var refused *pgback.ServerError
 		if !errors.As(err, &refused) {
 			return err
 		}
@@ -218,7 +218,7 @@
 // lostCommit answers a unit whose transaction could not be ended: the endpoint
 // refused the commit, or the connection was lost.
 func (r *relay) lostCommit(err error) (verdict, error) {
-	var refused *pgback.Refusal
+	var refused *pgback.ServerError
 	if !errors.As(err, &refused) {
 		return r.lost(err)
 	}
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -113,7 +113,7 @@
 		return err
 	}
 	if result.CodeOf(reason) == result.ShuttingDown && s.busy() {
-		s.conn.Resume()
+		s.conn.ClearReadDeadline()
 		return s.loop()
 	}
 	return reason
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -241,7 +241,7 @@
 }
 
 func (b *planBuilder) injectParse(stmt *statement) error {
-	if surplus, ok := b.state.Surplus(); ok && !b.known[surplus] {
+	if surplus, ok := b.state.EvictionCandidate(); ok && !b.known[surplus] {
 		if err := b.injectClose(surplus); err != nil {
 			return err
 		}
--- a/internal/explain/account.go
+++ b/internal/explain/account.go
@@ -39,8 +39,8 @@
 	"limits_known": ofFleet, "limits_unknown": ofFleet,
 }
 
-// Account tells what became of a request.
-type Account struct {
+// Report tells what became of a request.
+type Report struct {
 	Request string  `json:"request"`
 	Entries []Entry `json:"entries"`
 	// Cause is what the last line of the request says, with the belief that it
@@ -64,8 +64,8 @@
 }
 
 // Explain makes the account of a request from the lines of all hosts.
-func Explain(lines []Line, request string) Account {
-	a := Account{Request: request}
+func Explain(lines []Line, request string) Report {
+	a := Report{Request: request}
 	var own []Line
 	for _, l := range lines {
 		if l.Get("request") == request {
@@ -131,7 +131,7 @@
 }
 
 // conclude names the cause and what is missing for it.
-func (a *Account) conclude(last Line) {
+func (a *Report) conclude(last Line) {
 	number, err := strconv.Atoi(last.Get("code"))
 	if err != nil {
 		a.Cause = last.Event + " at " + last.Host + ": " + last.Get("err")
@@ -154,7 +154,7 @@
 }
 
 // WriteText writes the account for people, one line an entry.
-func (a Account) WriteText(w io.Writer) error {
+func (a Report) WriteText(w io.Writer) error {
 	for _, e := range a.Entries {
 		mark := " "
 		if e.OfRequest {
--- a/internal/peer/hello.go
+++ b/internal/peer/hello.go
@@ -128,7 +128,7 @@
 	if h.Host == n.opts.Host && h.Incarnation != n.opts.Incarnation {
 		return n.admitNamesake(h)
 	}
-	if !n.Observe(h.Host, h.Incarnation) {
+	if !n.ObserveIncarnation(h.Host, h.Incarnation) {
 		return result.New(result.PeerIncarnation, "host %q has a newer process", h.Host)
 	}
 	return nil
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -158,10 +158,10 @@
 	})
 }
 
-// Observe records that a process of host with the given incarnation exists. It
+// ObserveIncarnation records that a process of host with the given incarnation exists. It
 // reports false when a newer one is known. Connections to older processes are
 // closed.
-func (n *Node) Observe(host string, incarnation uint64) bool {
+func (n *Node) ObserveIncarnation(host string, incarnation uint64) bool {
 	n.mu.Lock()
 	known := n.incarnations[host]
 	if incarnation > known {
@@ -178,9 +178,9 @@
 	return incarnation >= known
 }
 
-// Newest returns the incarnation of the newest process of a host that was
+// NewestIncarnation returns the incarnation of the newest process of a host that was
 // observed, or zero.
-func (n *Node) Newest(host string) uint64 {
+func (n *Node) NewestIncarnation(host string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.incarnations[host]
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -121,7 +121,7 @@
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
 			b := start(t, options("b", 1), echo)
-			b.Observe("a", 2)
+			b.ObserveIncarnation("a", 2)
 			replaced := make(chan struct{})
 			opts := options("a", 2)
 			opts.OnReplaced = func() { close(replaced) }
--- a/internal/pgback/conn.go
+++ b/internal/pgback/conn.go
@@ -71,7 +71,7 @@
 		pid:        raw.PID,
 		secret:     raw.SecretKey,
 	}
-	c.Session.Forget()
+	c.Session.Clear()
 	return c, nil
 }
 
@@ -153,6 +153,6 @@
 	if _, err := c.Query(ctx, "DISCARD ALL"); err != nil {
 		return err
 	}
-	c.Session.Forget()
+	c.Session.Clear()
 	return nil
 }
--- a/internal/pgback/monitor.go
+++ b/internal/pgback/monitor.go
@@ -105,8 +105,8 @@
 	}
 }
 
-// Nudge asks for a poll soon: somebody waits for a replica to catch up.
-func (m *Monitor) Nudge() {
+// RequestPoll asks for a poll soon: somebody waits for a replica to catch up.
+func (m *Monitor) RequestPoll() {
 	select {
 	case m.nudge <- struct{}{}:
 	default:
--- a/internal/pgback/query.go
+++ b/internal/pgback/query.go
@@ -10,19 +10,19 @@
 // Rows are the rows of one statement in text form. A null is an empty string.
 type Rows [][]string
 
-// Refusal is an error that the endpoint answered with. The connection stays
+// ServerError is an error that the endpoint answered with. The connection stays
 // usable.
-type Refusal struct {
+type ServerError struct {
 	// Code is the SQLSTATE.
 	Code    string
 	Message string
 }
 
 // Error implements error.
-func (r *Refusal) Error() string { return "endpoint answers " + r.Code + ": " + r.Message }
+func (r *ServerError) Error() string { return "endpoint answers " + r.Code + ": " + r.Message }
 
 // Query runs SQL text of one or more statements in one round trip and returns
-// the rows of each. After an error other than a Refusal the connection must not be reused.
+// the rows of each. After an error other than a ServerError the connection must not be reused.
 func (c *Conn) Query(ctx context.Context, sql string) ([]Rows, error) {
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	defer stop()
@@ -53,7 +53,7 @@
 			rows = nil
 		case *pgproto3.ErrorResponse:
 			if failure == nil {
-				failure = &Refusal{Code: msg.Code, Message: msg.Message}
+				failure = &ServerError{Code: msg.Code, Message: msg.Message}
 			}
 		case *pgproto3.ReadyForQuery:
 			return results, failure
--- a/internal/pgback/session_state.go
+++ b/internal/pgback/session_state.go
@@ -19,8 +19,8 @@
 	order    *list.List
 }
 
-// Forget records that the endpoint has discarded the whole state.
-func (s *SessionState) Forget() {
+// Clear records that the endpoint has discarded the whole state.
+func (s *SessionState) Clear() {
 	s.Settings = ""
 	s.Dirty = false
 	s.prepared = make(map[string]*list.Element)
@@ -51,8 +51,8 @@
 	}
 }
 
-// Surplus returns the least recently used statement when there are too many.
-func (s *SessionState) Surplus() (name string, ok bool) {
+// EvictionCandidate returns the least recently used statement when there are too many.
+func (s *SessionState) EvictionCandidate() (name string, ok bool) {
 	if s.order.Len() <= maxPrepared {
 		return "", false
 	}
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -129,13 +129,13 @@
 	_ = c.net.SetReadDeadline(time.Now().Add(wait))
 }
 
-// Resume undoes Interrupt.
-func (c *Conn) Resume() {
+// ClearReadDeadline undoes Interrupt.
+func (c *Conn) ClearReadDeadline() {
 	_ = c.net.SetReadDeadline(time.Time{})
 }
 
-// SetReadLimit bounds the next reads in time.
-func (c *Conn) SetReadLimit(limit time.Duration) {
+// SetReadTimeout bounds the next reads in time.
+func (c *Conn) SetReadTimeout(limit time.Duration) {
 	_ = c.net.SetReadDeadline(time.Now().Add(limit))
 }
 
@@ -157,6 +157,6 @@
 	if half, ok := c.net.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
-	c.SetReadLimit(lingerTimeout)
+	c.SetReadTimeout(lingerTimeout)
 	_, _ = io.Copy(io.Discard, bufio.NewReaderSize(c.net, keepBuffer))
 }
--- a/internal/pgfront/login.go
+++ b/internal/pgfront/login.go
@@ -37,7 +37,7 @@
 		return "", result.New(result.MalformedMessage, "expected a SASL response")
 	}
 	reply, keyID, err := conv.Final(string(proof.Data))
-	if errors.Is(err, scramauth.ErrRefused) {
+	if errors.Is(err, scramauth.ErrNoKeyMatches) {
 		return "", result.New(result.BadKey, "authentication failed")
 	}
 	if err != nil {
@@ -95,6 +95,6 @@
 	if err := c.Flush(); err != nil {
 		return err
 	}
-	c.Resume()
+	c.ClearReadDeadline()
 	return nil
 }
--- a/internal/pgfront/startup.go
+++ b/internal/pgfront/startup.go
@@ -33,7 +33,7 @@
 // timeout starts here and ends with Ready. On error the connection is closed.
 func Accept(nc net.Conn, cfg Config) (*Conn, *Startup, error) {
 	c := newConn(nc, cfg)
-	c.SetReadLimit(cfg.LoginTimeout)
+	c.SetReadTimeout(cfg.LoginTimeout)
 	startup, err := c.negotiate()
 	if err != nil {
 		if result.CodeOf(err) != 0 {
--- a/internal/scramauth/conversation.go
+++ b/internal/scramauth/conversation.go
@@ -9,8 +9,8 @@
 	"github.com/xdg-go/scram"
 )
 
-// ErrRefused reports that no candidate key matches the proof.
-var ErrRefused = errors.New("no key matches the proof")
+// ErrNoKeyMatches reports that no candidate key matches the proof.
+var ErrNoKeyMatches = errors.New("no key matches the proof")
 
 // Candidate is a key that a caller may hold.
 type Candidate struct {
@@ -69,7 +69,7 @@
 }
 
 // Final checks the client's proof. It returns the server's last message and
-// the identity of the key that matched, or ErrRefused.
+// the identity of the key that matched, or ErrNoKeyMatches.
 func (c *Conversation) Final(message string) (reply, keyID string, err error) {
 	for _, r := range c.runs {
 		text, stepErr := r.conv.Step(message)
@@ -78,7 +78,7 @@
 		}
 	}
 	if keyID == "" {
-		return "", "", ErrRefused
+		return "", "", ErrNoKeyMatches
 	}
 	return reply, keyID, nil
 }
--- a/internal/scramauth/scramauth_test.go
+++ b/internal/scramauth/scramauth_test.go
@@ -53,10 +53,10 @@
 
 func TestWrongKeyAndUnknownWorkspaceAreRefused(t *testing.T) {
 	candidates := []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}}
-	if _, err := login(t, NewKey(), candidates); err != ErrRefused {
+	if _, err := login(t, NewKey(), candidates); err != ErrNoKeyMatches {
 		t.Errorf("wrong key: %v", err)
 	}
-	if _, err := login(t, NewKey(), nil); err != ErrRefused {
+	if _, err := login(t, NewKey(), nil); err != ErrNoKeyMatches {
 		t.Errorf("unknown workspace: %v", err)
 	}
 }
