--- a/cmd/galenabridged/main.go
+++ b/cmd/galenabridged/main.go
@@ -79,24 +79,24 @@
 const renumber = time.Hour
 
 func run(ctx context.Context, opts options, logger *log.Logger, ahead time.Duration) error {
-	settings, err := platform.Load(opts.Settings)
+	settings, err := platform.LoadSettings(opts.Settings)
 	if err != nil {
 		return err
 	}
 	logger = logger.With("host", settings.Name, "role", opts.Args.Role)
 	d, err := daemon.New(daemon.Options{
 		Settings: settings.Settings, Dialer: platform.Dialer{},
-		Databases: platform.NewDatabases(settings.Name, settings.Promote),
-		Fenced:    settings.Fenced, Grace: settings.Grace, Tolerance: settings.Tolerance, Logger: logger, Ahead: ahead,
+		EndpointManager: platform.NewEndpointManager(settings.Name, settings.PromoteAddr),
+		Fenced:          settings.Fenced, GracePeriod: settings.GracePeriod, Tolerance: settings.Tolerance, Logger: logger, IncarnationOffset: ahead,
 	})
 	if err != nil {
 		return err
 	}
-	tasks, err := platform.Adapter(settings, d, logger)
+	tasks, err := platform.NewTasks(settings, d, logger)
 	if err != nil {
 		return err
 	}
-	tasks = append(tasks, &platform.Reload{Path: opts.Settings, Log: logger, Apply: func(s *platform.Settings) { d.SetSeeds(s.Seeds) }})
+	tasks = append(tasks, &platform.Reloader{Path: opts.Settings, Log: logger, Apply: func(s *platform.Settings) { d.SetSeeds(s.Seeds) }})
 	logger.Info("start", "addr", settings.Host, "domain", settings.Domain, "seeds", settings.Seeds)
 	err = d.Run(ctx, tasks...)
 	logger.Info("stopped")
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -43,18 +43,18 @@
 
 // Options configure a Daemon.
 type Options struct {
-	Settings  *config.Settings
-	Dialer    core.Dialer
-	Databases control.EndpointManager
+	Settings        *config.Settings
+	Dialer          core.Dialer
+	EndpointManager control.EndpointManager
 	// Fenced: orders to promote are checked by their fences.
 	Fenced bool
-	// Grace is the time that a stop may take.
-	Grace time.Duration
+	// GracePeriod is the time that a stop may take.
+	GracePeriod time.Duration
 	// Tolerance is how far a workspace may pass its rate; all hosts have the same.
 	Tolerance limits.Tolerance
 	Logger    *log.Logger
-	// Ahead is added to the time of day that numbers the process; see ErrReplaced.
-	Ahead time.Duration
+	// IncarnationOffset is added to the time of day that numbers the process; see ErrReplaced.
+	IncarnationOffset time.Duration
 }
 
 // ErrReplaced ends a host whose identity belongs to a process with a higher
@@ -88,7 +88,7 @@
 	}
 	d.peers = peer.NewNode(peer.Options{
 		Host: opts.Settings.Host, Fleet: opts.Settings.Fleet, Secret: opts.Settings.FleetSecret,
-		Incarnation: uint64(time.Now().Add(opts.Ahead).UnixNano()), Listen: opts.Settings.Peer.Listen,
+		Incarnation: uint64(time.Now().Add(opts.IncarnationOffset).UnixNano()), Listen: opts.Settings.Peer.Listen,
 		Advertise: opts.Settings.Peer.Advertise, Registry: d.registry, Logger: d.log,
 		OnReplaced: func() { close(d.replaced) },
 	})
@@ -127,11 +127,11 @@
 		d.control = control.New(control.Options{
 			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, Open: true, Controls: seeds,
 			Peer: d.peers, Lease: timing, Logger: d.log, Registry: d.registry,
-			Databases: d.opts.Databases, Fenced: d.opts.Fenced,
+			Databases: d.opts.EndpointManager, Fenced: d.opts.Fenced,
 		})
 		d.owner = limits.NewOwner(d.peers, d.view, d.shares(), d.log)
 	}
-	control.ServeEndpointRequests(d.peers, d.view, d.opts.Databases)
+	control.ServeEndpointRequests(d.peers, d.view, d.opts.EndpointManager)
 	d.subscriber = control.NewSubscriber(control.SubscriberOptions{
 		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, Open: true, Controls: seeds,
 		Entry: d.opts.Settings.Entry != nil, Control: d.opts.Settings.Control != nil,
@@ -245,7 +245,7 @@
 // gives open transactions their share of the time.
 func (d *Daemon) shutdown(ctx context.Context) {
 	d.stopping.Store(true)
-	d.log.Info("stop", "grace_ms", d.opts.Grace.Milliseconds())
+	d.log.Info("stop", "grace_ms", d.opts.GracePeriod.Milliseconds())
 	if d.core != nil {
 		d.drain(ctx)
 		d.log.Info("drained", "sessions", d.core.Sessions())
@@ -260,7 +260,7 @@
 func (d *Daemon) drain(ctx context.Context) {
 	begun := time.Now()
 	sleep(ctx, notReadyFor)
-	share := time.Duration(float64(d.opts.Grace) * transactionShare)
+	share := time.Duration(float64(d.opts.GracePeriod) * transactionShare)
 	drainCtx, cancel := context.WithDeadline(ctx, begun.Add(share))
 	err := d.core.Drain(drainCtx)
 	cancel()
