--- a/bridge/host.go
+++ b/bridge/host.go
@@ -167,12 +167,12 @@
 	}
 	link := entry.NewPeerLink(h.peers, h.view)
 	opts := entry.Options{
-		Settings:   h.settings,
-		View:       h.view,
-		Peers:      link,
-		Cancels:    link,
-		Log:        h.log,
-		Registerer: h.registry,
+		Settings:        h.settings,
+		View:            h.view,
+		Peers:           link,
+		CancelForwarder: link,
+		Log:             h.log,
+		Registerer:      h.registry,
 	}
 	h.holder = limits.NewHolder(h.peers, h.view, limits.DefaultConfig(), h.log)
 	if h.opts.Policy == PolicyFIFO {
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -13,9 +13,9 @@
 const (
 	sessionBits = 20
 	sessionMask = 1<<sessionBits - 1
-	// MaxHosts bounds the numbers of hosts, so that process numbers stay
+	// MaxHostNumbers bounds the numbers of hosts, so that process numbers stay
 	// positive in 32 bits.
-	MaxHosts = 1 << (31 - sessionBits)
+	MaxHostNumbers = 1 << (31 - sessionBits)
 )
 
 // forwardTimeout bounds the forwarding of a cancel request.
@@ -40,12 +40,12 @@
 // routeCancel handles a caller's cancel request for any host.
 func (s *Server) routeCancel(c pgfront.Cancel) {
 	host := c.ProcessID >> sessionBits
-	if host == s.number && s.Cancel(c) || s.opts.Cancels == nil {
+	if host == s.number && s.Cancel(c) || s.opts.CancelForwarder == nil {
 		return
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
 	defer cancel()
-	if err := s.opts.Cancels.Forward(ctx, host, c); err != nil {
+	if err := s.opts.CancelForwarder.Forward(ctx, host, c); err != nil {
 		s.log.Warn("cancel_not_forwarded", "host", host, "err", err.Error())
 	}
 }
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -83,7 +83,7 @@
 func (f *fleet) link(i int) func(*Options) {
 	return func(o *Options) {
 		l := NewPeerLink(f.nodes[i], o.View)
-		o.Peers, o.Cancels = l, l
+		o.Peers, o.CancelForwarder = l, l
 		o.GatherTimeout = f.gatherTimeout
 	}
 }
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -57,8 +57,8 @@
 	// GatherTimeout bounds the wait for their answers; zero means the default of
 	// package session.
 	GatherTimeout time.Duration
-	// Cancels forwards cancel requests for other hosts; nil drops them.
-	Cancels CancelForwarder
+	// CancelForwarder forwards cancel requests for other hosts; nil drops them.
+	CancelForwarder CancelForwarder
 	// Baseline serves requests in order of arrival and on the primary only, as
 	// a measure for the policies. It replaces the router and positions.
 	Baseline bool
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -25,7 +25,7 @@
 // HostNumber returns the number of a host in cancel keys. Two hosts may share
 // a number; cancel requests then go to both.
 func HostNumber(host string) uint32 {
-	return uint32(xxhash.Sum64String(host) % MaxHosts)
+	return uint32(xxhash.Sum64String(host) % MaxHostNumbers)
 }
 
 // PeerLink reaches the other entry hosts. It implements Peers and
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -72,6 +72,6 @@
 	// Required returns the position that a read of the workspace must see. It
 	// falls back to the primary's current position when it cannot know better.
 	Required(ctx context.Context, service, workspace string) (Position, error)
-	// Acked records a write that is about to be acknowledged to its caller.
-	Acked(service, workspace string, p Position)
+	// RecordAcked records a write that is about to be acknowledged to its caller.
+	RecordAcked(service, workspace string, p Position)
 }
--- a/internal/entry/positions.go
+++ b/internal/entry/positions.go
@@ -116,9 +116,9 @@
 	}
 }
 
-// Acked implements Positions. The position is known to later answers to Gather
+// RecordAcked implements Positions. The position is known to later answers to Gather
 // once it returns.
-func (p *SharedPositions) Acked(service, workspace string, position Position) {
+func (p *SharedPositions) RecordAcked(service, workspace string, position Position) {
 	event := pos.Acked{Workspace: workspace, Position: pos.Position(position)}
 	_ = p.task(service).post(context.Background(), eventMessage{event}) // fails only at the end of the server
 }
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -172,7 +172,7 @@
 	if !termHolds(s.srv.opts.View.Current(), r.l) {
 		return r.termEnded()
 	}
-	s.srv.positions.Acked(r.l.service, s.who.workspace, position)
+	s.srv.positions.RecordAcked(r.l.service, s.who.workspace, position)
 	return nil
 }
 
--- a/internal/entry/simple.go
+++ b/internal/entry/simple.go
@@ -51,5 +51,5 @@
 	return Position{}, nil
 }
 
-// Acked implements Positions.
-func (NoPositions) Acked(string, string, Position) {}
+// RecordAcked implements Positions.
+func (NoPositions) RecordAcked(string, string, Position) {}
