--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -194,6 +194,7 @@
 	}
 }
 
+// queryRecords connects to url and executes one query.
 func queryRecords(ctx context.Context, url string) error {
 	conn, err := pgx.Connect(ctx, url)
 	if err != nil {
