--- a/internal/admin/notes.go
+++ b/internal/admin/notes.go
@@ -10,12 +10,12 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// NoteResponse is the answer to an accepted release note.
+// NoteResponse is the response to an accepted release note.
 type NoteResponse struct {
 	Stamp note.Stamp `json:"stamp"`
-	// Revision is the revision of the agreed state with the note in force.
+	// Revision is the revision of the agreed state in which the note is in force.
 	Revision uint64 `json:"revision"`
-	// Repeated tells that the note had been accepted before.
+	// Repeated reports whether the same note had been accepted before.
 	Repeated bool           `json:"repeated"`
 	Warnings []note.Problem `json:"warnings,omitempty"`
 }
@@ -26,9 +26,9 @@
 		WriteError(w, result.New(result.MessageTooLarge, "read the note: %v", err))
 		return
 	}
-	n, problems := s.check(data)
+	n, problems := s.decodeNote(data)
 	if note.HasErrors(problems) {
-		WriteError(w, result.New(result.NoteInvalid, "the note has errors; nothing of it was applied"), problems...)
+		WriteError(w, result.New(result.NoteInvalid, "the release note has errors and was not applied"), problems...)
 		return
 	}
 	ctx, cancel := context.WithTimeout(r.Context(), proposeTimeout)
@@ -48,9 +48,10 @@
 	})
 }
 
-// check decodes a note and finds its errors. When a field is wrong, the errors
-// against the catalog in force are reported with it.
-func (s *Server) check(data []byte) (note.Note, []note.Problem) {
+// decodeNote decodes a note and validates its fields. If a field is invalid, the problems
+// that the note has against the catalog in force are returned as well, so that an
+// operator sees all of them at once.
+func (s *Server) decodeNote(data []byte) (note.Note, []note.Problem) {
 	n, problems := note.Decode(data)
 	if len(problems) > 0 {
 		return n, problems
@@ -63,26 +64,28 @@
 	return n, problems
 }
 
-// state returns the agreed state, or answers that there is none yet.
-func (s *Server) state(w http.ResponseWriter) *agreed.State {
+// currentState returns the latest agreed state that the host received and sets a header
+// that reports whether its configuration lease is valid. If there is no state yet, it
+// sends an error response and returns nil.
+func (s *Server) currentState(w http.ResponseWriter) *agreed.State {
 	v := s.opts.View.Current()
 	if v.State == nil {
-		WriteError(w, result.New(result.NoConfigLease, "the host has not heard from the control hosts yet"))
+		WriteError(w, result.New(result.NoConfigLease, "the host has not received the agreed state from a control host yet"))
 		return nil
 	}
-	w.Header().Set("Galenabridge-Lease-Valid", leaseText(v.Valid()))
+	w.Header().Set("Galenabridge-Lease-Valid", boolText(v.Valid()))
 	return v.State
 }
 
-func leaseText(valid bool) string {
+func boolText(valid bool) string {
 	if valid {
 		return "true"
 	}
 	return "false"
 }
 
-func (s *Server) history(w http.ResponseWriter, _ *http.Request) {
-	state := s.state(w)
+func (s *Server) getHistory(w http.ResponseWriter, _ *http.Request) {
+	state := s.currentState(w)
 	if state == nil {
 		return
 	}
@@ -93,13 +96,13 @@
 	WriteJSON(w, http.StatusOK, stamps)
 }
 
-func (s *Server) current(w http.ResponseWriter, _ *http.Request) {
-	if state := s.state(w); state != nil {
+func (s *Server) getCatalog(w http.ResponseWriter, _ *http.Request) {
+	if state := s.currentState(w); state != nil {
 		WriteJSON(w, http.StatusOK, state.Catalog.Redacted())
 	}
 }
 
-func (s *Server) status(w http.ResponseWriter, r *http.Request) {
+func (s *Server) getStatus(w http.ResponseWriter, r *http.Request) {
 	ctx, cancel := context.WithTimeout(r.Context(), statusTimeout)
 	defer cancel()
 	status, err := s.opts.Control.Status(ctx)
--- a/internal/cli/note.go
+++ b/internal/cli/note.go
@@ -20,15 +20,15 @@
 	statusPath  = "/v1/status"
 )
 
-// noteFile is the positional argument of commands that read a note.
+// noteFile is the positional argument of commands that read a release note.
 type noteFile struct {
 	Args struct {
 		File string `positional-arg-name:"FILE" description:"release note in JSON"`
 	} `positional-args:"yes" required:"yes"`
 }
 
-// data returns the contents of the file.
-func (f *noteFile) data() ([]byte, error) {
+// read returns the contents of the file.
+func (f *noteFile) read() ([]byte, error) {
 	data, err := os.ReadFile(f.Args.File)
 	if err != nil {
 		return nil, exitWith(ExitUsage, err)
@@ -36,17 +36,19 @@
 	return data, nil
 }
 
-// decode reads the note without checking its fields.
+// decode reads and decodes the note without validating its fields.
 func (f *noteFile) decode(app *App) (note.Note, error) {
-	data, err := f.data()
+	data, err := f.read()
 	if err != nil {
 		return note.Note{}, err
 	}
 	n, problems := note.Decode(data)
-	return n, report(app, problems)
+	return n, reportProblems(app, problems)
 }
 
-func report(app *App, problems []note.Problem) error {
+// reportProblems prints the problems to stderr. It returns an error with ExitRefused if any
+// of them is not a warning.
+func reportProblems(app *App, problems []note.Problem) error {
 	count := 0
 	for _, p := range problems {
 		fmt.Fprintln(app.Stderr, p)
@@ -60,6 +62,7 @@
 	return nil
 }
 
+// catalog fetches the catalog in force, without secrets.
 func (o *adminOptions) catalog() (note.Catalog, error) {
 	var c note.Catalog
 	err := o.do(http.MethodGet, currentPath, nil, &c)
@@ -85,7 +88,7 @@
 		}
 		_, problems = current.Apply(n)
 	}
-	if err := report(app, problems); err != nil {
+	if err := reportProblems(app, problems); err != nil {
 		return err
 	}
 	fmt.Fprintf(app.Stdout, "number=%d digest=%s ok\n", n.Number, note.Digest(n))
@@ -97,8 +100,8 @@
 	noteFile
 }
 
-// accepted is the answer to an accepted release note.
-type accepted struct {
+// noteResponse is the response to an accepted release note; see admin.NoteResponse.
+type noteResponse struct {
 	Stamp    note.Stamp     `json:"stamp"`
 	Revision uint64         `json:"revision"`
 	Repeated bool           `json:"repeated"`
@@ -106,19 +109,19 @@
 }
 
 func (c *noteApplyCommand) run(app *App) error {
-	data, err := c.data()
+	data, err := c.read()
 	if err != nil {
 		return err
 	}
-	var answer accepted
-	if err := c.do(http.MethodPost, notesPath, data, &answer); err != nil {
+	var resp noteResponse
+	if err := c.do(http.MethodPost, notesPath, data, &resp); err != nil {
 		return err
 	}
-	if err := report(app, answer.Warnings); err != nil {
+	if err := reportProblems(app, resp.Warnings); err != nil {
 		return err
 	}
 	fmt.Fprintf(app.Stdout, "number=%d digest=%s revision=%d repeated=%t accepted\n",
-		answer.Stamp.Number, answer.Stamp.Digest, answer.Revision, answer.Repeated)
+		resp.Stamp.Number, resp.Stamp.Digest, resp.Revision, resp.Repeated)
 	return nil
 }
 
@@ -155,7 +158,7 @@
 		return err
 	}
 	next, problems := current.Apply(n)
-	if err := report(app, problems); err != nil {
+	if err := reportProblems(app, problems); err != nil {
 		return err
 	}
 	for _, change := range note.Diff(current, next) {
--- a/internal/cli/run.go
+++ b/internal/cli/run.go
@@ -14,7 +14,7 @@
 	"github.com/galenabridge/galenabridge/internal/dev"
 )
 
-// newLogger returns a logger that writes one line of key=value pairs an event.
+// newLogger returns a logger that writes each event as one line in logfmt.
 func newLogger(w io.Writer, level string) (*log.Logger, error) {
 	parsed, err := log.ParseLevel(level)
 	if err != nil {
@@ -28,8 +28,8 @@
 	}), nil
 }
 
-// untilSignal returns a context that ends at SIGINT or SIGTERM.
-func untilSignal() (context.Context, context.CancelFunc) {
+// signalContext returns a context that ends on SIGINT or SIGTERM.
+func signalContext() (context.Context, context.CancelFunc) {
 	return signal.NotifyContext(context.Background(), syscall.SIGINT, syscall.SIGTERM)
 }
 
@@ -51,7 +51,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return host.Run(ctx)
 }
@@ -69,7 +69,7 @@
 	if err != nil {
 		return err
 	}
-	ctx, stop := untilSignal()
+	ctx, stop := signalContext()
 	defer stop()
 	return dev.Run(ctx, dev.Options{
 		Listen: c.Listen, Listen2: c.Listen2, Admin: c.Admin,
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -14,12 +14,13 @@
 )
 
 const (
-	testTimeout = 2 * time.Minute
-	testLag     = 500 * time.Millisecond
-	roamingRuns = 50
+	testTimeout     = 2 * time.Minute
+	testLag         = 500 * time.Millisecond
+	crossHostWrites = 50
 )
 
-// startSystem runs a system until the test ends and returns its two addresses.
+// startSystem runs a system until the test ends and returns the database URLs of its
+// two entry hosts.
 func startSystem(t *testing.T) (url, url2 string) {
 	t.Helper()
 	reader, writer := io.Pipe()
@@ -61,15 +62,16 @@
 	return conn
 }
 
-// TestReadYourWritesAcrossHosts writes through one entry host and reads through
-// the other, on a connection opened before the write and on a new one.
-func TestReadYourWritesAcrossHosts(t *testing.T) {
+// TestReadSeesWriteOfOtherHost writes through one entry host and reads through the other,
+// on a connection opened before the write and on a new one. It guards against a stale
+// read from a replica, which replays the write only after testLag.
+func TestReadSeesWriteOfOtherHost(t *testing.T) {
 	url, url2 := startSystem(t)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	writer := connect(ctx, t, url)
 	reader := connect(ctx, t, url2)
-	for i := range roamingRuns {
+	for i := range crossHostWrites {
 		id := fmt.Sprintf("r%d", i)
 		if _, err := writer.Exec(ctx, "insert into records (id, workspace, body) values ($1, 'crew', $2)", id, "body "+id); err != nil {
 			t.Fatal(err)
@@ -82,6 +84,7 @@
 	}
 }
 
+// checkBody fails the test unless the record has the body that was written.
 func checkBody(ctx context.Context, t *testing.T, conn *pgx.Conn, id string) {
 	t.Helper()
 	var body string
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -17,19 +17,19 @@
 )
 
 const (
-	anyPort = "127.0.0.1:0"
-	// devSecret is no secret: the system listens on loopback only.
-	devSecret = "loopback-development-fleet"
+	loopbackAnyPort = "127.0.0.1:0"
+	// fleetSecret need not be secret, since the system listens on loopback only.
+	fleetSecret = "loopback-development-fleet"
 )
 
 var domains = []string{"osan", "pohang", "heuksan"}
 
 func (s *system) settings(host, domain string) *config.Settings {
 	return &config.Settings{
-		Host: host, Fleet: fleet, Domain: domain, FleetSecret: devSecret,
-		Peer:     config.Peer{Listen: anyPort},
-		Admin:    config.Admin{Listen: anyPort},
-		Controls: []config.ControlHost{{Host: controlHost, Addr: anyPort, Voter: true}},
+		Host: host, Fleet: fleet, Domain: domain, FleetSecret: fleetSecret,
+		Peer:     config.Peer{Listen: loopbackAnyPort},
+		Admin:    config.Admin{Listen: loopbackAnyPort},
+		Controls: []config.ControlHost{{Host: controlHost, Addr: loopbackAnyPort, Voter: true}},
 	}
 }
 
@@ -46,7 +46,7 @@
 	settings := s.settings(host, domain)
 	settings.Controls[0].Addr = s.control.PeerAddr()
 	if listen == "" {
-		listen = anyPort
+		listen = loopbackAnyPort
 	}
 	settings.Entry = &config.Entry{
 		Listen:          listen,
@@ -57,7 +57,8 @@
 	return settings
 }
 
-// firstNote describes the system to itself.
+// firstNote returns the release note with the workspace, its key, the service and the
+// failure domains. It generates the key and stores it in s.key.
 func (s *system) firstNote() note.Note {
 	s.key = scramauth.NewKey()
 	n := note.Note{Number: 1, Title: "development system"}
@@ -75,7 +76,7 @@
 	return n
 }
 
-// applyFirstNote posts the note until the control host has accepted it.
+// applyFirstNote posts the first note repeatedly until the control host has accepted it.
 func (s *system) applyFirstNote(ctx context.Context) error {
 	body, err := json.Marshal(s.firstNote())
 	if err != nil {
