--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -1,6 +1,6 @@
-// Package eventlog writes log lines without ever holding up the task that logs:
-// lines pass through a bounded queue, each event has a budget, and what is left
-// out is told by event and count.
+// Package eventlog writes log lines without blocking the goroutine that logs. Lines pass
+// through a bounded queue, each event has its own rate limit, and dropped lines are
+// reported by event and count.
 package eventlog
 
 import (
@@ -16,64 +16,67 @@
 	"golang.org/x/time/rate"
 )
 
-// TimeFormat is that of the time of each line, to the millisecond, so that the
-// lines of several hosts can be put in order.
+// TimeFormat is the time format of log lines. It has a resolution of 1 ms, so that the
+// lines of several hosts can be ordered.
 const TimeFormat = "2006-01-02T15:04:05.000Z07:00"
 
 const (
-	// queueLines bounds the lines that wait for the output: at most 1 MB.
-	queueLines = 1024
-	// maxLine bounds one line, in bytes; the rest is cut off.
-	maxLine = 1024
-	// eventRate and eventBurst are the budget of one event, in lines a second: a
-	// flood of refusals leaves room for changes of what the host believes.
+	// maxQueuedLines is the capacity of the queue: at most 1 MiB with maxLineBytes.
+	maxQueuedLines = 1024
+	// maxLineBytes is the maximum size of a line; the rest is truncated.
+	maxLineBytes = 1024
+	// eventRate (lines per second) and eventBurst (lines) limit each event, so that a
+	// flood of refusals does not displace the events that report state changes.
 	eventRate  = 50
 	eventBurst = 200
-	// maxEvents bounds the events with a budget of their own.
+	// maxEvents is the maximum number of events with a rate limit of their own. Lines of
+	// further events are dropped.
 	maxEvents = 256
-	// summaryInterval is the time between two accounts of what was left out.
+	// summaryInterval is the interval of the reports on dropped lines.
 	summaryInterval = time.Second
-	// flushTimeout bounds the writing of the last lines at the end.
+	// flushTimeout bounds the writing of the queued lines at shutdown.
 	flushTimeout = 200 * time.Millisecond
 )
 
-// Writer is an io.Writer of whole lines. It is safe for concurrent use.
+// Writer is an io.Writer that expects one whole line per call of Write. It is safe for
+// concurrent use.
 type Writer struct {
 	out   io.Writer
 	lines chan []byte
 
-	mu      sync.Mutex
-	budgets map[string]*rate.Limiter
-	left    map[string]int // lines left out, by event
+	mu       sync.Mutex
+	limiters map[string]*rate.Limiter
+	dropped  map[string]int // dropped lines since the last summary, by event
 }
 
-// New returns a Writer to an output, which Run writes to.
+// New returns a Writer whose lines Run writes to out.
 func New(out io.Writer) *Writer {
 	return &Writer{
-		out: out, lines: make(chan []byte, queueLines),
-		budgets: make(map[string]*rate.Limiter), left: make(map[string]int),
+		out: out, lines: make(chan []byte, maxQueuedLines),
+		limiters: make(map[string]*rate.Limiter), dropped: make(map[string]int),
 	}
 }
 
-// Write queues a line, or leaves it out. It never blocks and never fails.
+// Write queues a line. It drops the line when its event exceeds the rate limit or the queue
+// is full. It never blocks and never fails.
 func (w *Writer) Write(line []byte) (int, error) {
 	event := eventOf(line)
-	if !w.allows(event) {
+	if !w.allow(event) {
 		return len(line), nil
 	}
-	kept := bytes.Clone(line[:min(len(line), maxLine)])
+	kept := bytes.Clone(line[:min(len(line), maxLineBytes)])
 	if len(kept) > 0 && kept[len(kept)-1] != '\n' {
 		kept[len(kept)-1] = '\n'
 	}
 	select {
 	case w.lines <- kept:
 	default:
-		w.leaveOut(event)
+		w.countDropped(event)
 	}
 	return len(line), nil
 }
 
-// eventOf returns the name of the event in a line of key=value pairs.
+// eventOf returns the event of a logfmt line, which is the value of its key msg.
 func eventOf(line []byte) string {
 	_, rest, ok := bytes.Cut(line, []byte("msg="))
 	if !ok {
@@ -83,32 +86,34 @@
 	return string(bytes.TrimSpace(name))
 }
 
-func (w *Writer) allows(event string) bool {
+// allow applies the rate limit of the event and counts the line as dropped when it exceeds
+// the limit.
+func (w *Writer) allow(event string) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	budget := w.budgets[event]
-	if budget == nil {
-		if len(w.budgets) >= maxEvents {
-			w.left["other"]++
+	limiter := w.limiters[event]
+	if limiter == nil {
+		if len(w.limiters) >= maxEvents {
+			w.dropped["other"]++
 			return false
 		}
-		budget = rate.NewLimiter(eventRate, eventBurst)
-		w.budgets[event] = budget
+		limiter = rate.NewLimiter(eventRate, eventBurst)
+		w.limiters[event] = limiter
 	}
-	if budget.Allow() {
+	if limiter.Allow() {
 		return true
 	}
-	w.left[event]++
+	w.dropped[event]++
 	return false
 }
 
-func (w *Writer) leaveOut(event string) {
+func (w *Writer) countDropped(event string) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.left[event]++
+	w.dropped[event]++
 }
 
-// Run writes lines until ctx ends, and then what is left of them.
+// Run writes the queued lines until ctx ends, then flushes the rest.
 func (w *Writer) Run(ctx context.Context) {
 	ticker := time.NewTicker(summaryInterval)
 	defer ticker.Stop()
@@ -118,33 +123,35 @@
 			w.flush()
 			return
 		case line := <-w.lines:
-			_, _ = w.out.Write(line) // nobody is left to tell
+			_, _ = w.out.Write(line) // there is no other output to report the error to
 		case <-ticker.C:
-			w.summarize()
+			w.writeSummary()
 		}
 	}
 }
 
+// flush writes the queued lines and a last summary. It stops after flushTimeout, without a
+// summary, when lines are still being queued.
 func (w *Writer) flush() {
 	for end := time.Now().Add(flushTimeout); time.Now().Before(end); {
 		select {
 		case line := <-w.lines:
 			_, _ = w.out.Write(line)
 		default:
-			w.summarize()
+			w.writeSummary()
 			return
 		}
 	}
 }
 
-// summarize tells what was left out since the last account.
-func (w *Writer) summarize() {
+// writeSummary writes a line for each event with lines dropped since the last summary.
+func (w *Writer) writeSummary() {
 	w.mu.Lock()
-	left := w.left
-	w.left = make(map[string]int)
+	dropped := w.dropped
+	w.dropped = make(map[string]int)
 	w.mu.Unlock()
 	now := time.Now().Format(TimeFormat)
-	for _, event := range slices.Sorted(maps.Keys(left)) {
-		_, _ = fmt.Fprintf(w.out, "time=%s level=warn msg=lines_left_out event=%s count=%d\n", now, event, left[event])
+	for _, event := range slices.Sorted(maps.Keys(dropped)) {
+		_, _ = fmt.Fprintf(w.out, "time=%s level=warn msg=lines_left_out event=%s count=%d\n", now, event, dropped[event])
 	}
 }
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -12,34 +12,36 @@
 	"github.com/charmbracelet/log"
 )
 
-// stuck is an output that nobody reads.
-type stuck struct{ block chan struct{} }
+// blockedWriter is an output whose writes block until block is closed.
+type blockedWriter struct{ block chan struct{} }
 
-func (s stuck) Write(p []byte) (int, error) {
+func (s blockedWriter) Write(p []byte) (int, error) {
 	<-s.block
 	return len(p), nil
 }
 
-// buffer is a bytes.Buffer for several tasks.
-type buffer struct {
+// syncBuffer is a bytes.Buffer that is safe for concurrent use.
+type syncBuffer struct {
 	mu sync.Mutex
 	b  bytes.Buffer
 }
 
-func (b *buffer) Write(p []byte) (int, error) {
+func (b *syncBuffer) Write(p []byte) (int, error) {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.Write(p)
 }
 
-func (b *buffer) String() string {
+func (b *syncBuffer) String() string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.b.String()
 }
 
-func TestAStuckOutputHoldsNobodyUp(t *testing.T) {
-	s := stuck{block: make(chan struct{})}
+// An output that does not accept data, such as a full pipe, must not block the goroutines
+// that log.
+func TestWriterBlockedOutputDoesNotBlockCallers(t *testing.T) {
+	s := blockedWriter{block: make(chan struct{})}
 	w := New(s)
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -47,22 +49,23 @@
 	written := make(chan struct{})
 	go func() {
 		defer close(written)
-		for i := range 10 * queueLines {
+		for i := range 10 * maxQueuedLines {
 			_, _ = fmt.Fprintf(w, "level=info msg=event_%d n=1\n", i%maxEvents)
 		}
 	}()
 	select {
 	case <-written:
 	case <-time.After(time.Minute):
-		t.Fatal("a task that logs waits for the output")
+		t.Fatal("Write blocks on the output")
 	}
 	close(s.block)
 	cancel()
 	<-done
 }
 
-func TestAFloodLeavesRoomForOtherEvents(t *testing.T) {
-	out := &buffer{}
+// A flood of one event must not cause lines of other events to be dropped.
+func TestWriterRateLimitIsPerEvent(t *testing.T) {
+	out := &syncBuffer{}
 	w := New(out)
 	logger := log.NewWithOptions(w, log.Options{Formatter: log.LogfmtFormatter})
 	for range 20 * eventBurst {
@@ -74,24 +77,24 @@
 	w.Run(ctx)
 	text := out.String()
 	if !strings.Contains(text, "msg=lease_lost revision=7") {
-		t.Error("a change of belief was left out")
+		t.Error("a line of another event was dropped")
 	}
 	if n := strings.Count(text, "msg=statement_refused"); n > eventBurst+eventRate {
-		t.Errorf("%d lines of one event", n)
+		t.Errorf("%d lines of one event exceed the rate limit", n)
 	}
 	if !strings.Contains(text, "msg=lines_left_out event=statement_refused count=") {
-		t.Error("nothing tells what was left out")
+		t.Error("dropped lines are not reported")
 	}
 }
 
-func TestALongLineIsCut(t *testing.T) {
-	out := &buffer{}
+func TestWriterTruncatesLongLine(t *testing.T) {
+	out := &syncBuffer{}
 	w := New(out)
-	_, _ = fmt.Fprintf(w, "msg=long text=%s\n", strings.Repeat("x", 3*maxLine))
+	_, _ = fmt.Fprintf(w, "msg=long text=%s\n", strings.Repeat("x", 3*maxLineBytes))
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	w.Run(ctx)
-	if got := out.String(); len(got) != maxLine || !strings.HasSuffix(got, "\n") {
+	if got := out.String(); len(got) != maxLineBytes || !strings.HasSuffix(got, "\n") {
 		t.Errorf("%d bytes", len(got))
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -9,7 +9,7 @@
 )
 
 // entryLog and controlLog are the logs of two hosts around a refusal during a
-// change of the primary; the first was collected with a prefix.
+// change of the primary. The lines of entryLog have the prefix of a log collector.
 const (
 	entryLog = `  4.2 front-1 time=2026-12-04T12:00:04.200Z level=info msg=lease_gained host=front-1 role=entry revision=40
   5.3 front-1 time=2026-12-04T12:00:05.300Z level=warn msg=endpoint_suspected host=front-1 role=entry service=logs endpoint=p cause="connect: i/o timeout"
@@ -37,7 +37,7 @@
 	return all
 }
 
-func TestAnAccountInOrder(t *testing.T) {
+func TestReportTextInOrder(t *testing.T) {
 	a := Explain(read(t, entryLog, controlLog), "id-1")
 	var text bytes.Buffer
 	if err := a.WriteText(&text); err != nil {
@@ -46,17 +46,17 @@
 	goldie.New(t).Assert(t, "account", text.Bytes())
 }
 
-func TestWhatIsMissingIsNamed(t *testing.T) {
+func TestReportNamesMissingLines(t *testing.T) {
 	a := Explain(read(t, entryLog), "id-1")
 	if len(a.Missing) != 1 || !strings.Contains(a.Missing[0], "group_status") {
 		t.Errorf("missing %q", a.Missing)
 	}
 	if a := Explain(read(t, entryLog), "unknown"); len(a.Entries) != 0 || len(a.Missing) != 1 {
-		t.Errorf("account %+v", a)
+		t.Errorf("report %+v", a)
 	}
 }
 
-func TestLinesWithoutAnEventAreCounted(t *testing.T) {
+func TestReadCountsLinesWithoutEvent(t *testing.T) {
 	lines, skipped, err := Read(strings.NewReader(entryLog))
 	if err != nil || len(lines) != 4 || skipped != 1 {
 		t.Errorf("%d lines, %d skipped, %v", len(lines), skipped, err)
--- a/internal/explain/parse.go
+++ b/internal/explain/parse.go
@@ -1,6 +1,6 @@
-// Package explain joins the log lines of several hosts into an account of one
-// request: what was decided about it, and what the hosts believed around that
-// time. It reads lines of key=value pairs as the daemons write them.
+// Package explain merges the log lines of several hosts into a report on one
+// request: its outcome, and the state events of the hosts around that
+// time. It reads the logfmt lines that the daemons write.
 package explain
 
 import (
@@ -13,23 +13,23 @@
 	"github.com/pkg/errors"
 )
 
-// Line is one event of a log.
+// Line is a log line.
 type Line struct {
 	Time time.Time
-	// Host wrote the line; empty where the line does not name it.
+	// Host is the host that logged the line; empty when the line does not name it.
 	Host  string
 	Event string
-	// Fields are the other pairs in the order of the line.
+	// Fields are the other key=value pairs in the order of the line, without the level.
 	Fields []Field
 }
 
-// Field is one pair of a line.
+// Field is a key=value pair of a line.
 type Field struct {
 	Key   string `json:"key"`
 	Value string `json:"value"`
 }
 
-// Get returns the value of a field, or the empty string.
+// Get returns the value of the first field with the key, or an empty string.
 func (l Line) Get(key string) string {
 	for _, f := range l.Fields {
 		if f.Key == key {
@@ -39,18 +39,18 @@
 	return ""
 }
 
-// maxLine bounds one line, in bytes: some times what a daemon writes.
-const maxLine = 64 << 10
+// maxLineBytes is the maximum size of a line. It is a multiple of what a daemon writes.
+const maxLineBytes = 64 << 10
 
-// timeMark begins what a daemon wrote; whatever collects the lines may have put
-// its own words before it.
-var timeMark = []byte("time=")
+// timePrefix starts the part of a line that the daemon wrote. A log collector may have
+// put a prefix of its own before it.
+var timePrefix = []byte("time=")
 
-// Read reads the lines of one log. Lines that hold no event are skipped and
-// counted. It returns the errors of the reader.
+// Read parses the lines of one log. Lines without an event or a valid time are skipped and
+// counted. It returns the errors of r.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
-	scanner.Buffer(nil, maxLine)
+	scanner.Buffer(nil, maxLineBytes)
 	for scanner.Scan() {
 		if l, ok := parse(scanner.Bytes()); ok {
 			lines = append(lines, l)
@@ -62,7 +62,7 @@
 }
 
 func parse(text []byte) (Line, bool) {
-	at := bytes.Index(text, timeMark)
+	at := bytes.Index(text, timePrefix)
 	if at < 0 {
 		return Line{}, false
 	}
@@ -80,7 +80,7 @@
 func (l *Line) add(key, value string) {
 	switch key {
 	case "time":
-		l.Time, _ = time.Parse(time.RFC3339Nano, value) // a zero time refuses the line
+		l.Time, _ = time.Parse(time.RFC3339Nano, value) // parse rejects lines with a zero time
 	case "msg":
 		l.Event = value
 	case "host":
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -8,18 +8,19 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// pendingCall is a request that waits for its reply.
+// pendingCall is a request that awaits its reply. A closed reply channel means that the
+// connection to the host was lost.
 type pendingCall struct {
 	host  string
 	reply chan envelope
 }
 
-// ErrUnreachable is the cause of a failed Call when the peer could not be
-// connected to or the connection was lost. The request may have been handled.
+// ErrUnreachable is returned by Call when the peer could not be connected to, the
+// connection was lost, or this Node was stopped. The peer may have handled the request.
 var ErrUnreachable = errors.New("peer unreachable")
 
-// Call sends a request to host and decodes the answer into reply, which may be
-// nil. It returns a result.Error when the peer answered with one,
+// Call sends a request to host and decodes the response into reply, which may be
+// nil. It returns a result.Error when the peer responded with one,
 // ErrUnreachable when the connection failed, or the error of ctx.
 func (n *Node) Call(ctx context.Context, host, addr string, kind Kind, msg, reply any) error {
 	body, err := Marshal(msg)
@@ -69,8 +70,8 @@
 	delete(n.pending, id)
 }
 
-// finishCall hands a reply to its caller. Replies of other hosts than the one
-// asked are ignored.
+// finishCall passes a reply to its caller. A reply is ignored when no call with its ID
+// is pending or when it comes from another host than the request was sent to.
 func (n *Node) finishCall(host string, e envelope) {
 	n.mu.Lock()
 	call := n.pending[e.ID]
@@ -83,7 +84,7 @@
 	call.reply <- e
 }
 
-// failCalls ends every request to host that waits for its reply.
+// failCalls fails every pending request to host with ErrUnreachable.
 func (n *Node) failCalls(host string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -95,7 +96,8 @@
 	}
 }
 
-// serveCall runs the handler of a request and sends the reply.
+// serveCall runs the handler of a request in a new goroutine and sends the reply. It
+// does not block: when maxCalls handlers are running, the request fails with QueueFull.
 func (n *Node) serveCall(from Identity, e envelope) {
 	n.mu.Lock()
 	handle := n.calls[e.Kind]
@@ -103,7 +105,7 @@
 	select {
 	case n.callSlots <- struct{}{}:
 	default:
-		n.reply(from, e, nil, result.New(result.QueueFull, "too many requests from peers"))
+		n.reply(from, e, nil, result.New(result.QueueFull, "too many concurrent requests from peers"))
 		return
 	}
 	go func() {
--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -10,17 +10,19 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// closeBase is the first WebSocket close status free for applications. Result
-// codes start at 1001 and are sent as closeBase plus the code minus 5000.
-const closeBase = 4000
+// closeStatusBase is the first WebSocket close status for private use (RFC 6455). The
+// result codes of peers start at 5001 and are sent as closeStatusBase plus the code minus
+// 5000.
+const closeStatusBase = 4000
 
-// conn is one authenticated connection.
+// conn is an authenticated connection to a peer.
 type conn struct {
 	ws     *websocket.Conn
 	peer   Identity
 	cancel context.CancelFunc
 	ctx    context.Context
-	// lastRead and lastUse are Unix times in nanoseconds.
+	// lastRead and lastUse are the times of the last message received and of the last
+	// message in either direction, in Unix nanoseconds. Pings do not count.
 	lastRead atomic.Int64
 	lastUse  atomic.Int64
 }
@@ -51,9 +53,10 @@
 	return data, err
 }
 
-// probe pings a silent connection and closes it when the ping fails or when no
-// messages passed for the idle time.
-func (c *conn) probe() {
+// checkLiveness sends a ping when nothing was received for pingInterval. It closes the
+// connection when a ping fails or when no message passed for idleTimeout, and returns once
+// the connection is closed.
+func (c *conn) checkLiveness() {
 	ticker := time.NewTicker(pingInterval)
 	defer ticker.Stop()
 	for {
@@ -82,13 +85,14 @@
 	return c.ws.Ping(ctx)
 }
 
+// since returns the time elapsed since stamp, in Unix nanoseconds.
 func since(stamp *atomic.Int64) time.Duration {
 	return time.Duration(time.Now().UnixNano() - stamp.Load())
 }
 
-// refuse closes the connection with the result code as close status.
+// refuse closes the connection with a close status that carries the result code.
 func (c *conn) refuse(code result.Code) {
-	status := websocket.StatusCode(closeBase + int(code) - int(result.PeerFleet) + 1)
+	status := websocket.StatusCode(closeStatusBase + int(code) - int(result.PeerFleet) + 1)
 	_ = c.ws.Close(status, result.Lookup(code).Name)
 }
 
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -10,11 +10,15 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// maxHandshake bounds the frames of a peer that is not authenticated, in bytes.
+// maxHandshake is the maximum size of a handshake frame and of the HTTP headers, in
+// bytes. It applies until the peer is authenticated.
 const maxHandshake = 4 << 10
 
-// greet runs the dialer's side of the handshake.
-func (n *Node) greet(ctx context.Context, ws *websocket.Conn, state *tls.ConnectionState, host string) (Identity, error) {
+// dialHandshake runs the dialer's side of the handshake. The dialer sends its hello, the
+// acceptor responds with its hello and proof, the dialer sends its proof, and the acceptor
+// confirms with an empty frame. Either side may end the handshake with a refusal. The peer
+// must identify itself as host.
+func (n *Node) dialHandshake(ctx context.Context, ws *websocket.Conn, state *tls.ConnectionState, host string) (Identity, error) {
 	mine, err := n.newHello()
 	if err != nil {
 		return Identity{}, err
@@ -40,8 +44,8 @@
 	return peer, err
 }
 
-// welcome runs the acceptor's side of the handshake.
-func (n *Node) welcome(ctx context.Context, ws *websocket.Conn, state *tls.ConnectionState) (Identity, error) {
+// acceptHandshake runs the acceptor's side of the handshake; see dialHandshake.
+func (n *Node) acceptHandshake(ctx context.Context, ws *websocket.Conn, state *tls.ConnectionState) (Identity, error) {
 	first, err := readFrame(ctx, ws)
 	if err != nil {
 		return Identity{}, n.refuse(ctx, ws, err)
@@ -69,7 +73,9 @@
 	return peer, writeFrame(ctx, ws, handshakeFrame{})
 }
 
-// verify checks the hello and the proof in frame, sent by the peer in role.
+// verify checks the hello, the proof and the certificate of the peer, which sent frame in
+// the given role, and registers the peer's incarnation. The incarnation is registered last:
+// an unauthenticated peer must not be able to replace another process.
 func (n *Node) verify(frame handshakeFrame, role string, dialer, acceptor []byte, state *tls.ConnectionState) (Identity, error) {
 	h, err := n.checkHello(frame.Hello)
 	if err != nil {
@@ -87,8 +93,9 @@
 	return Identity{Host: h.Host, Incarnation: h.Incarnation, Addr: h.Addr}, nil
 }
 
-// refuse counts a refusal of the peer, tells the peer the result code and
-// returns the cause. Failures of the connection are not refusals.
+// refuse returns cause. When cause is a result.Error of this host, it also counts the
+// refusal, logs it and sends the result code to the peer. Failures of the connection are
+// not refusals.
 func (n *Node) refuse(ctx context.Context, ws *websocket.Conn, cause error) error {
 	var e *result.Error
 	if !errors.As(cause, &e) || errors.Is(cause, errRefusedByPeer) {
@@ -100,10 +107,11 @@
 	return cause
 }
 
-// errRefusedByPeer marks a refusal that the peer sent.
+// errRefusedByPeer matches refusals that were received from the peer.
 var errRefusedByPeer = errors.New("refused by the peer")
 
-// refusal is the result that a peer ended the handshake with.
+// refusal is a result.Error with which the peer ended the handshake. It matches
+// errRefusedByPeer.
 type refusal struct {
 	cause *result.Error
 }
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -2,13 +2,13 @@
 
 import "strconv"
 
-// Kind identifies the type of a message between hosts. Kinds are stable and
-// never reused.
+// Kind identifies the type of a message between hosts. Numbers are part of the wire
+// protocol and never reused.
 type Kind uint16
 
 // Kinds of messages. 1-9: consensus; 10-29: configuration and membership;
-// 30-39: failover; 40-49: session positions; 50-59: quotas; 60-69: callers'
-// requests between hosts.
+// 30-39: failover; 40-49: session positions; 50-59: quotas; 60-69: forwarded
+// requests of callers.
 const (
 	KindConsensus Kind = 1
 	KindProposal  Kind = 2
@@ -38,12 +38,13 @@
 	KindCancel Kind = 60
 )
 
-// kindInfo describes a kind for metrics and for the outgoing queue.
+// kindInfo holds the name of a kind in metrics and logs and its treatment in the outgoing
+// queue.
 type kindInfo struct {
 	name string
-	// soft messages are dropped first when a queue is full: a later message
-	// makes up for the lost one.
-	soft bool
+	// droppable messages are dropped when a queue is full, because a later message
+	// supersedes them.
+	droppable bool
 }
 
 var kinds = map[Kind]kindInfo{
@@ -78,11 +79,11 @@
 	return "kind_" + strconv.Itoa(int(k))
 }
 
-// known reports whether the kind is in the table. Messages of unknown kinds
-// are malformed.
+// known reports whether the kind is defined. Messages of other kinds are refused
+// as malformed.
 func (k Kind) known() bool {
 	_, ok := kinds[k]
 	return ok
 }
 
-func (k Kind) soft() bool { return kinds[k].soft }
+func (k Kind) droppable() bool { return kinds[k].droppable }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -8,23 +8,24 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Timing of connections.
+// Timeouts and intervals of connections.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 400 * time.Millisecond
-	// connectTimeout bounds the opening packets: a machine without power answers
-	// nothing, and the system would send them again only after a second.
+	// connectTimeout bounds the TCP connect. A machine that is down does not respond, and
+	// the kernel would retransmit the SYN only after 1 s.
 	connectTimeout   = 400 * time.Millisecond
 	handshakeTimeout = 2 * time.Second
 	writeTimeout     = 2 * time.Second
-	// pingInterval is the silence after which a connection is probed.
+	// pingInterval is the time without received messages after which a ping is sent.
 	pingInterval = 1 * time.Second
 	pingTimeout  = 2 * time.Second
-	// idleTimeout closes connections that carry no messages.
+	// idleTimeout is the time without messages after which a connection is closed.
 	idleTimeout = 60 * time.Second
 )
 
-// link owns the connections to one peer and its outgoing queue.
+// link owns the connections to one peer and the queue of outgoing messages. There may be
+// several connections when both hosts dial at the same time.
 type link struct {
 	node  *Node
 	host  string
@@ -32,7 +33,7 @@
 
 	mu    sync.Mutex
 	addr  string
-	conns []*conn // the newest last
+	conns []*conn // oldest first
 }
 
 func newLink(n *Node, host string) *link {
@@ -55,7 +56,8 @@
 	return l.addr
 }
 
-// newest returns the connection to send on, or nil.
+// newest returns the most recently attached connection, or nil when there is none.
+// Messages are sent on this one.
 func (l *link) newest() *conn {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -65,6 +67,7 @@
 	return l.conns[len(l.conns)-1]
 }
 
+// attach adds an authenticated connection and adopts the address that the peer advertises.
 func (l *link) attach(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -75,6 +78,7 @@
 	l.node.metrics.conns.Inc()
 }
 
+// detach removes a connection. It has no effect when the connection is not attached.
 func (l *link) detach(c *conn) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -87,8 +91,8 @@
 	}
 }
 
-// dropOlder closes the connections to processes older than incarnation.
-func (l *link) dropOlder(incarnation uint64) {
+// closeOlder closes the connections to processes with a lower incarnation.
+func (l *link) closeOlder(incarnation uint64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	for _, c := range l.conns {
@@ -98,8 +102,8 @@
 	}
 }
 
-// run sends the queued messages and dials when there are some but no
-// connection.
+// run sends the queued messages until ctx ends. It dials the peer when a message is queued
+// and no connection exists.
 func (l *link) run(ctx context.Context) {
 	backoff := minBackoff
 	for {
@@ -113,7 +117,7 @@
 			continue
 		}
 		if l.host == l.node.opts.Host {
-			l.loop(msg)
+			l.deliverLocal(msg)
 			continue
 		}
 		c := l.newest()
@@ -131,11 +135,11 @@
 	}
 }
 
-// loop passes a message of this host to itself.
-func (l *link) loop(msg outgoing) {
+// deliverLocal passes a message addressed to this host to the local handlers.
+func (l *link) deliverLocal(msg outgoing) {
 	e, err := decodeEnvelope(msg.data)
 	if err != nil {
-		l.node.malformed(l.host, msg.kind, err)
+		l.node.countMalformed(l.host, msg.kind, err)
 		return
 	}
 	opts := l.node.opts
@@ -143,8 +147,8 @@
 	l.node.deliver(self, e)
 }
 
-// connect dials the peer once. After a failure it drops what is queued, fails
-// the waiting requests and waits for the back-off time.
+// connect dials the peer once. On failure it drops the queued messages, fails
+// the pending requests and waits for the backoff time.
 func (l *link) connect(ctx context.Context, backoff *time.Duration) *conn {
 	addr := l.address()
 	if addr != "" {
@@ -163,7 +167,7 @@
 	case <-time.After(*backoff):
 	}
 	*backoff = min(2**backoff, maxBackoff)
-	// The peer may have connected by itself in the meantime.
+	// The peer may have connected to this host in the meantime.
 	return l.newest()
 }
 
@@ -177,8 +181,8 @@
 	l.node.metrics.count(msg.kind, directionOut, len(msg.data))
 }
 
-// serve reads the connection until it fails. It detaches the connection and
-// fails the waiting requests when none is left.
+// serve reads messages from c until it fails or sends a malformed message, then closes and
+// detaches it. When no connection to the peer remains, the pending requests fail.
 func (l *link) serve(c *conn) {
 	defer func() {
 		l.detach(c)
@@ -186,14 +190,14 @@
 			l.node.failCalls(l.host)
 		}
 	}()
-	probed := make(chan struct{})
+	checkDone := make(chan struct{})
 	go func() {
-		defer close(probed)
-		c.probe()
+		defer close(checkDone)
+		c.checkLiveness()
 	}()
 	defer func() {
 		c.close()
-		<-probed
+		<-checkDone
 	}()
 	for {
 		data, err := c.read()
@@ -202,7 +206,7 @@
 		}
 		e, err := decodeEnvelope(data)
 		if err != nil {
-			l.node.malformed(l.host, e.Kind, err)
+			l.node.countMalformed(l.host, e.Kind, err)
 			c.refuse(result.PeerMalformed)
 			return
 		}
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -8,13 +8,13 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Directions of a message.
+// Values of the label direction.
 const (
 	directionIn  = "in"
 	directionOut = "out"
 )
 
-// metrics counts the messages between hosts.
+// metrics holds the metrics of messages and connections between hosts.
 type metrics struct {
 	messages *prometheus.CounterVec
 	bytes    *prometheus.CounterVec
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -1,9 +1,9 @@
-// Package peer carries typed messages between the hosts of a fleet: CBOR in
-// WebSocket messages over TCP. Peers prove to each other that they hold the
-// fleet secret before any message is passed on.
+// Package peer carries typed messages between the hosts of a fleet, encoded as CBOR in
+// WebSocket messages over TCP. Both sides of a connection prove that they hold the fleet
+// secret before any message is delivered.
 //
-// Messages may be lost, and messages on different connections may overtake
-// each other. Senders never block.
+// Messages may be lost, and messages on different connections may be reordered. Sending
+// never blocks.
 package peer
 
 import (
@@ -21,27 +21,27 @@
 
 // Options configure a Node.
 type Options struct {
-	// Host is the identity of this host.
+	// Host is the name that identifies this host in the fleet.
 	Host        string
 	Fleet       string
 	Secret      string
-	Incarnation uint64
+	Incarnation uint64 // higher for a newer process of the same host
 	// Listen is the IP address and port to accept peers on.
 	Listen string
-	// Advertise is the address that peers dial; empty means the address that
+	// Advertise is the address that peers dial. If empty, it is the address that
 	// the listener is bound to.
 	Advertise string
-	// TLS is nil for plain TCP.
+	// TLS configures mutual TLS; nil means no encryption.
 	TLS *tls.Config
-	// Transport is nil for TCP.
+	// Transport opens the connections; nil means TCP.
 	Transport Transport
 	Registry  prometheus.Registerer
 	Logger    *log.Logger
-	// OnReplaced is called when a newer process of this host was seen.
+	// OnReplaced is called once, when a newer process of this host is detected.
 	OnReplaced func()
 }
 
-// Identity names a connected peer.
+// Identity identifies the process at the other end of a connection.
 type Identity struct {
 	Host        string
 	Incarnation uint64
@@ -52,12 +52,12 @@
 // Handler receives one-way messages. It must not block.
 type Handler func(from Identity, body []byte)
 
-// CallHandler answers requests. It runs in a goroutine of its own. An error
-// reaches the caller with its result code.
+// CallHandler handles requests and returns the response. Each call runs in its own
+// goroutine. An error is sent to the caller with its result code.
 type CallHandler func(ctx context.Context, from Identity, body []byte) (any, error)
 
-// Node is a host's end of all connections to its peers. It is safe for
-// concurrent use.
+// Node manages the connections of this host to its peers, sends and receives messages and
+// dispatches them to handlers. It is safe for concurrent use.
 type Node struct {
 	opts    Options
 	metrics *metrics
@@ -79,13 +79,14 @@
 	replaceOnce sync.Once
 }
 
-// Bounds on the work that peers can cause at once.
+// Limits on the concurrent work that peers can cause.
 const (
-	maxCalls   = 512
-	maxAccepts = 512
+	maxCalls   = 512 // requests being handled
+	maxAccepts = 512 // handshakes in progress
 )
 
-// NewNode returns a Node that neither listens nor dials yet.
+// NewNode returns a Node with the given options. It does not listen until Listen or Run
+// is called.
 func NewNode(opts Options) *Node {
 	if opts.Transport == nil {
 		opts.Transport = &tcp{dialer: net.Dialer{Timeout: connectTimeout}}
@@ -115,10 +116,10 @@
 // Incarnation returns the incarnation of this process.
 func (n *Node) Incarnation() uint64 { return n.opts.Incarnation }
 
-// Addr returns the address that peers dial, once Listen has succeeded.
+// Addr returns the address that peers dial. It is valid once Listen has succeeded.
 func (n *Node) Addr() string { return n.advertised() }
 
-// Handle registers the handler of one-way messages of a kind. Register before
+// Handle registers the handler of one-way messages of a kind. It must be called before
 // Run.
 func (n *Node) Handle(kind Kind, h Handler) {
 	n.mu.Lock()
@@ -126,7 +127,7 @@
 	n.handlers[kind] = h
 }
 
-// HandleCall registers the handler of requests of a kind. Register before Run.
+// HandleCall registers the handler of requests of a kind. It must be called before Run.
 func (n *Node) HandleCall(kind Kind, h CallHandler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -134,24 +135,25 @@
 }
 
 // On registers a handler of one-way messages of type T. Bodies that do not
-// hold a T are counted as malformed and dropped.
+// decode into a T are counted as malformed and dropped.
 func On[T any](n *Node, kind Kind, handle func(from Identity, msg T)) {
 	n.Handle(kind, func(from Identity, body []byte) {
 		var msg T
 		if err := Unmarshal(body, &msg); err != nil {
-			n.malformed(from.Host, kind, err)
+			n.countMalformed(from.Host, kind, err)
 			return
 		}
 		handle(from, msg)
 	})
 }
 
-// OnCall registers a handler of requests of type T with answers of type R.
+// OnCall registers a handler of requests of type T with responses of type R. Bodies that
+// do not decode into a T are counted as malformed and fail with PeerMalformed.
 func OnCall[T, R any](n *Node, kind Kind, handle func(ctx context.Context, from Identity, msg T) (R, error)) {
 	n.HandleCall(kind, func(ctx context.Context, from Identity, body []byte) (any, error) {
 		var msg T
 		if err := Unmarshal(body, &msg); err != nil {
-			n.malformed(from.Host, kind, err)
+			n.countMalformed(from.Host, kind, err)
 			return nil, err
 		}
 		return handle(ctx, from, msg)
@@ -159,8 +161,8 @@
 }
 
 // ObserveIncarnation records that a process of host with the given incarnation exists. It
-// reports false when a newer one is known. Connections to older processes are
-// closed.
+// returns false when a newer one is recorded. Connections to older processes of the host
+// are closed. The recorded incarnation of a host never decreases.
 func (n *Node) ObserveIncarnation(host string, incarnation uint64) bool {
 	n.mu.Lock()
 	known := n.incarnations[host]
@@ -170,16 +172,15 @@
 	l := n.links[host]
 	n.mu.Unlock()
 	if incarnation > known && l != nil {
-		l.dropOlder(incarnation)
+		l.closeOlder(incarnation)
 	}
 	if host == n.opts.Host && incarnation > n.opts.Incarnation {
-		n.replaced()
+		n.reportReplaced()
 	}
 	return incarnation >= known
 }
 
-// NewestIncarnation returns the incarnation of the newest process of a host that was
-// observed, or zero.
+// NewestIncarnation returns the highest incarnation recorded for a host, or zero.
 func (n *Node) NewestIncarnation(host string) uint64 {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -187,8 +188,8 @@
 }
 
 // Send queues a one-way message to host. The address is dialed when there is
-// no connection; it may be empty when the peer has connected by itself. Send
-// does not block, and a nil error does not mean that the message arrives.
+// no connection; it may be empty when the peer has connected to this host. Send
+// does not block, and a nil error does not mean that the message is delivered.
 func (n *Node) Send(host, addr string, kind Kind, msg any) error {
 	body, err := Marshal(msg)
 	if err != nil {
@@ -210,7 +211,8 @@
 	return l.queue.put(outgoing{kind: e.Kind, data: data})
 }
 
-// deliver passes a decoded message to its handler.
+// deliver dispatches a received message to the pending call or the handler that it is for.
+// A one-way message without a handler is dropped.
 func (n *Node) deliver(from Identity, e envelope) {
 	switch {
 	case e.Reply:
@@ -227,12 +229,14 @@
 	}
 }
 
-func (n *Node) malformed(host string, kind Kind, err error) {
+// countMalformed counts and logs a message that could not be decoded.
+func (n *Node) countMalformed(host string, kind Kind, err error) {
 	n.metrics.refuse(result.PeerMalformed)
 	n.opts.Logger.Warn("peer_malformed", "peer", host, "kind", kind, "err", err.Error())
 }
 
-func (n *Node) replaced() {
+// reportReplaced calls Options.OnReplaced, at most once.
+func (n *Node) reportReplaced() {
 	n.replaceOnce.Do(func() {
 		n.opts.Logger.Error("host_replaced", "host", n.opts.Host, "incarnation", n.opts.Incarnation)
 		if n.opts.OnReplaced != nil {
@@ -241,6 +245,8 @@
 	})
 }
 
+// advertised returns the address that peers dial: the configured one, else the one that the
+// listener is bound to, else the one to listen on.
 func (n *Node) advertised() string {
 	if n.opts.Advertise != "" {
 		return n.opts.Advertise
@@ -253,7 +259,7 @@
 	return n.listener.Addr().String()
 }
 
-// link returns the link to host and starts it when it is new.
+// link returns the link to host. It creates and starts the link on first use.
 func (n *Node) link(host string) *link {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -263,7 +269,7 @@
 	}
 	l = newLink(n, host)
 	n.links[host] = l
-	if n.begin() {
+	if n.addTaskLocked() {
 		go func() {
 			defer n.tasks.Done()
 			l.run(n.ctx)
@@ -272,9 +278,9 @@
 	return l
 }
 
-// begin counts a goroutine that Run waits for, unless the Node has stopped.
-// The caller holds n.mu.
-func (n *Node) begin() bool {
+// addTaskLocked adds a goroutine to those that Run waits for. It returns false when the
+// Node has stopped; the goroutine must then not be started. The caller holds n.mu.
+func (n *Node) addTaskLocked() bool {
 	if n.ctx.Err() != nil {
 		return false
 	}
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if _, err := call(t, a, b, "refuse"); result.CodeOf(err) != result.NotLeader {
-		t.Fatalf("got %v, want the code of the handler", err)
+		t.Fatalf("got %v, want the error code of the handler", err)
 	}
 	if got := value(t, a.metrics.messages.WithLabelValues("status", directionOut)); got < 2 {
 		t.Errorf("counted %v messages out", got)
@@ -107,7 +107,7 @@
 	}
 }
 
-func TestRefusals(t *testing.T) {
+func TestHandshakeRefusals(t *testing.T) {
 	tests := []struct {
 		name   string
 		change func(*Options)
@@ -142,7 +142,7 @@
 	}
 }
 
-func TestOtherVersionIsRefused(t *testing.T) {
+func TestCheckHelloOtherVersion(t *testing.T) {
 	n := NewNode(options("a", 1))
 	data, err := Marshal(hello{Version: ProtocolVersion + 1, Fleet: "fleet", Host: "b", Nonce: make([]byte, nonceSize)})
 	if err != nil {
@@ -153,7 +153,7 @@
 	}
 }
 
-func TestNewerProcessReplacesOlder(t *testing.T) {
+func TestNodeNewerProcessReplacesOlder(t *testing.T) {
 	b := start(t, options("b", 1), echo)
 	older := start(t, options("a", 1), nil)
 	if _, err := call(t, older, b, "hello"); err != nil {
@@ -169,12 +169,12 @@
 			return
 		}
 		if time.Now().After(deadline) {
-			t.Fatal("the older process is still served")
+			t.Fatal("calls of the older process still succeed")
 		}
 	}
 }
 
-func TestMalformedBodyIsCounted(t *testing.T) {
+func TestCallMalformedBodyIsCounted(t *testing.T) {
 	b := start(t, options("b", 1), echo)
 	a := start(t, options("a", 1), nil)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -188,7 +188,7 @@
 	}
 }
 
-func TestFullQueueDropsOldestSoftMessage(t *testing.T) {
+func TestQueueFullDropsOldestDroppableMessage(t *testing.T) {
 	var dropped []Kind
 	q := newQueue(func(k Kind) { dropped = append(dropped, k) })
 	for range queueMessages - 1 {
@@ -233,7 +233,7 @@
 	})
 }
 
-// value reads a counter.
+// value returns the value of a counter.
 func value(t *testing.T, c prometheus.Counter) float64 {
 	t.Helper()
 	reg := prometheus.NewRegistry()
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -6,40 +6,42 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Bounds of the outgoing queue of one peer.
+// Limits of the outgoing queue of one peer, in messages and bytes.
 const (
 	queueMessages = 1024
 	queueBytes    = 2 * MaxMessage
 )
 
-// outgoing is one encoded message.
+// outgoing is an encoded message in the queue.
 type outgoing struct {
 	kind Kind
 	data []byte
 }
 
-// queue holds the messages to one peer. Adding to it never blocks.
+// queue is the bounded queue of outgoing messages to one peer. Adding a message never
+// blocks.
 type queue struct {
 	mu      sync.Mutex
 	items   []outgoing
 	bytes   int
-	wake    chan struct{}
-	dropped func(Kind)
+	wake    chan struct{} // receives a token when a message is added
+	dropped func(Kind)    // called for each message dropped
 }
 
 func newQueue(dropped func(Kind)) *queue {
 	return &queue{wake: make(chan struct{}, 1), dropped: dropped}
 }
 
-// put appends a message. When the queue is full it drops the oldest soft
-// message; a queue full of others refuses the new message.
+// put appends a message. When the queue is full, it drops the oldest droppable messages
+// to make room. When there are none left, it drops the new message and returns a
+// result.Error with code QueueFull.
 func (q *queue) put(msg outgoing) error {
 	q.mu.Lock()
 	defer q.mu.Unlock()
 	for q.full(len(msg.data)) {
-		if !q.dropSoft() {
+		if !q.dropOldestDroppable() {
 			q.dropped(msg.kind)
-			return result.New(result.QueueFull, "outgoing queue of the peer is full")
+			return result.New(result.QueueFull, "outgoing queue to the peer is full")
 		}
 	}
 	q.items = append(q.items, msg)
@@ -55,9 +57,9 @@
 	return len(q.items) >= queueMessages || (len(q.items) > 0 && q.bytes+size > queueBytes)
 }
 
-func (q *queue) dropSoft() bool {
+func (q *queue) dropOldestDroppable() bool {
 	for i, msg := range q.items {
-		if !msg.kind.soft() {
+		if !msg.kind.droppable() {
 			continue
 		}
 		q.bytes -= len(msg.data)
@@ -68,7 +70,7 @@
 	return false
 }
 
-// take removes the oldest message.
+// take removes and returns the oldest message. It returns false when the queue is empty.
 func (q *queue) take() (outgoing, bool) {
 	q.mu.Lock()
 	defer q.mu.Unlock()
@@ -82,7 +84,7 @@
 	return msg, true
 }
 
-// clear drops every message.
+// clear drops all messages.
 func (q *queue) clear() {
 	for {
 		msg, ok := q.take()
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -14,10 +14,10 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// path is the URL path of the WebSocket.
-const path = "/peer"
+// urlPath is the URL path of the WebSocket endpoint for peers.
+const urlPath = "/peer"
 
-// Listen binds the listener, so that Addr is known before Run.
+// Listen binds the listener, so that Addr is valid before Run. Further calls have no effect.
 func (n *Node) Listen() error {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -66,7 +66,7 @@
 	return server.Serve(n.listener)
 }
 
-// accept serves one connection of a peer until it ends.
+// accept handles an incoming connection until it closes.
 func (n *Node) accept(w http.ResponseWriter, r *http.Request) {
 	select {
 	case n.acceptSlots <- struct{}{}:
@@ -81,7 +81,7 @@
 		return
 	}
 	l := n.link(c.peer.Host)
-	if !n.beginLocked() {
+	if !n.addTask() {
 		c.close()
 		return
 	}
@@ -90,13 +90,15 @@
 	l.serve(c)
 }
 
-func (n *Node) beginLocked() bool {
+// addTask is addTaskLocked for callers that do not hold n.mu.
+func (n *Node) addTask() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.begin()
+	return n.addTaskLocked()
 }
 
-// stop ends every connection and waits for their goroutines.
+// stop closes all connections and waits for the goroutines added by addTask. It cancels
+// under n.mu, so that none is added afterwards.
 func (n *Node) stop() {
 	n.mu.Lock()
 	n.cancel()
@@ -104,8 +106,9 @@
 	n.tasks.Wait()
 }
 
+// acceptConn upgrades the request to a WebSocket and runs the handshake.
 func (n *Node) acceptConn(w http.ResponseWriter, r *http.Request) (*conn, error) {
-	if r.URL.Path != path {
+	if r.URL.Path != urlPath {
 		http.NotFound(w, r)
 		return nil, errors.New("unknown path")
 	}
@@ -116,7 +119,7 @@
 	ctx, stop := context.WithTimeout(n.ctx, handshakeTimeout)
 	defer stop()
 	ws.SetReadLimit(maxHandshake)
-	peer, err := n.welcome(ctx, ws, r.TLS)
+	peer, err := n.acceptHandshake(ctx, ws, r.TLS)
 	if err != nil {
 		_ = ws.CloseNow()
 		return nil, err
@@ -125,28 +128,29 @@
 	return newConn(n.ctx, ws, peer), nil
 }
 
-// dial connects to the peer of a link and starts to read from it.
+// dial connects to the peer of a link, runs the handshake and starts a goroutine that
+// reads from the connection.
 func (n *Node) dial(ctx context.Context, l *link, addr string) (*conn, error) {
 	ctx, stop := context.WithTimeout(ctx, handshakeTimeout)
 	defer stop()
 	ws, state, err := n.dialWebSocket(ctx, l.host, addr)
 	if err != nil {
-		var wrong *tls.CertificateVerificationError
-		if errors.As(err, &wrong) {
+		var certErr *tls.CertificateVerificationError
+		if errors.As(err, &certErr) {
 			n.metrics.refuse(result.PeerAuth)
 		}
 		return nil, err
 	}
 	ws.SetReadLimit(maxHandshake)
-	peer, err := n.greet(ctx, ws, state, l.host)
+	peer, err := n.dialHandshake(ctx, ws, state, l.host)
 	if err != nil {
 		_ = ws.CloseNow()
-		n.noteRefusal(l.host, err)
+		n.handleRefusal(l.host, err)
 		return nil, err
 	}
 	ws.SetReadLimit(MaxMessage)
 	c := newConn(n.ctx, ws, peer)
-	if !n.beginLocked() {
+	if !n.addTask() {
 		c.close()
 		return nil, n.ctx.Err()
 	}
@@ -172,7 +176,7 @@
 		transport.TLSClientConfig = n.opts.TLS.Clone()
 		transport.TLSClientConfig.ServerName = host
 	}
-	ws, response, err := websocket.Dial(ctx, scheme+addr+path, &websocket.DialOptions{
+	ws, response, err := websocket.Dial(ctx, scheme+addr+urlPath, &websocket.DialOptions{
 		HTTPClient:      &http.Client{Transport: transport},
 		CompressionMode: websocket.CompressionDisabled,
 	})
@@ -182,15 +186,15 @@
 	return ws, response.TLS, nil
 }
 
-// noteRefusal logs a refusal by the peer. A host that was told that a newer
-// process of it exists has been replaced.
-func (n *Node) noteRefusal(host string, err error) {
+// handleRefusal logs a refusal received from the peer. A refusal with code PeerIncarnation
+// means that a newer process of this host exists.
+func (n *Node) handleRefusal(host string, err error) {
 	if !errors.Is(err, errRefusedByPeer) {
 		return
 	}
 	code := result.CodeOf(err)
 	n.opts.Logger.Warn("peer_refused_us", "peer", host, "code", code, "err", err.Error())
 	if code == result.PeerIncarnation {
-		n.replaced()
+		n.reportReplaced()
 	}
 }
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -18,7 +18,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// authority signs the certificates of a test fleet.
+// authority is the CA of a test fleet.
 type authority struct {
 	t    *testing.T
 	cert *x509.Certificate
@@ -73,7 +73,7 @@
 	return path
 }
 
-// options returns the options of a host with a certificate for certName.
+// options returns the options of host with a certificate issued to certName.
 func (a *authority) options(host, certName string) Options {
 	key := newKey(a.t)
 	der, err := x509.MarshalECPrivateKey(key)
@@ -103,15 +103,15 @@
 	}
 }
 
-func TestCertificatesAreChecked(t *testing.T) {
+func TestTLSUntrustedPeersAreRefused(t *testing.T) {
 	ca := newAuthority(t)
 	b := start(t, ca.options("b", "b"), echo)
-	strangers := map[string]Options{
+	untrusted := map[string]Options{
 		"certificate of another host":      ca.options("a", "c"),
 		"certificate of another authority": newAuthority(t).options("a", "a"),
 		"no TLS":                           options("a", 1),
 	}
-	for name, opts := range strangers {
+	for name, opts := range untrusted {
 		t.Run(name, func(t *testing.T) {
 			a := start(t, opts, echo)
 			if _, err := call(t, a, b, "hello"); !errors.Is(err, ErrUnreachable) {
--- a/internal/peer/transport.go
+++ b/internal/peer/transport.go
@@ -12,13 +12,13 @@
 	"github.com/galenabridge/galenabridge/internal/config"
 )
 
-// Transport opens the byte streams between hosts.
+// Transport opens the byte streams between hosts. Tests replace it to simulate a network.
 type Transport interface {
 	Listen(addr string) (net.Listener, error)
 	Dial(ctx context.Context, addr string) (net.Conn, error)
 }
 
-// tcp is the Transport of production.
+// tcp is the Transport used in production.
 type tcp struct {
 	dialer net.Dialer
 }
@@ -32,7 +32,8 @@
 }
 
 // LoadTLS builds the mutual TLS configuration of a host. Each certificate must
-// name its host's identity as a DNS name and be signed by the fleet's CA.
+// contain its host's name as a DNS name and be signed by the fleet's CA. It returns nil when
+// files is nil.
 func LoadTLS(files *config.TLS) (*tls.Config, error) {
 	if files == nil {
 		return nil, nil
@@ -54,8 +55,8 @@
 		Certificates: []tls.Certificate{cert},
 		RootCAs:      pool,
 		ClientCAs:    pool,
-		// The handshake of this package verifies the certificate, so that a
-		// refusal has a result code.
+		// checkCertificate verifies the client certificate during the handshake of this
+		// package, so that a refusal carries a result code.
 		ClientAuth: tls.RequireAnyClientCert,
 	}, nil
 }
--- a/internal/pgback/conn.go
+++ b/internal/pgback/conn.go
@@ -1,7 +1,7 @@
-// Package pgback is the endpoint's side of the PostgreSQL wire protocol: it
-// opens connections with galenabridge's own credentials, pools them for each
-// endpoint, and reads the endpoint's state and log position. Messages are
-// decoded and encoded by pgproto3, and pgconn performs the start-up.
+// Package pgback implements the client side of the PostgreSQL wire protocol towards
+// endpoints. It opens connections with galenabridge's own credentials, pools them for each
+// endpoint, and reads the endpoint's role and WAL position. Messages are
+// decoded and encoded by pgproto3, and pgconn performs the startup.
 package pgback
 
 import (
@@ -16,10 +16,10 @@
 	"github.com/pkg/errors"
 )
 
-// cancelTimeout bounds one cancel request.
+// cancelTimeout bounds connecting for a cancel request, and again sending it.
 const cancelTimeout = 2 * time.Second
 
-// Target names an endpoint and the credentials for it.
+// Target is the address of an endpoint and the credentials for it.
 type Target struct {
 	Endpoint string
 	Addr     string
@@ -28,24 +28,24 @@
 	Password string
 }
 
-// Conn is a connection to an endpoint. It is owned by one task at a time;
+// Conn is a connection to an endpoint. It is owned by one goroutine at a time;
 // only MarkCancelled, Cancel, Interrupt and Close may be called by others.
 type Conn struct {
 	Target     Target
-	Parameters map[string]string
+	Parameters map[string]string // reported by the endpoint at startup
 
 	net      net.Conn
 	frontend *pgproto3.Frontend
 	pid      uint32
 	secret   []byte
 
-	// Session is the state that the connection holds for its users.
+	// Session is the session state of the connection at the endpoint.
 	Session SessionState
 
 	cancelled atomic.Bool
 }
 
-// Dial opens a connection and authenticates.
+// Dial opens a connection to the endpoint and authenticates.
 func Dial(ctx context.Context, target Target) (*Conn, error) {
 	cfg, err := connConfig(target)
 	if err != nil {
@@ -61,7 +61,7 @@
 	}
 	raw, err := pg.Hijack()
 	if err != nil {
-		return nil, errors.Wrap(err, "take over connection")
+		return nil, errors.Wrap(err, "hijack connection")
 	}
 	c := &Conn{
 		Target:     target,
@@ -98,34 +98,37 @@
 	return cfg, nil
 }
 
-// Write sends encoded messages. The returned count is zero when certainly
-// nothing reached the endpoint.
+// Write sends encoded messages and returns the number of bytes written. When it is zero,
+// certainly no data was sent to the endpoint.
 func (c *Conn) Write(encoded []byte) (int, error) {
 	n, err := c.net.Write(encoded)
 	return n, errors.Wrap(err, "write to endpoint")
 }
 
-// Receive reads the next message. The message is valid until the next call.
+// Receive reads the next message. The message is only valid until the next call.
 func (c *Conn) Receive() (pgproto3.BackendMessage, error) {
 	msg, err := c.frontend.Receive()
 	return msg, errors.Wrap(err, "read from endpoint")
 }
 
-// Interrupt makes a blocked Receive or Write fail with a timeout error.
+// Interrupt makes pending and later calls of Receive and Write fail with a timeout error,
+// until SetDeadline is called.
 func (c *Conn) Interrupt() { _ = c.net.SetDeadline(time.Unix(1, 0)) }
 
-// SetDeadline bounds reads and writes; the zero time removes the bound.
+// SetDeadline sets the deadline of reads and writes; the zero time removes it.
 func (c *Conn) SetDeadline(t time.Time) { _ = c.net.SetDeadline(t) }
 
-// Close closes the connection at once. The endpoint rolls back a transaction
+// Close closes the connection immediately. The endpoint rolls back a transaction
 // in progress.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// MarkCancelled makes the pool close the connection instead of lending it
-// again, because a cancellation may take effect late. It precedes Cancel.
+// MarkCancelled makes the pool close the connection instead of reusing it,
+// because a late cancel request could hit the next user's statement. It must be called
+// before Cancel.
 func (c *Conn) MarkCancelled() { c.cancelled.Store(true) }
 
-// Cancel asks the endpoint to cancel the request in progress.
+// Cancel sends a cancel request for the statement in progress over a separate connection.
+// It waits until the endpoint has handled the request or the timeout expires.
 func (c *Conn) Cancel() error {
 	nc, err := net.DialTimeout("tcp", c.Target.Addr, cancelTimeout)
 	if err != nil {
@@ -141,12 +144,13 @@
 	if _, err := nc.Write(encoded); err != nil {
 		return errors.Wrap(err, "send cancel")
 	}
-	// The endpoint closes the connection once it has handled the request.
+	// The endpoint closes the connection after handling the request.
 	_, _ = nc.Read(make([]byte, 1))
 	return nil
 }
 
-// Reset makes the endpoint discard the session's state.
+// Reset discards the session state at the endpoint. After an error the connection must not
+// be reused.
 func (c *Conn) Reset(timeout time.Duration) error {
 	ctx, cancel := context.WithTimeout(context.Background(), timeout)
 	defer cancel()
--- a/internal/pgback/lsn.go
+++ b/internal/pgback/lsn.go
@@ -7,19 +7,19 @@
 	"github.com/pkg/errors"
 )
 
-// ParseLSN parses a log position in PostgreSQL's form, such as 16/B374D848.
+// ParseLSN parses a WAL position (LSN) in PostgreSQL's text form, such as 16/B374D848.
 func ParseLSN(text string) (uint64, error) {
 	high, low, ok := strings.Cut(text, "/")
 	if !ok {
-		return 0, errors.Errorf("log position %q has no slash", text)
+		return 0, errors.Errorf("WAL position %q has no slash", text)
 	}
 	segment, err := strconv.ParseUint(high, 16, 32)
 	if err != nil {
-		return 0, errors.Wrap(err, "log position")
+		return 0, errors.Wrap(err, "parse WAL position")
 	}
 	offset, err := strconv.ParseUint(low, 16, 32)
 	if err != nil {
-		return 0, errors.Wrap(err, "log position")
+		return 0, errors.Wrap(err, "parse WAL position")
 	}
 	return segment<<32 | offset, nil
 }
--- a/internal/pgback/monitor.go
+++ b/internal/pgback/monitor.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Intervals between two questions of a monitor. Role and timeline change far
-// less often than positions; a primary is also asked on demand.
+// Poll intervals of a monitor. Role and timeline change far less often than
+// positions. A primary is polled less often than a replica because it is also queried on
+// demand.
 const (
 	ReplicaPollInterval = 200 * time.Millisecond
 	PrimaryPollInterval = 400 * time.Millisecond
@@ -15,45 +16,46 @@
 )
 
 const (
-	// queryTimeout bounds one question to an endpoint.
+	// queryTimeout bounds one status query, including a connect when needed.
 	queryTimeout = 2 * time.Second
 )
 
-// Monitor asks one endpoint for its state, in intervals and on demand, over a
-// connection of its own. Questions that arrive while another is under way
-// share the next one.
+// Monitor queries the status of one endpoint, periodically and on demand, over a
+// connection of its own. Requests that arrive while a query is running
+// share the next query.
 type Monitor struct {
-	target  Target
-	ask     chan question
-	publish func(Status)
-	last    atomic.Pointer[Status]
-	conn    *Conn
-	// nudge holds a token when a poll is wanted before the next tick.
-	nudge chan struct{}
-	// roleAsked is when role and timeline were last asked for.
-	roleAsked time.Time
+	target   Target
+	requests chan positionRequest
+	publish  func(Status)
+	last     atomic.Pointer[Status]
+	conn     *Conn
+	// pollRequests holds a token when a poll is requested before the next tick.
+	pollRequests chan struct{}
+	// roleQueriedAt is when role and timeline were last queried.
+	roleQueriedAt time.Time
 }
 
-type question struct {
+// positionRequest is a pending call of Positions.
+type positionRequest struct {
 	ctx   context.Context
 	reply chan Status
 }
 
-// NewMonitor returns a monitor that passes each status to publish. Run must be
-// called for it to work.
+// NewMonitor returns a monitor that passes the status of each poll to publish, which may be
+// nil. It does not query the endpoint until Run is called.
 func NewMonitor(target Target, publish func(Status)) *Monitor {
-	return &Monitor{target: target, ask: make(chan question), publish: publish, nudge: make(chan struct{}, 1)}
+	return &Monitor{target: target, requests: make(chan positionRequest), publish: publish, pollRequests: make(chan struct{}, 1)}
 }
 
-// Last returns the last status, or nil when there is none yet.
+// Last returns the status of the last poll, or nil when there was none yet.
 func (m *Monitor) Last() *Status { return m.last.Load() }
 
-// Positions returns a status whose positions were read after the call began.
-// For a replica only LSN is set anew.
+// Positions returns a status of a primary whose positions were read after the call began.
+// InRecovery and Timeline are not set. It does not update Last.
 func (m *Monitor) Positions(ctx context.Context) (Status, error) {
-	q := question{ctx: ctx, reply: make(chan Status, 1)}
+	q := positionRequest{ctx: ctx, reply: make(chan Status, 1)}
 	select {
-	case m.ask <- q:
+	case m.requests <- q:
 	case <-ctx.Done():
 		return Status{}, ctx.Err()
 	}
@@ -65,11 +67,11 @@
 	}
 }
 
-// Run polls and answers until ctx ends.
+// Run polls the endpoint and serves calls of Positions until ctx ends.
 func (m *Monitor) Run(ctx context.Context) error {
 	ticker := time.NewTicker(ReplicaPollInterval)
 	defer ticker.Stop()
-	defer m.drop()
+	defer m.closeConn()
 	m.poll(ctx)
 	for {
 		select {
@@ -77,20 +79,20 @@
 			return ctx.Err()
 		case <-ticker.C:
 			m.poll(ctx)
-		case <-m.nudge:
+		case <-m.pollRequests:
 			m.pollEarly(ctx)
-		case q := <-m.ask:
-			m.answer(ctx, m.gather(q))
+		case q := <-m.requests:
+			m.answerRequests(ctx, m.drainRequests(q))
 		}
 	}
 }
 
-// gather takes all questions that wait already.
-func (m *Monitor) gather(first question) []question {
-	questions := []question{first}
+// drainRequests returns first and all requests that are already pending.
+func (m *Monitor) drainRequests(first positionRequest) []positionRequest {
+	questions := []positionRequest{first}
 	for {
 		select {
-		case q := <-m.ask:
+		case q := <-m.requests:
 			questions = append(questions, q)
 		default:
 			return questions
@@ -98,25 +100,28 @@
 	}
 }
 
-func (m *Monitor) answer(ctx context.Context, questions []question) {
+// answerRequests reads the positions once and replies to all requests.
+func (m *Monitor) answerRequests(ctx context.Context, questions []positionRequest) {
 	s := m.read(ctx, readPositionsOnly)
 	for _, q := range questions {
 		q.reply <- s
 	}
 }
 
-// RequestPoll asks for a poll soon: somebody waits for a replica to catch up.
+// RequestPoll requests an early poll of a replica, for a caller that waits for it to catch
+// up. It does not block.
 func (m *Monitor) RequestPoll() {
 	select {
-	case m.nudge <- struct{}{}:
+	case m.pollRequests <- struct{}{}:
 	default:
 	}
 }
 
-// minPollInterval bounds the rate of polls that are asked for.
+// minPollInterval is the minimum interval of polls requested by RequestPoll.
 const minPollInterval = 10 * time.Millisecond
 
-// pollEarly polls a replica between two ticks.
+// pollEarly polls a replica between two ticks. It ignores requests for a primary and within
+// minPollInterval of the last poll.
 func (m *Monitor) pollEarly(ctx context.Context) {
 	last := m.last.Load()
 	if last != nil && last.InRecovery && time.Since(last.Asked) >= minPollInterval {
@@ -124,19 +129,20 @@
 	}
 }
 
-// poll asks for what is due: role, timeline and position, or the position alone.
+// poll queries what is due: role, timeline and position, or the position alone. Half a tick
+// of tolerance keeps a slightly early tick from skipping an interval.
 func (m *Monitor) poll(ctx context.Context) {
 	now := time.Now()
 	last := m.last.Load()
 	var s Status
 	switch {
-	case last == nil || last.Err != nil || now.Sub(m.roleAsked) >= RolePollInterval-ReplicaPollInterval/2:
+	case last == nil || last.Err != nil || now.Sub(m.roleQueriedAt) >= RolePollInterval-ReplicaPollInterval/2:
 		s = m.read(ctx, readStatus)
-		m.roleAsked = now
+		m.roleQueriedAt = now
 	case last.InRecovery:
-		s = m.read(ctx, last.replayedAnew)
+		s = m.read(ctx, last.refreshReplayed)
 	case now.Sub(last.Asked) >= PrimaryPollInterval-ReplicaPollInterval/2:
-		s = m.read(ctx, last.positionsAnew)
+		s = m.read(ctx, last.refreshPositions)
 	default:
 		return
 	}
@@ -146,13 +152,15 @@
 	}
 }
 
+// read runs a status query. On failure it closes the connection and returns a status with
+// Err set.
 func (m *Monitor) read(ctx context.Context, from func(context.Context, *Conn) (Status, error)) Status {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	asked := time.Now()
 	s, err := m.readOn(ctx, from)
 	if err != nil {
-		m.drop()
+		m.closeConn()
 		return Status{Endpoint: m.target.Endpoint, Asked: asked, Err: err}
 	}
 	return s
@@ -169,14 +177,14 @@
 	return from(ctx, m.conn)
 }
 
-func (m *Monitor) drop() {
+func (m *Monitor) closeConn() {
 	if m.conn != nil {
 		m.conn.Close()
 		m.conn = nil
 	}
 }
 
-// readPositionsOnly asks for positions as a primary answers them.
+// readPositionsOnly queries the positions of a primary.
 func readPositionsOnly(ctx context.Context, c *Conn) (Status, error) {
 	s := Status{Endpoint: c.Target.Endpoint, Asked: time.Now()}
 	err := s.readPositions(ctx, c)
--- a/internal/pgback/pool.go
+++ b/internal/pgback/pool.go
@@ -6,7 +6,7 @@
 	"github.com/galenabridge/galenabridge/internal/connpool"
 )
 
-// Pool lends the connections of one endpoint.
+// Pool is a pool of connections to one endpoint.
 type Pool struct {
 	*connpool.Pool[*Conn]
 	target Target
@@ -21,10 +21,10 @@
 // Target returns the endpoint and credentials of the pool.
 func (p *Pool) Target() Target { return p.target }
 
-// Acquire lends a connection, waiting until one is free or ctx ends.
+// Acquire checks out a connection. It waits until one is available or ctx ends.
 func (p *Pool) Acquire(ctx context.Context) (*Conn, error) { return p.Pool.Acquire(ctx, "", nil) }
 
-// Key implements connpool.Conn. All connections serve all workspaces.
+// Key implements connpool.Conn. Connections are shared by all workspaces.
 func (c *Conn) Key() string { return "" }
 
 // Alive implements connpool.Conn.
--- a/internal/pgback/query.go
+++ b/internal/pgback/query.go
@@ -7,11 +7,10 @@
 	"github.com/pkg/errors"
 )
 
-// Rows are the rows of one statement in text form. A null is an empty string.
+// Rows are the rows of one statement in text format. NULL becomes an empty string.
 type Rows [][]string
 
-// ServerError is an error that the endpoint answered with. The connection stays
-// usable.
+// ServerError is an ErrorResponse of the endpoint. The connection remains usable.
 type ServerError struct {
 	// Code is the SQLSTATE.
 	Code    string
@@ -19,10 +18,11 @@
 }
 
 // Error implements error.
-func (r *ServerError) Error() string { return "endpoint answers " + r.Code + ": " + r.Message }
+func (r *ServerError) Error() string { return "endpoint error " + r.Code + ": " + r.Message }
 
-// Query runs SQL text of one or more statements in one round trip and returns
-// the rows of each. After an error other than a ServerError the connection must not be reused.
+// Query runs one or more SQL statements in one round trip with the simple query protocol
+// and returns the rows of each. After an error other than a ServerError the connection must
+// not be reused.
 func (c *Conn) Query(ctx context.Context, sql string) ([]Rows, error) {
 	stop := context.AfterFunc(ctx, c.Interrupt)
 	defer stop()
@@ -36,6 +36,7 @@
 	return c.collect()
 }
 
+// collect reads the results up to ReadyForQuery. It returns the first ServerError, if any.
 func (c *Conn) collect() ([]Rows, error) {
 	var results []Rows
 	var rows Rows
--- a/internal/pgback/session_state.go
+++ b/internal/pgback/session_state.go
@@ -2,59 +2,61 @@
 
 import "container/list"
 
-// maxPrepared bounds the prepared statements kept on one connection.
+// maxPrepared is the maximum number of prepared statements kept on one connection.
 const maxPrepared = 256
 
-// SessionState is what the endpoint keeps for a connection between
-// transactions: prepared statements and run-time settings.
+// SessionState tracks the state that the endpoint keeps for a connection between
+// transactions: prepared statements and run-time settings. Clear must be called before
+// use.
 type SessionState struct {
-	// Settings identifies the run-time settings in force; empty means the
+	// Settings identifies the current run-time settings; empty means the
 	// endpoint's defaults.
 	Settings string
-	// Dirty tells that a request may have changed the state in a way that is
-	// not recorded here, so that it must be reset before reuse.
+	// Dirty is set when a request may have changed the state in a way that is
+	// not tracked here, so that the connection must be reset before reuse.
 	Dirty bool
 
-	prepared map[string]*list.Element
-	order    *list.List
+	prepared map[string]*list.Element // elements of lru, by statement name
+	lru      *list.List
 }
 
-// Clear records that the endpoint has discarded the whole state.
+// Clear records that the endpoint has discarded all session state.
 func (s *SessionState) Clear() {
 	s.Settings = ""
 	s.Dirty = false
 	s.prepared = make(map[string]*list.Element)
-	s.order = list.New()
+	s.lru = list.New()
 }
 
-// Has tells whether the statement is prepared, and marks it as used.
+// Has reports whether the statement is prepared, and marks it as most recently used.
 func (s *SessionState) Has(name string) bool {
 	element, ok := s.prepared[name]
 	if ok {
-		s.order.MoveToFront(element)
+		s.lru.MoveToFront(element)
 	}
 	return ok
 }
 
-// Add records a prepared statement.
+// Add records that a statement was prepared.
 func (s *SessionState) Add(name string) {
 	if !s.Has(name) {
-		s.prepared[name] = s.order.PushFront(name)
+		s.prepared[name] = s.lru.PushFront(name)
 	}
 }
 
 // Remove records that a statement was closed.
 func (s *SessionState) Remove(name string) {
 	if element, ok := s.prepared[name]; ok {
-		s.order.Remove(element)
+		s.lru.Remove(element)
 		delete(s.prepared, name)
 	}
 }
 
-// EvictionCandidate returns the least recently used statement when there are too many.
+// EvictionCandidate returns the least recently used statement when more than maxPrepared are
+// recorded. It does not remove the statement.
 func (s *SessionState) EvictionCandidate() (name string, ok bool) {
-	if s.order.Len() <= maxPrepared {
+	if s.lru.Len() <= maxPrepared {
 		return "", false
 	}
-	return s.order.Back().Value.(string), true
+	return s.lru.Back().Value.(string), true
 }
--- a/internal/pgback/status.go
+++ b/internal/pgback/status.go
@@ -8,35 +8,35 @@
 	"github.com/pkg/errors"
 )
 
-// Queries for the endpoint's own functions.
+// Status queries. queryPrimary fails on a replica.
 const (
 	queryRole    = "SELECT pg_is_in_recovery(); SELECT timeline_id FROM pg_control_checkpoint()"
 	queryPrimary = "SELECT pg_current_wal_lsn(); SELECT application_name, flush_lsn FROM pg_stat_replication"
 )
 
-// QueryReplayed asks a replica for its position.
+// QueryReplayed is the SQL query for the replay position of a replica.
 const QueryReplayed = "SELECT pg_last_wal_replay_lsn()"
 
-// Status is the state of an endpoint as it reported it.
+// Status is the state that an endpoint reported.
 type Status struct {
 	Endpoint string
-	// Asked is when the question was sent: the answer is at least as new.
+	// Asked is when the query was started; the reported state is at least as recent.
 	Asked time.Time
-	// Err tells why the endpoint could not be asked; the other fields are then
-	// unset.
+	// Err is the reason why the query failed. When it is set, only Endpoint and Asked
+	// are valid besides it.
 	Err        error
 	InRecovery bool
 	// Timeline is the database timeline.
 	Timeline uint32
-	// LSN is the current log position of a primary or the replayed position of
+	// LSN is the current WAL position of a primary or the replay position of
 	// a replica.
 	LSN uint64
 	// Flushed holds, on a primary, the position that each connected replica
-	// has on its disk, by the name under which the replica connected.
+	// has flushed to disk, by the application_name of the replica.
 	Flushed map[string]uint64
 }
 
-// readStatus asks for role, timeline and position.
+// readStatus queries role, timeline and position.
 func readStatus(ctx context.Context, c *Conn) (Status, error) {
 	s := Status{Endpoint: c.Target.Endpoint, Asked: time.Now()}
 	results, err := c.Query(ctx, queryRole)
@@ -65,23 +65,23 @@
 	return s, err
 }
 
-// replayedAnew returns the status of a replica with its position read anew.
-func (s *Status) replayedAnew(ctx context.Context, c *Conn) (Status, error) {
+// refreshReplayed returns a copy of the status of a replica with a new replay position.
+func (s *Status) refreshReplayed(ctx context.Context, c *Conn) (Status, error) {
 	next := *s
 	next.Asked = time.Now()
 	err := next.readReplayed(ctx, c)
 	return next, err
 }
 
-// positionsAnew returns the status of a primary with its positions read anew.
-func (s *Status) positionsAnew(ctx context.Context, c *Conn) (Status, error) {
+// refreshPositions returns a copy of the status of a primary with new positions.
+func (s *Status) refreshPositions(ctx context.Context, c *Conn) (Status, error) {
 	next := *s
 	next.Asked = time.Now()
 	err := next.readPositions(ctx, c)
 	return next, err
 }
 
-// readReplayed asks a replica for its position.
+// readReplayed queries the replay position of a replica.
 func (s *Status) readReplayed(ctx context.Context, c *Conn) error {
 	results, err := c.Query(ctx, QueryReplayed)
 	if err != nil {
@@ -90,7 +90,8 @@
 	return s.setLSN(results)
 }
 
-// readPositions asks a primary for its position and those of its replicas.
+// readPositions queries the position of a primary and the positions that its replicas have
+// flushed.
 func (s *Status) readPositions(ctx context.Context, c *Conn) error {
 	results, err := c.Query(ctx, queryPrimary)
 	if err != nil {
@@ -101,7 +102,7 @@
 	}
 	s.Flushed = make(map[string]uint64)
 	if len(results) < 2 {
-		return errors.New("the endpoint's answer is incomplete")
+		return errors.New("the result of the status query is incomplete")
 	}
 	for _, row := range results[1] {
 		if len(row) < 2 || row[1] == "" {
@@ -116,6 +117,7 @@
 	return nil
 }
 
+// setLSN sets LSN from the first cell. LSN keeps its value when the cell is NULL.
 func (s *Status) setLSN(results []Rows) error {
 	text, err := cell(results, 0, 0)
 	if err != nil || text == "" {
@@ -125,9 +127,10 @@
 	return err
 }
 
+// cell returns a column of the first row of a result.
 func cell(results []Rows, result, column int) (string, error) {
 	if len(results) <= result || len(results[result]) == 0 || len(results[result][0]) <= column {
-		return "", errors.New("the endpoint's answer is incomplete")
+		return "", errors.New("the result of the status query is incomplete")
 	}
 	return results[result][0][column], nil
 }
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -1,6 +1,6 @@
-// Package pgfront is the caller's side of the PostgreSQL wire protocol: it
-// negotiates TLS and the start-up, authenticates callers, and reads and writes
-// messages with limits on size and time. Messages are decoded and encoded by
+// Package pgfront implements the server side of the PostgreSQL wire protocol towards
+// callers. It negotiates TLS, reads the startup message, authenticates callers, and reads
+// and writes messages with limits on size and time. Messages are decoded and encoded by
 // pgproto3.
 package pgfront
 
@@ -18,25 +18,25 @@
 )
 
 const (
-	// keepBuffer is the largest output buffer, in bytes, that a connection
-	// keeps between answers.
-	keepBuffer = 4 << 10
-	// lingerTimeout bounds how long a closing connection waits for the caller
+	// maxIdleBuffer is the maximum capacity, in bytes, of an empty output buffer that a
+	// connection keeps. It bounds the memory of idle connections.
+	maxIdleBuffer = 4 << 10
+	// lingerTimeout bounds how long a connection being closed waits for the caller
 	// to read the last message.
 	lingerTimeout = 2 * time.Second
 )
 
 // Config holds the limits of caller connections.
 type Config struct {
-	// TLS is the certificate for callers; nil serves plain text only.
+	// TLS configures TLS for callers; nil means plain text only.
 	TLS *tls.Config
 	// RequireTLS refuses callers that do not use TLS.
 	RequireTLS bool
-	// MaxMessage is the largest message accepted, in bytes.
+	// MaxMessage is the maximum size of a message body, in bytes.
 	MaxMessage int
-	// LoginTimeout bounds the start-up and the authentication.
+	// LoginTimeout bounds the startup and the authentication together.
 	LoginTimeout time.Duration
-	// WriteTimeout bounds one write to a caller that does not read.
+	// WriteTimeout bounds one flush to a caller that does not read.
 	WriteTimeout time.Duration
 }
 
@@ -58,22 +58,22 @@
 // RemoteAddr returns the caller's address.
 func (c *Conn) RemoteAddr() net.Addr { return c.net.RemoteAddr() }
 
-// Receive reads the next message. The message is valid until the next call. A
-// message that breaks the protocol or the size limit yields a result.Error.
+// Receive reads the next message. The message is only valid until the next call. It returns
+// a result.Error for a message that violates the protocol or the size limit.
 func (c *Conn) Receive() (pgproto3.FrontendMessage, error) {
 	msg, err := c.backend.Receive()
 	if err == nil {
 		return msg, nil
 	}
-	return nil, describe(err)
+	return nil, asResult(err)
 }
 
-// describe turns a decoding error into a numbered result and leaves errors of
-// the transport as they are.
-func describe(err error) error {
+// asResult converts a decoding error into a result.Error. It returns network errors and
+// io.EOF unchanged.
+func asResult(err error) error {
 	var tooLarge *pgproto3.ExceededMaxBodyLenErr
 	if errors.As(err, &tooLarge) {
-		return result.New(result.MessageTooLarge, "message of %d bytes; the limit is %d",
+		return result.New(result.MessageTooLarge, "message of %d bytes exceeds the limit of %d bytes",
 			tooLarge.ActualBodyLen, tooLarge.MaxExpectedBodyLen)
 	}
 	var netErr net.Error
@@ -83,7 +83,7 @@
 	return result.New(result.MalformedMessage, "%v", err)
 }
 
-// Queue appends a message to the output buffer.
+// Queue appends a message to the output buffer. Flush sends it.
 func (c *Conn) Queue(msg pgproto3.BackendMessage) error {
 	out, err := msg.Encode(c.out)
 	if err != nil {
@@ -96,14 +96,15 @@
 // Queued returns the size of the output buffer in bytes.
 func (c *Conn) Queued() int { return len(c.out) }
 
-// Truncate drops what was queued after the first n bytes.
+// Truncate shortens the output buffer to its first n bytes.
 func (c *Conn) Truncate(n int) { c.out = c.out[:n] }
 
-// Flush writes the output buffer to the caller. A caller that does not read in
-// time yields a result.Error with code SlowClient.
+// Flush writes the output buffer to the caller. It returns a result.Error with code
+// SlowClient when the write does not complete within WriteTimeout.
 func (c *Conn) Flush() error { return c.FlushFirst(len(c.out)) }
 
-// FlushFirst writes the first n bytes of the output buffer to the caller.
+// FlushFirst writes the first n bytes of the output buffer to the caller and removes them
+// from the buffer, also on failure.
 func (c *Conn) FlushFirst(n int) error {
 	if n == 0 {
 		return nil
@@ -114,36 +115,37 @@
 	_, err := c.net.Write(c.out[:n])
 	rest := copy(c.out, c.out[n:])
 	c.out = c.out[:rest]
-	if rest == 0 && cap(c.out) > keepBuffer {
+	if rest == 0 && cap(c.out) > maxIdleBuffer {
 		c.out = nil
 	}
 	var netErr net.Error
 	if errors.As(err, &netErr) && netErr.Timeout() {
-		return result.New(result.SlowClient, "no progress within %s", c.cfg.WriteTimeout)
+		return result.New(result.SlowClient, "write did not complete within %s", c.cfg.WriteTimeout)
 	}
 	return errors.Wrap(err, "write to caller")
 }
 
-// Interrupt makes a blocked Receive return a timeout error after the wait.
+// Interrupt makes pending and later calls of Receive fail with a timeout error once wait
+// has passed, until ClearReadDeadline is called.
 func (c *Conn) Interrupt(wait time.Duration) {
 	_ = c.net.SetReadDeadline(time.Now().Add(wait))
 }
 
-// ClearReadDeadline undoes Interrupt.
+// ClearReadDeadline removes the deadline set by Interrupt or SetReadTimeout.
 func (c *Conn) ClearReadDeadline() {
 	_ = c.net.SetReadDeadline(time.Time{})
 }
 
-// SetReadTimeout bounds the next reads in time.
-func (c *Conn) SetReadTimeout(limit time.Duration) {
-	_ = c.net.SetReadDeadline(time.Now().Add(limit))
+// SetReadTimeout sets a deadline for all following reads together.
+func (c *Conn) SetReadTimeout(timeout time.Duration) {
+	_ = c.net.SetReadDeadline(time.Now().Add(timeout))
 }
 
-// Close closes the connection at once.
+// Close closes the connection immediately.
 func (c *Conn) Close() error { return c.net.Close() }
 
-// Refuse sends err as a fatal error and closes the connection once the caller
-// has had time to read it.
+// Refuse sends err as a fatal error and closes the connection after the caller has closed
+// its side or lingerTimeout has passed.
 func (c *Conn) Refuse(err error) {
 	if c.Queue(ErrorMessage(err, Fatal)) == nil && c.Flush() == nil {
 		c.linger()
@@ -151,12 +153,13 @@
 	_ = c.net.Close()
 }
 
-// linger reads and drops input until the caller closes, because a close with
-// unread input would discard the last message.
+// linger closes the connection for writing and discards input until the caller closes its
+// side. Closing with unread input would reset the connection, and the caller could lose the
+// last message.
 func (c *Conn) linger() {
 	if half, ok := c.net.(interface{ CloseWrite() error }); ok {
 		_ = half.CloseWrite()
 	}
 	c.SetReadTimeout(lingerTimeout)
-	_, _ = io.Copy(io.Discard, bufio.NewReaderSize(c.net, keepBuffer))
+	_, _ = io.Copy(io.Discard, bufio.NewReaderSize(c.net, maxIdleBuffer))
 }
--- a/internal/pgfront/errors.go
+++ b/internal/pgfront/errors.go
@@ -9,30 +9,30 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Severity is the severity of an error message.
+// Severity is the severity of an ErrorResponse.
 type Severity string
 
-// Severities of error messages.
+// Severities of an ErrorResponse.
 const (
-	// Error ends the request.
+	// Error fails the request; the connection remains usable.
 	Error Severity = "ERROR"
-	// Fatal ends the connection.
+	// Fatal precedes the close of the connection.
 	Fatal Severity = "FATAL"
 )
 
-// ErrorMessage converts err to a message for the caller. The text begins with
-// the number of the result code.
+// ErrorMessage converts err to an ErrorResponse. The message starts with the number of the
+// result code. The text of an error that is not a result.Error is not sent.
 func ErrorMessage(err error, severity Severity) *pgproto3.ErrorResponse {
-	var numbered *result.Error
-	if !errors.As(err, &numbered) {
-		numbered = &result.Error{Detail: "internal error"}
+	var resultErr *result.Error
+	if !errors.As(err, &resultErr) {
+		resultErr = &result.Error{Detail: "internal error"}
 	}
-	info := result.Lookup(numbered.Code)
+	info := result.Lookup(resultErr.Code)
 	hint := info.Action
-	if numbered.RetryAfter > 0 {
-		hint = fmt.Sprintf("%s Retry after %d ms.", hint, numbered.RetryAfter.Milliseconds())
+	if resultErr.RetryAfter > 0 {
+		hint = fmt.Sprintf("%s Retry after %d ms.", hint, resultErr.RetryAfter.Milliseconds())
 	}
-	detail := numbered.Detail
+	detail := resultErr.Detail
 	if info.NotRun {
 		detail += " (not run)"
 	}
@@ -40,7 +40,7 @@
 		Severity:            string(severity),
 		SeverityUnlocalized: string(severity),
 		Code:                info.SQLState,
-		Message:             fmt.Sprintf("GB%d %s: %s", numbered.Code, info.Name, info.Meaning),
+		Message:             fmt.Sprintf("GB%d %s: %s", resultErr.Code, info.Name, info.Meaning),
 		Detail:              detail,
 		Hint:                hint,
 	}
--- a/internal/pgfront/login.go
+++ b/internal/pgfront/login.go
@@ -8,9 +8,9 @@
 	"github.com/galenabridge/galenabridge/internal/scramauth"
 )
 
-// Authenticate runs the SCRAM exchange and returns the identity of the key
-// that the caller holds. A caller without a valid key yields a result.Error
-// with code BadKey.
+// Authenticate runs the SCRAM exchange and returns the ID of the key that the caller
+// authenticated with. It returns a result.Error with code BadKey when no key matches. The
+// final message is only queued; Ready sends it.
 func (c *Conn) Authenticate(conv *scramauth.Conversation) (keyID string, err error) {
 	offer := &pgproto3.AuthenticationSASL{AuthMechanisms: []string{scramauth.Mechanism}}
 	if err := c.send(offer, pgproto3.AuthTypeSASL); err != nil {
@@ -46,6 +46,7 @@
 	return keyID, c.Queue(&pgproto3.AuthenticationSASLFinal{Data: []byte(reply)})
 }
 
+// receiveFirst reads the SASLInitialResponse and returns the client's first SCRAM message.
 func (c *Conn) receiveFirst() (string, error) {
 	msg, err := c.Receive()
 	if err != nil {
@@ -71,14 +72,14 @@
 	return c.Flush()
 }
 
-// Parameter is a run-time parameter reported to the caller.
+// Parameter is a run-time parameter that is reported to the caller.
 type Parameter struct {
 	Name  string
 	Value string
 }
 
-// Ready ends the login: it reports the parameters and the key for cancel
-// requests, and tells the caller that it may send requests.
+// Ready completes the login. It sends the parameters, the key for cancel
+// requests and ReadyForQuery, and removes the login timeout.
 func (c *Conn) Ready(parameters []Parameter, key Cancel) error {
 	messages := []pgproto3.BackendMessage{&pgproto3.AuthenticationOk{}}
 	for _, p := range parameters {
--- a/internal/pgfront/options.go
+++ b/internal/pgfront/options.go
@@ -6,9 +6,9 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// parseOptions adds the run-time parameters of a start-up message's "options"
-// field, in the forms "-c name=value" and "--name=value". A backslash escapes
-// a space.
+// parseOptions adds the run-time parameters in the "options" field of a startup message
+// to into. It accepts the forms "-c name=value", "-cname=value" and "--name=value". A
+// backslash escapes the next character.
 func parseOptions(text string, into map[string]string) error {
 	words := splitOptions(text)
 	for i := 0; i < len(words); i++ {
@@ -25,13 +25,14 @@
 		}
 		name, value, ok := strings.Cut(pair, "=")
 		if !ok || name == "" {
-			return result.New(result.MalformedMessage, "option %q", word)
+			return result.New(result.MalformedMessage, "invalid option %q", word)
 		}
 		into[strings.ReplaceAll(name, "-", "_")] = value
 	}
 	return nil
 }
 
+// splitOptions splits text at unescaped white space.
 func splitOptions(text string) []string {
 	var words []string
 	var word strings.Builder
--- a/internal/pgfront/startup.go
+++ b/internal/pgfront/startup.go
@@ -10,27 +10,28 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// maxNegotiations bounds the requests for encryption before the start-up.
+// maxNegotiations is the maximum number of messages before and including the startup
+// message. It bounds the encryption requests of a caller.
 const maxNegotiations = 3
 
-// Startup is what a caller asked for when it connected. Exactly one of
+// Startup is the content of a startup message or a cancel request. Exactly one of
 // Parameters and Cancel is set.
 type Startup struct {
-	Workspace string
-	Service   string
-	// Parameters are the run-time parameters named at the start-up.
+	Workspace string // the user of the startup message
+	Service   string // the database; defaults to Workspace
+	// Parameters are the run-time parameters in the startup message.
 	Parameters map[string]string
 	Cancel     *Cancel
 }
 
-// Cancel asks for the cancellation of another connection's request.
+// Cancel identifies the connection whose request is to be cancelled.
 type Cancel struct {
 	ProcessID uint32
 	Secret    []byte
 }
 
-// Accept negotiates encryption and reads the start-up message. The login
-// timeout starts here and ends with Ready. On error the connection is closed.
+// Accept negotiates encryption and reads the startup message. The login
+// timeout starts here and ends with Ready. Accept closes the connection on error.
 func Accept(nc net.Conn, cfg Config) (*Conn, *Startup, error) {
 	c := newConn(nc, cfg)
 	c.SetReadTimeout(cfg.LoginTimeout)
@@ -49,7 +50,7 @@
 	for range maxNegotiations {
 		msg, err := c.backend.ReceiveStartupMessage()
 		if err != nil {
-			return nil, describe(err)
+			return nil, asResult(err)
 		}
 		switch msg := msg.(type) {
 		case *pgproto3.SSLRequest:
@@ -66,7 +67,7 @@
 			return c.readStartup(msg)
 		}
 	}
-	return nil, result.New(result.MalformedMessage, "too many requests for encryption")
+	return nil, result.New(result.MalformedMessage, "too many encryption requests")
 }
 
 func (c *Conn) answerByte(answer byte) error {
@@ -109,7 +110,7 @@
 		}
 	}
 	if replication := msg.Parameters["replication"]; replication != "" && replication != "false" && replication != "off" {
-		return nil, result.New(result.UnsupportedFeature, "replication connections are not served")
+		return nil, result.New(result.UnsupportedFeature, "replication connections are not supported")
 	}
 	if err := parseOptions(msg.Parameters["options"], parameters); err != nil {
 		return nil, err
--- a/internal/rendezvous/rendezvous.go
+++ b/internal/rendezvous/rendezvous.go
@@ -1,6 +1,6 @@
-// Package rendezvous assigns keys to names by rendezvous hashing: everyone who
-// knows the same names reaches the same choice, and the loss of a name moves
-// only the keys that it had.
+// Package rendezvous assigns keys to names by rendezvous (highest random weight) hashing.
+// The assignment depends only on the set of names and the key, and removing a name moves
+// only the keys that were assigned to it.
 package rendezvous
 
 import (
@@ -10,19 +10,20 @@
 	"github.com/cespare/xxhash/v2"
 )
 
-type ranking struct {
+// rankedName is a name with the hash that ranks it for a key.
+type rankedName struct {
 	name string
 	hash uint64
 }
 
-// Top returns the n names with the highest hash for the key, the highest first.
-// It returns all names when there are no more than n.
+// Top returns the n names with the highest hashes for the key, in descending order of the
+// hash; equal hashes are ordered by name. It returns all names when there are at most n.
 func Top(names []string, key string, n int) []string {
-	ranked := make([]ranking, len(names))
+	ranked := make([]rankedName, len(names))
 	for i, name := range names {
-		ranked[i] = ranking{name: name, hash: xxhash.Sum64String(name + "\x00" + key)}
+		ranked[i] = rankedName{name: name, hash: xxhash.Sum64String(name + "\x00" + key)}
 	}
-	slices.SortFunc(ranked, func(a, b ranking) int {
+	slices.SortFunc(ranked, func(a, b rankedName) int {
 		return cmp.Or(cmp.Compare(b.hash, a.hash), cmp.Compare(a.name, b.name))
 	})
 	chosen := make([]string, min(n, len(ranked)))
@@ -32,12 +33,11 @@
 	return chosen
 }
 
-// Owner returns the name with the highest hash for the key, or an empty string
-// when there are no names.
+// Owner returns the first name of Top, or an empty string when there are no names.
 func Owner(names []string, key string) string {
-	best := ranking{}
+	best := rankedName{}
 	for _, name := range names {
-		r := ranking{name: name, hash: xxhash.Sum64String(name + "\x00" + key)}
+		r := rankedName{name: name, hash: xxhash.Sum64String(name + "\x00" + key)}
 		if best.name == "" || r.hash > best.hash || (r.hash == best.hash && r.name < best.name) {
 			best = r
 		}
--- a/internal/rendezvous/rendezvous_test.go
+++ b/internal/rendezvous/rendezvous_test.go
@@ -16,7 +16,7 @@
 	return all
 }
 
-func TestLossMovesOnlyItsKeys(t *testing.T) {
+func TestTopRemovedNameMovesOnlyItsKeys(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		all := names(rapid.IntRange(2, 40).Draw(t, "names"))
 		key := rapid.String().Draw(t, "key")
@@ -26,15 +26,15 @@
 		before, after := Top(all, key, n), Top(rest, key, n)
 		kept := slices.DeleteFunc(slices.Clone(before), func(name string) bool { return name == lost })
 		if !slices.Equal(kept, after[:len(kept)]) {
-			t.Fatalf("%v became %v without %s", before, after, lost)
+			t.Fatalf("Top changed from %v to %v after removing %s", before, after, lost)
 		}
 		if Owner(all, key) != before[0] {
-			t.Fatalf("owner %s, first of %v", Owner(all, key), before)
+			t.Fatalf("owner is %s, want the first of %v", Owner(all, key), before)
 		}
 	})
 }
 
-func TestKeysAreSpread(t *testing.T) {
+func TestTopSpreadsKeysEvenly(t *testing.T) {
 	all := names(20)
 	count := map[string]int{}
 	for i := range 20000 {
@@ -44,7 +44,7 @@
 	}
 	for _, name := range all {
 		if count[name] < 2700 || count[name] > 3300 {
-			t.Errorf("%s has %d of 60,000 assignments, 3,000 would be even", name, count[name])
+			t.Errorf("%s has %d of 60,000 assignments, want about 3,000", name, count[name])
 		}
 	}
 }
--- a/internal/result/result.go
+++ b/internal/result/result.go
@@ -11,7 +11,7 @@
 	"github.com/pkg/errors"
 )
 
-// Code numbers one kind of result. Codes are stable and never reused.
+// Code is a numbered result. Codes are part of the wire protocol and never reused.
 type Code uint16
 
 // Result codes. 1xxx: authentication and authorization; 2xxx: availability and
@@ -78,23 +78,24 @@
 	PeerAuth        Code = 5005
 )
 
-// Info describes one result code for the documentation and the wire.
+// Info describes a result code for the documentation and for error messages.
 type Info struct {
 	Code     Code
 	Name     string
 	SQLState string
-	// NotRun reports that a request answered with this code had no effect.
+	// NotRun is true when a request that failed with this code had no effect, so that it
+	// may be repeated.
 	NotRun  bool
 	Meaning string
 	Action  string
 }
 
-// Error is a result with its detail. It implements error.
+// Error is a result code with a detail. It implements error.
 type Error struct {
 	Code   Code
 	Detail string
 	// RetryAfter is how long the caller should wait before a retry; zero when
-	// the code carries no such advice.
+	// not specified.
 	RetryAfter time.Duration
 }
 
--- a/internal/scramauth/conversation.go
+++ b/internal/scramauth/conversation.go
@@ -9,29 +9,32 @@
 	"github.com/xdg-go/scram"
 )
 
-// ErrNoKeyMatches reports that no candidate key matches the proof.
+// ErrNoKeyMatches is returned when no candidate key matches the client's proof.
 var ErrNoKeyMatches = errors.New("no key matches the proof")
 
-// Candidate is a key that a caller may hold.
+// Candidate is a key that the caller may authenticate with.
 type Candidate struct {
 	KeyID    string
 	Verifier string
 }
 
-// Conversation is the server side of one SCRAM exchange against several keys.
+// Conversation is the server side of one SCRAM exchange that accepts any of several keys.
+// All keys share nonce, salt and iteration count, so that the same messages fit each of
+// them.
 type Conversation struct {
-	runs []run
+	exchanges []exchange
 }
 
-type run struct {
+// exchange is the state of the conversation for one key.
+type exchange struct {
 	keyID string
 	conv  *scram.ServerConversation
 }
 
-// NewConversation starts an exchange against the candidates. Candidates whose
-// verifier is malformed, or whose salt differs from that of the first, take no
-// part. Without candidates the exchange runs against a random key, so that the
-// messages do not tell whether the workspace exists.
+// NewConversation starts an exchange with the given candidates. Candidates whose
+// verifier is malformed, or whose salt or iteration count differs from that of the first
+// valid one, are ignored. Without candidates the exchange uses random credentials, so that
+// the messages do not reveal whether the workspace exists.
 func NewConversation(workspace string, candidates []Candidate) *Conversation {
 	nonce := newNonce()
 	c := &Conversation{}
@@ -41,24 +44,24 @@
 		if err != nil {
 			continue
 		}
-		if len(c.runs) == 0 {
+		if len(c.exchanges) == 0 {
 			shared = stored.KeyFactors
 		}
 		if stored.KeyFactors != shared {
 			continue
 		}
-		c.runs = append(c.runs, newRun(cand.KeyID, stored, nonce))
+		c.exchanges = append(c.exchanges, newExchange(cand.KeyID, stored, nonce))
 	}
-	if len(c.runs) == 0 {
-		c.runs = append(c.runs, newRun("", randomCredentials(workspace), nonce))
+	if len(c.exchanges) == 0 {
+		c.exchanges = append(c.exchanges, newExchange("", randomCredentials(workspace), nonce))
 	}
 	return c
 }
 
-// First answers the client's first message.
+// First returns the response to the client's first message.
 func (c *Conversation) First(message string) (string, error) {
 	var reply string
-	for _, r := range c.runs {
+	for _, r := range c.exchanges {
 		text, err := r.conv.Step(message)
 		if err != nil {
 			return "", errors.Wrap(err, "first message")
@@ -68,10 +71,11 @@
 	return reply, nil
 }
 
-// Final checks the client's proof. It returns the server's last message and
-// the identity of the key that matched, or ErrNoKeyMatches.
+// Final verifies the client's proof. It returns the server's final message and
+// the ID of the key that matches, or ErrNoKeyMatches. It verifies against every key also
+// after a match.
 func (c *Conversation) Final(message string) (reply, keyID string, err error) {
-	for _, r := range c.runs {
+	for _, r := range c.exchanges {
 		text, stepErr := r.conv.Step(message)
 		if stepErr == nil && r.conv.Valid() && keyID == "" {
 			reply, keyID = text, r.keyID
@@ -83,11 +87,11 @@
 	return reply, keyID, nil
 }
 
-func newRun(keyID string, stored scram.StoredCredentials, nonce string) run {
+func newExchange(keyID string, stored scram.StoredCredentials, nonce string) exchange {
 	lookup := func(string) (scram.StoredCredentials, error) { return stored, nil }
 	server, _ := scram.SHA256.NewServer(lookup) // never fails
 	server.WithNonceGenerator(func() string { return nonce })
-	return run{keyID: keyID, conv: server.NewConversation()}
+	return exchange{keyID: keyID, conv: server.NewConversation()}
 }
 
 func newNonce() string {
@@ -96,11 +100,13 @@
 	return base64.StdEncoding.EncodeToString(raw)
 }
 
+// randomCredentials returns credentials that no client can match, with the salt and iteration
+// count that the keys of the workspace would have.
 func randomCredentials(workspace string) scram.StoredCredentials {
 	digests := make([]byte, 2*sha256.Size)
 	_, _ = rand.Read(digests) // crypto/rand.Read never fails
 	return scram.StoredCredentials{
-		KeyFactors: factors(workspace),
+		KeyFactors: keyFactors(workspace),
 		StoredKey:  digests[:sha256.Size],
 		ServerKey:  digests[sha256.Size:],
 	}
--- a/internal/scramauth/scramauth_test.go
+++ b/internal/scramauth/scramauth_test.go
@@ -6,16 +6,16 @@
 	"github.com/xdg-go/scram"
 )
 
-// login runs a whole exchange and returns the matched key.
+// login runs a complete exchange and returns the ID of the matching key.
 func login(t *testing.T, key string, candidates []Candidate) (string, error) {
 	t.Helper()
 	client, err := scram.SHA256.NewClient("", key, "")
 	if err != nil {
 		t.Fatal(err)
 	}
-	peer := client.NewConversation()
+	clientConv := client.NewConversation()
 	conv := NewConversation("osan-crew", candidates)
-	first, err := peer.Step("")
+	first, err := clientConv.Step("")
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -23,7 +23,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	proof, err := peer.Step(challenge)
+	proof, err := clientConv.Step(challenge)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -31,13 +31,13 @@
 	if err != nil {
 		return "", err
 	}
-	if _, err := peer.Step(final); err != nil || !peer.Valid() {
-		t.Fatalf("the client refuses the server: %v", err)
+	if _, err := clientConv.Step(final); err != nil || !clientConv.Valid() {
+		t.Fatalf("the client rejects the server: %v", err)
 	}
 	return keyID, nil
 }
 
-func TestEachKeyOfAWorkspaceMatches(t *testing.T) {
+func TestConversationMatchesEachKeyOfWorkspace(t *testing.T) {
 	keys := []string{NewKey(), NewKey(), "pass word é"}
 	var candidates []Candidate
 	for i, key := range keys {
@@ -51,7 +51,7 @@
 	}
 }
 
-func TestWrongKeyAndUnknownWorkspaceAreRefused(t *testing.T) {
+func TestConversationRefusesWrongKeyAndUnknownWorkspace(t *testing.T) {
 	candidates := []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}}
 	if _, err := login(t, NewKey(), candidates); err != ErrNoKeyMatches {
 		t.Errorf("wrong key: %v", err)
@@ -61,7 +61,8 @@
 	}
 }
 
-func TestUnknownWorkspaceGetsTheSaltThatItsKeysWouldHave(t *testing.T) {
+// A different salt or iteration count would reveal whether a workspace exists.
+func TestConversationUnknownWorkspaceGetsSameSalt(t *testing.T) {
 	const first = "n,,n=,r=abcdefghijkl"
 	known := NewConversation("osan-crew", []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}})
 	a, err := known.First(first)
@@ -77,7 +78,7 @@
 	}
 }
 
-func TestParseVerifierRefusesBrokenText(t *testing.T) {
+func TestParseVerifierRejectsMalformedText(t *testing.T) {
 	good := Verifier("w", "k")
 	if _, err := ParseVerifier(good); err != nil {
 		t.Fatal(err)
--- a/internal/scramauth/verifier.go
+++ b/internal/scramauth/verifier.go
@@ -1,7 +1,7 @@
 // Package scramauth authenticates callers by SCRAM-SHA-256 (RFC 5802, RFC 7677)
 // against the verifiers of a workspace's keys. A workspace may have several
-// keys in force; they share salt and iteration count, so that one exchange of
-// messages serves all of them. The package performs no network I/O.
+// active keys; they share salt and iteration count, so that one exchange of
+// messages can authenticate with any of them. The package performs no network I/O.
 package scramauth
 
 import (
@@ -39,15 +39,15 @@
 func Verifier(workspace, key string) string {
 	client, err := scram.SHA256.NewClient("", key, "")
 	if err != nil {
-		// SASLprep refuses the key: clients then use its bytes as they are.
+		// The key is not valid for SASLprep; clients then use its bytes unprepared.
 		client, _ = scram.SHA256.NewClientUnprepped("", key, "") // never fails
 	}
-	// Salt and iteration count are valid, so that this never fails.
-	stored, _ := client.GetStoredCredentialsWithError(factors(workspace))
+	// This cannot fail because the salt and the iteration count are valid.
+	stored, _ := client.GetStoredCredentialsWithError(keyFactors(workspace))
 	return format(stored)
 }
 
-// ParseVerifier parses a verifier in PostgreSQL's form.
+// ParseVerifier parses a verifier in the form that Verifier returns.
 func ParseVerifier(text string) (scram.StoredCredentials, error) {
 	v, err := note.ParseVerifier(text)
 	if err != nil {
@@ -68,7 +68,8 @@
 		enc.EncodeToString(c.ServerKey))
 }
 
-func factors(workspace string) scram.KeyFactors {
+// keyFactors returns the salt and iteration count of all keys of a workspace.
+func keyFactors(workspace string) scram.KeyFactors {
 	sum := sha256.Sum256([]byte(saltPrefix + workspace))
 	return scram.KeyFactors{Salt: string(sum[:saltBytes]), Iters: iterations}
 }
--- a/internal/supervise/supervise.go
+++ b/internal/supervise/supervise.go
@@ -1,6 +1,6 @@
 // Package supervise runs trees of tasks. A task that fails is restarted with
-// back-off and does not take its siblings down. A tree is itself a task, so
-// trees nest.
+// exponential backoff; its siblings keep running. A tree is itself a task, so
+// trees can be nested.
 package supervise
 
 import (
@@ -12,16 +12,16 @@
 	"github.com/pkg/errors"
 )
 
-// Restart back-off of a failing task.
+// Restart backoff of a failing task.
 const (
 	minBackoff = 50 * time.Millisecond
 	maxBackoff = 5 * time.Second
-	// steadyRun is how long a task must run for its back-off to start anew.
-	steadyRun = 30 * time.Second
+	// stableRunTime is the run time after which the backoff of a task is reset.
+	stableRunTime = 30 * time.Second
 )
 
-// Task is a long-running activity. Run blocks until ctx ends, then releases all
-// that the task owns before it returns. A return before ctx ends is a failure.
+// Task is a long-running activity. Run blocks until ctx ends and releases all resources of
+// the task before it returns. A return before ctx ends is a failure, also with a nil error.
 type Task interface {
 	Run(ctx context.Context) error
 }
@@ -37,7 +37,7 @@
 	name     string
 	log      *log.Logger
 	children []child
-	// backoff is replaced in tests.
+	// backoff waits for d or until ctx ends; tests replace it.
 	backoff func(ctx context.Context, d time.Duration)
 }
 
@@ -51,13 +51,14 @@
 	return &Tree{name: name, log: logger, backoff: sleep}
 }
 
-// Add appends a task. Tasks start in the order of Add and are all stopped when
-// the tree's context ends. Add must not be called after Run.
+// Add appends a task. Tasks are started in the order of Add, run concurrently and are all
+// stopped when the tree's context ends. Add must not be called after Run.
 func (t *Tree) Add(name string, task Task) {
 	t.children = append(t.children, child{name: t.name + "/" + name, task: task})
 }
 
-// Run implements Task. It returns once every child has returned.
+// Run implements Task. It runs the tasks until ctx ends and returns once all of them have
+// returned.
 func (t *Tree) Run(ctx context.Context) error {
 	var group run.Group
 	ctx, cancel := context.WithCancel(ctx)
@@ -79,7 +80,8 @@
 	return group.Run()
 }
 
-// keepRunning restarts c until ctx ends.
+// keepRunning runs c, and again after each failure, until ctx ends. The wait between runs
+// doubles from minBackoff to maxBackoff and is reset after a run of stableRunTime.
 func (t *Tree) keepRunning(ctx context.Context, c child) {
 	wait := minBackoff
 	for ctx.Err() == nil {
@@ -88,7 +90,7 @@
 		if ctx.Err() != nil {
 			return
 		}
-		if time.Since(start) >= steadyRun {
+		if time.Since(start) >= stableRunTime {
 			wait = minBackoff
 		}
 		t.log.Error("task_failed", "task", c.name, "err", err.Error(), "restart_in", wait)
@@ -97,7 +99,7 @@
 	}
 }
 
-// runProtected turns a panic of the task into an error.
+// runProtected runs the task and converts a panic or a nil error into an error.
 func runProtected(ctx context.Context, task Task) (err error) {
 	defer func() {
 		if v := recover(); v != nil {
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -11,7 +11,7 @@
 	"go.uber.org/goleak"
 )
 
-func TestFailingTaskIsRestartedAndSiblingsGoOn(t *testing.T) {
+func TestTreeRestartsOnlyFailedTask(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	tree := New("root", log.New(io.Discard))
 	tree.backoff = func(context.Context, time.Duration) {}
@@ -43,7 +43,7 @@
 	done := make(chan error, 1)
 	go func() { done <- tree.Run(ctx) }()
 	<-recovered
-	<-started // else the end may come before its first start
+	<-started // otherwise the tree may be stopped before the sibling starts
 	cancel()
 	<-done
 	if siblingStarts != 1 {
@@ -54,7 +54,7 @@
 	}
 }
 
-func TestNestedTreeStopsWithItsParent(t *testing.T) {
+func TestTreeNestedStopsWithParent(t *testing.T) {
 	defer goleak.VerifyNone(t)
 	inner := New("inner", log.New(io.Discard))
 	started := make(chan struct{})
