--- a/internal/peer/conn.go
+++ b/internal/peer/conn.go
@@ -85,7 +85,7 @@
 	return c.ws.Ping(ctx)
 }
 
-// since returns the time elapsed since stamp, in Unix nanoseconds.
+// since returns the time elapsed since stamp, a Unix time in nanoseconds.
 func since(stamp *atomic.Int64) time.Duration {
 	return time.Duration(time.Now().UnixNano() - stamp.Load())
 }
--- a/internal/pgback/monitor.go
+++ b/internal/pgback/monitor.go
@@ -89,21 +89,21 @@
 
 // drainRequests returns first and all requests that are already pending.
 func (m *Monitor) drainRequests(first positionRequest) []positionRequest {
-	questions := []positionRequest{first}
+	pending := []positionRequest{first}
 	for {
 		select {
 		case q := <-m.requests:
-			questions = append(questions, q)
+			pending = append(pending, q)
 		default:
-			return questions
+			return pending
 		}
 	}
 }
 
 // answerRequests reads the positions once and replies to all requests.
-func (m *Monitor) answerRequests(ctx context.Context, questions []positionRequest) {
+func (m *Monitor) answerRequests(ctx context.Context, pending []positionRequest) {
 	s := m.read(ctx, readPositionsOnly)
-	for _, q := range questions {
+	for _, q := range pending {
 		q.reply <- s
 	}
 }
