--- a/internal/entry/backends.go
+++ b/internal/entry/backends.go
@@ -14,7 +14,7 @@
 )
 
 // sweepInterval is the time between two searches for idle connections.
-const sweepInterval = 10 * time.Second
+const idleSweepInterval = 10 * time.Second
 
 // backends keeps a pool and a monitor for each endpoint of the services in
 // use. It follows the agreed state.
@@ -51,7 +51,7 @@
 	b.mu.Lock()
 	b.ctx = ctx
 	b.mu.Unlock()
-	ticker := time.NewTicker(sweepInterval)
+	ticker := time.NewTicker(idleSweepInterval)
 	defer ticker.Stop()
 	for {
 		changed := b.view.Changed()
@@ -68,7 +68,7 @@
 }
 
 // use makes the endpoints of a service ready.
-func (b *backends) use(service string) {
+func (b *backends) addService(service string) {
 	b.mu.Lock()
 	known := b.services[service]
 	b.services[service] = true
@@ -96,17 +96,17 @@
 	if state == nil || b.ctx == nil || b.ctx.Err() != nil {
 		return
 	}
-	wanted := make(map[string]bool)
+	desired := make(map[string]bool)
 	for service := range b.services {
 		for _, id := range state.Groups[service].Members {
 			if target, ok := targetOf(state, service, id); ok {
-				wanted[id] = true
+				desired[id] = true
 				b.ensure(service, target)
 			}
 		}
 	}
 	for id, member := range b.members {
-		if !wanted[id] {
+		if !desired[id] {
 			member.close()
 			delete(b.members, id)
 		}
@@ -145,7 +145,7 @@
 }
 
 // nudge asks the replicas of a service for their positions.
-func (b *backends) nudge(service, primary string) {
+func (b *backends) pollReplicas(service, primary string) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
 	for id, member := range b.members {
@@ -156,7 +156,7 @@
 }
 
 // poolUse is the use of one endpoint's connections.
-type poolUse struct {
+type poolUsage struct {
 	service  string
 	endpoint string
 	open     int
@@ -164,12 +164,12 @@
 }
 
 // poolUse lists the endpoints in use, with their peaks since the last call.
-func (b *backends) poolUse() []poolUse {
+func (b *backends) poolUsage() []poolUsage {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
-	all := make([]poolUse, 0, len(b.members))
+	all := make([]poolUsage, 0, len(b.members))
 	for id, member := range b.members {
-		all = append(all, poolUse{service: member.service, endpoint: id, open: member.pool.Stats().Open, peak: member.pool.TakePeak()})
+		all = append(all, poolUsage{service: member.service, endpoint: id, open: member.pool.Stats().Open, peak: member.pool.TakePeak()})
 	}
 	return all
 }
@@ -224,11 +224,11 @@
 
 // evenShare shares a cap of a service evenly among the entry hosts; each gets at
 // least the given number.
-func evenShare(src view.Source, least int, whole func(note.Service) int) func(service, endpoint string) int {
+func evenShare(src view.Source, minimum int, total func(note.Service) int) func(service, endpoint string) int {
 	return func(service, _ string) int {
 		state := src.Current().State
 		if state == nil {
-			return least
+			return minimum
 		}
 		hosts := 0
 		for _, h := range state.Hosts {
@@ -236,6 +236,6 @@
 				hosts++
 			}
 		}
-		return max(whole(state.Catalog.Services[service])/max(hosts, 1), least)
+		return max(total(state.Catalog.Services[service])/max(hosts, 1), minimum)
 	}
 }
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -117,22 +117,22 @@
 	f := benchFixture(b)
 	var before, after runtime.MemStats
 	for b.Loop() {
-		settle(&before)
+		readMemStats(&before)
 		conns := make([]*bareClient, callers)
 		for i := range conns {
 			conns[i] = newBareClient(b, f)
 		}
-		settle(&after)
+		readMemStats(&after)
 		used := after.HeapInuse + after.StackInuse - before.HeapInuse - before.StackInuse
 		b.ReportMetric(float64(used)/callers, "B/caller")
 		for _, c := range conns {
 			c.close()
 		}
-		eventually(b, "callers gone", func() bool { return len(f.server.list()) <= 1 })
+		eventually(b, "callers gone", func() bool { return len(f.server.activeSessions()) <= 1 })
 	}
 }
 
-func settle(m *runtime.MemStats) {
+func readMemStats(m *runtime.MemStats) {
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(m)
@@ -164,7 +164,7 @@
 	conn.Session.Add(known["s"].name)
 	b.ReportAllocs()
 	for b.Loop() {
-		u := newBatch()
+		u := newExtendedUnit()
 		bind := &pgproto3.Bind{PreparedStatement: "s", Parameters: [][]byte{{0, 0, 0, 1}}}
 		for _, msg := range []pgproto3.FrontendMessage{bind, &pgproto3.Describe{ObjectType: 'P'}, &pgproto3.Execute{}} {
 			if err := u.add(msg, known); err != nil {
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -60,32 +60,32 @@
 }
 
 // add gives the session its number and makes it known.
-func (s *Server) add(ses *session) {
+func (s *Server) registerSession(ses *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for {
-		s.serial = (s.serial + 1) & sessionMask
-		if _, taken := s.sessions[s.serial]; !taken && s.serial != 0 {
+		s.lastSessionNumber = (s.lastSessionNumber + 1) & sessionMask
+		if _, taken := s.sessions[s.lastSessionNumber]; !taken && s.lastSessionNumber != 0 {
 			break
 		}
 	}
-	ses.pid = s.number<<sessionBits | s.serial
-	s.sessions[s.serial] = ses
+	ses.pid = s.number<<sessionBits | s.lastSessionNumber
+	s.sessions[s.lastSessionNumber] = ses
 }
 
-func (s *Server) remove(ses *session) {
+func (s *Server) unregisterSession(ses *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, ses.pid&sessionMask)
 }
 
 // countRead counts a read by the role of the endpoint that served it.
-func (s *Server) countRead(p purpose, l *lease) {
-	if p.kind != kindRead && !l.readOnly {
+func (s *Server) countRead(uc unitClass, co *checkout) {
+	if uc.kind != kindRead && !co.readOnly {
 		return
 	}
 	role := "replica"
-	if l.primary {
+	if co.primary {
 		role = "primary"
 	}
 	s.metrics.reads.WithLabelValues(role).Inc()
--- a/internal/entry/lease.go
+++ b/internal/entry/checkout.go
@@ -11,14 +11,14 @@
 )
 
 // lease is a session's use of an endpoint connection and a slot.
-type lease struct {
-	endpoint string
-	service  string
-	term     uint64
-	primary  bool
-	conn     *pgback.Conn
-	backend  *backend
-	leave    func()
+type checkout struct {
+	endpoint    string
+	service     string
+	term        uint64
+	primary     bool
+	conn        *pgback.Conn
+	backend     *backend
+	releaseSlot func()
 	// latency is the time of the first answer.
 	latency time.Duration
 	// lost tells that the endpoint failed.
@@ -34,14 +34,14 @@
 
 // place finds an endpoint and takes a slot and a connection. It waits until
 // ctx ends.
-func (s *session) place(ctx context.Context, need Need) (*lease, error) {
+func (s *session) acquire(ctx context.Context, need Need) (*checkout, error) {
 	for {
 		changed := s.srv.opts.View.Changed()
-		l, err := s.tryPlace(ctx, need)
+		co, err := s.tryAcquire(ctx, need)
 		if err == nil {
-			return l, nil
+			return co, nil
 		}
-		if !waitable(err) || ctx.Err() != nil {
+		if !isTransient(err) || ctx.Err() != nil {
 			return nil, err
 		}
 		// Nothing else is left: what was tried before may serve again.
@@ -56,14 +56,14 @@
 		if ctx.Err() != nil {
 			return nil, err
 		}
-		if err := s.guard(); err != nil {
+		if err := s.authorize(); err != nil {
 			return nil, err
 		}
 	}
 }
 
 // waitable reports whether a later attempt may succeed.
-func waitable(err error) bool {
+func isTransient(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NoPrimary, result.NoEndpoint:
 		return true
@@ -71,64 +71,64 @@
 	return false
 }
 
-func (s *session) tryPlace(ctx context.Context, need Need) (*lease, error) {
+func (s *session) tryAcquire(ctx context.Context, need Need) (*checkout, error) {
 	endpoint, err := s.srv.router.Pick(time.Now(), need)
 	if err != nil {
 		return nil, err
 	}
 	if need.ReadOnly && s.srv.isPrimary(need.Service, endpoint) {
 		// No replica is known to have the position: later reads need news of them.
-		s.srv.backends.nudge(need.Service, endpoint)
+		s.srv.backends.pollReplicas(need.Service, endpoint)
 	}
 	member, err := s.srv.backends.get(endpoint)
 	if err != nil {
 		return nil, result.New(result.NoEndpoint, "%v", err)
 	}
-	leave, err := s.srv.gate.AcquireSlot(ctx, s.admission(ctx, endpoint))
+	releaseSlot, err := s.srv.gate.AcquireSlot(ctx, s.slotRequest(ctx, endpoint))
 	if err != nil {
 		return nil, err
 	}
 	conn, err := member.pool.Acquire(ctx)
 	if err != nil {
-		leave()
+		releaseSlot()
 		s.srv.router.End(Report{Endpoint: endpoint, Failed: ctx.Err() == nil})
 		if ctx.Err() != nil {
 			return nil, result.New(result.DeadlineInQueue, "waiting for a connection to endpoint %s", endpoint)
 		}
 		return nil, result.New(result.NoEndpoint, "%v", err)
 	}
-	l := &lease{endpoint: endpoint, service: need.Service, conn: conn, backend: member, leave: leave}
+	co := &checkout{endpoint: endpoint, service: need.Service, conn: conn, backend: member, releaseSlot: releaseSlot}
 	s.srv.router.Begin(endpoint)
-	if err := s.recheck(l, need); err != nil {
-		s.release(l, true)
+	if err := s.revalidate(co, need); err != nil {
+		s.release(co, true)
 		return nil, err
 	}
-	s.hold(l)
-	if err := s.applySettings(l); err != nil {
-		s.release(l, false)
+	s.setActive(co)
+	if err := s.applySettings(co); err != nil {
+		s.release(co, false)
 		return nil, err
 	}
-	return l, nil
+	return co, nil
 }
 
 // recheck makes sure that the endpoint may still be used after the wait.
-func (s *session) recheck(l *lease, need Need) error {
-	if err := s.guard(); err != nil {
+func (s *session) revalidate(co *checkout, need Need) error {
+	if err := s.authorize(); err != nil {
 		return err
 	}
-	group := s.srv.opts.View.Current().State.Groups[l.service]
-	l.term = group.Term
-	l.primary = group.Primary == l.endpoint
-	if !need.ReadOnly && (!l.primary || group.Phase != agreed.PhaseActive) {
-		return result.New(result.NoPrimary, "endpoint %s is not the primary any more", l.endpoint)
+	group := s.srv.opts.View.Current().State.Groups[co.service]
+	co.term = group.Term
+	co.primary = group.Primary == co.endpoint
+	if !need.ReadOnly && (!co.primary || group.Phase != agreed.PhaseActive) {
+		return result.New(result.NoPrimary, "endpoint %s is not the primary any more", co.endpoint)
 	}
 	return nil
 }
 
 // applySettings brings the connection's settings in line with the session's.
-func (s *session) applySettings(l *lease) error {
+func (s *session) applySettings(co *checkout) error {
 	script := s.script()
-	state := &l.conn.Session
+	state := &co.conn.Session
 	if state.Settings == script {
 		return nil
 	}
@@ -138,7 +138,7 @@
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), resetTimeout)
 	defer cancel()
-	if _, err := l.conn.Query(ctx, text); err != nil {
+	if _, err := co.conn.Query(ctx, text); err != nil {
 		return result.New(result.UnsupportedFeature, "session settings: %v", err)
 	}
 	state.Settings = script
@@ -147,29 +147,29 @@
 
 // release returns the slot and the connection. A connection whose state is
 // unknown is closed; one that a caller has changed is reset first.
-func (s *session) release(l *lease, reusable bool) {
-	s.unhold(l)
-	l.conn.SetDeadline(time.Time{})
-	l.leave()
-	s.srv.router.End(Report{Endpoint: l.endpoint, Began: true, Failed: l.lost, Latency: l.latency})
-	if !reusable || !l.conn.Session.Dirty {
-		l.backend.pool.Release(l.conn, reusable)
+func (s *session) release(co *checkout, reusable bool) {
+	s.clearActive(co)
+	co.conn.SetDeadline(time.Time{})
+	co.releaseSlot()
+	s.srv.router.End(Report{Endpoint: co.endpoint, Began: true, Failed: co.lost, Latency: co.latency})
+	if !reusable || !co.conn.Session.Dirty {
+		co.backend.pool.Release(co.conn, reusable)
 		return
 	}
 	s.srv.tasks.Add(1)
 	go func() {
 		defer s.srv.tasks.Done()
-		l.backend.pool.Release(l.conn, l.conn.Reset(resetTimeout) == nil)
+		co.backend.pool.Release(co.conn, co.conn.Reset(resetTimeout) == nil)
 	}()
 }
 
 // termHolds reports whether the host may act on the lease's term now.
-func termHolds(v view.View, l *lease) bool {
+func termHolds(v view.View, co *checkout) bool {
 	if !v.Valid() {
 		return false
 	}
-	group := v.State.Groups[l.service]
-	return group.Term == l.term && group.Phase == agreed.PhaseActive && group.Primary == l.endpoint
+	group := v.State.Groups[co.service]
+	return group.Term == co.term && group.Phase == agreed.PhaseActive && group.Primary == co.endpoint
 }
 
 // isPrimary reports whether the endpoint is the primary of its group.
--- a/internal/entry/classify.go
+++ b/internal/entry/classify.go
@@ -20,7 +20,7 @@
 	// kindSet changes a run-time setting of the session.
 	kindSet
 	// kindOwn is SET, SHOW or RESET of a galenabridge parameter.
-	kindOwn
+	kindProxyParam
 	// kindDeallocate is DEALLOCATE or DISCARD, answered at the entry.
 	kindDeallocate
 	// kindUnsupported needs session state that pooling cannot keep.
@@ -36,11 +36,11 @@
 	// multi tells that the text holds, or may hold, several statements.
 	multi bool
 	// why names the unsupported feature.
-	why string
+	feature string
 }
 
 // ownPrefix begins the names of the parameters that the entry handles itself.
-const ownPrefix = "galenabridge."
+const paramPrefix = "galenabridge."
 
 // classify looks at the first keywords after comments. It does not parse SQL:
 // what it cannot tell is a write.
@@ -58,7 +58,7 @@
 		return class{kind: kindWrite, dirty: true, multi: true}
 	}
 	if feature := unsupportedFunction(body); feature != "" {
-		return class{kind: kindUnsupported, why: feature}
+		return class{kind: kindUnsupported, feature: feature}
 	}
 	if containsFold(body, "set_config") {
 		c.dirty = true
@@ -88,20 +88,20 @@
 		return classifyCreate(rest)
 	case "DECLARE":
 		if containsFold(rest, "with hold") {
-			return class{kind: kindUnsupported, why: "cursors WITH HOLD"}
+			return class{kind: kindUnsupported, feature: "cursors WITH HOLD"}
 		}
 		return class{kind: kindWrite}
 	case "LISTEN", "UNLISTEN":
-		return class{kind: kindUnsupported, why: word}
+		return class{kind: kindUnsupported, feature: word}
 	case "PREPARE":
 		if next, _ := cutWord(rest); next == "TRANSACTION" {
-			return class{kind: kindUnsupported, why: "two-phase commit"}
+			return class{kind: kindUnsupported, feature: "two-phase commit"}
 		}
-		return class{kind: kindUnsupported, why: "PREPARE as a statement; use the extended protocol"}
+		return class{kind: kindUnsupported, feature: "PREPARE as a statement; use the extended protocol"}
 	case "EXECUTE":
-		return class{kind: kindUnsupported, why: "EXECUTE as a statement; use the extended protocol"}
+		return class{kind: kindUnsupported, feature: "EXECUTE as a statement; use the extended protocol"}
 	case "LOAD":
-		return class{kind: kindUnsupported, why: word}
+		return class{kind: kindUnsupported, feature: word}
 	}
 	return class{kind: kindWrite, dirty: true}
 }
@@ -131,27 +131,27 @@
 		scope := name
 		name, after = cutWord(after)
 		if scope == "LOCAL" {
-			return classifyLocal(name)
+			return classifySetLocal(name)
 		}
 	}
-	own := strings.ToLower(ownPrefix)
+	prefix := strings.ToLower(paramPrefix)
 	switch {
-	case strings.HasPrefix(strings.ToLower(name), own):
-		return class{kind: kindOwn}
+	case strings.HasPrefix(strings.ToLower(name), prefix):
+		return class{kind: kindProxyParam}
 	case word == "SHOW":
 		return class{kind: kindRead}
 	case name == "TRANSACTION" || name == "CONSTRAINTS":
 		return class{kind: kindWrite}
 	case name == "ROLE" || name == "AUTHORIZATION":
-		return class{kind: kindUnsupported, why: "SET " + name}
+		return class{kind: kindUnsupported, feature: "SET " + name}
 	}
 	_ = after
 	return class{kind: kindSet}
 }
 
-func classifyLocal(name string) class {
-	if strings.HasPrefix(strings.ToLower(name), ownPrefix) {
-		return class{kind: kindUnsupported, why: "SET LOCAL of galenabridge parameters"}
+func classifySetLocal(name string) class {
+	if strings.HasPrefix(strings.ToLower(name), paramPrefix) {
+		return class{kind: kindUnsupported, feature: "SET LOCAL of galenabridge parameters"}
 	}
 	return class{kind: kindWrite}
 }
@@ -162,7 +162,7 @@
 		word, _ = cutWord(after)
 	}
 	if word == "TEMP" || word == "TEMPORARY" {
-		return class{kind: kindUnsupported, why: "temporary objects"}
+		return class{kind: kindUnsupported, feature: "temporary objects"}
 	}
 	return class{kind: kindWrite}
 }
--- a/internal/entry/classify_test.go
+++ b/internal/entry/classify_test.go
@@ -20,8 +20,8 @@
 		"set timezone = 'UTC'":             kindSet,
 		"set session timezone to 'UTC'":    kindSet,
 		"set local timezone = 'UTC'":       kindWrite,
-		"SET galenabridge.class = 'bulk'":  kindOwn,
-		"show galenabridge.class":          kindOwn,
+		"SET galenabridge.class = 'bulk'":  kindProxyParam,
+		"show galenabridge.class":          kindProxyParam,
 		"show server_version":              kindRead,
 		"set transaction read only":        kindWrite,
 		"set role admin":                   kindUnsupported,
@@ -40,7 +40,7 @@
 	}
 }
 
-func TestDirtyStatements(t *testing.T) {
+func TestClassifyDirty(t *testing.T) {
 	for text, want := range map[string]bool{
 		"select 1":                              false,
 		"insert into entries values (1)":        false,
--- a/internal/entry/copy.go
+++ b/internal/entry/copy.go
@@ -31,9 +31,9 @@
 		default:
 			return result.New(result.MalformedMessage, "%T is not expected during COPY", msg)
 		}
-		ended := r.copyEnds(msg)
-		if ended || len(out) > flushSize {
-			if _, err := r.l.conn.Write(out); err != nil {
+		ended := r.endsCopy(msg)
+		if ended || len(out) > flushBytes {
+			if _, err := r.co.conn.Write(out); err != nil {
 				return nil // the next read reports the loss
 			}
 			out = out[:0]
@@ -44,7 +44,7 @@
 	}
 }
 
-func (r *relay) copyEnds(msg pgproto3.FrontendMessage) bool {
+func (r *relay) endsCopy(msg pgproto3.FrontendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.CopyDone, *pgproto3.CopyFail:
 		return r.u.simple
@@ -56,7 +56,7 @@
 
 // flushNow sends what is queued to a caller that waits for it.
 func (r *relay) flushNow() error {
-	if r.held {
+	if r.holding {
 		return r.releaseEarly()
 	}
 	r.request.Streamed = true
--- a/internal/entry/durability.go
+++ b/internal/entry/durability.go
@@ -12,18 +12,18 @@
 )
 
 // durabilityPause is the wait before a majority's positions are read again.
-const durabilityPause = time.Millisecond
+const quorumPollInterval = time.Millisecond
 
 // majorityWait is a Durability that asks the primary for its own position and
 // those of its replicas. Questions of concurrent callers are batched by the
 // endpoint's monitor.
-type majorityWait struct {
+type majorityDurability struct {
 	view view.Source
 	read func(ctx context.Context, endpoint string) (pgback.Status, error)
 }
 
 // Wait implements Durability.
-func (d *majorityWait) Wait(ctx context.Context, service string, term uint64) (Position, error) {
+func (d *majorityDurability) Wait(ctx context.Context, service string, term uint64) (Position, error) {
 	var target uint64
 	for first := true; ; first = false {
 		state := d.view.Current().State
@@ -44,7 +44,7 @@
 		if hasQuorum(group, state.Quorum(service), status, target) {
 			return Position{Term: term, LSN: target}, nil
 		}
-		if err := pause(ctx, durabilityPause); err != nil {
+		if err := pause(ctx, quorumPollInterval); err != nil {
 			return Position{}, err
 		}
 	}
@@ -52,14 +52,14 @@
 
 // hasQuorum counts the primary and the members that have flushed lsn.
 func hasQuorum(group agreed.Group, quorum int, status pgback.Status, lsn uint64) bool {
-	have := 0
+	count := 0
 	for _, id := range group.Members {
 		flushed, ok := status.Flushed[id]
 		if id == group.Primary || ok && flushed >= lsn {
-			have++
+			count++
 		}
 	}
-	return have >= quorum
+	return count >= quorum
 }
 
 // pause waits for d or the end of ctx.
--- a/internal/entry/extended_test.go
+++ b/internal/entry/extended_test.go
@@ -46,7 +46,7 @@
 	}
 }
 
-func TestClosedStatementIsGone(t *testing.T) {
+func TestClosedStatementCannotBeExecuted(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	if _, err := conn.Prepare(testContext(t), "one", "select 1"); err != nil {
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestBatchIsPipelined(t *testing.T) {
+func TestBatchAnswersInOrder(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -209,7 +209,7 @@
 	}
 }
 
-func TestSessionSettingsFollowTheCaller(t *testing.T) {
+func TestSessionSettingsAppliedPerCaller(t *testing.T) {
 	f := newFixture(t, fixtureConfig{connections: 2})
 	a, b := f.connect(""), f.connect("TimeZone=Asia/Seoul")
 	mustExec(t, a, "set statement_timeout = '4321'")
@@ -243,7 +243,7 @@
 	}
 }
 
-func TestUnsupportedFeaturesAreRefused(t *testing.T) {
+func TestUnsupportedFeaturesRefused(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	for _, sql := range []string{"listen news", "create temp table x (id int)", "select pg_advisory_lock(1)"} {
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -19,7 +19,7 @@
 
 func withdrawKey(s *agreed.State) { delete(s.Catalog.Keys, "crew-1") }
 
-func TestWithdrawnKeyClosesAnIdleCaller(t *testing.T) {
+func TestWithdrawnKeyClosesIdleSession(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	f.publish(withdrawKey)
@@ -38,7 +38,7 @@
 	}
 }
 
-func TestWithdrawnKeyCancelsATransaction(t *testing.T) {
+func TestWithdrawnKeyCancelsTransaction(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -49,7 +49,7 @@
 		_, err := conn.Exec(context.Background(), "select pg_sleep(100)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	f.publish(withdrawKey)
 	wantCode(t, <-done, result.KeyWithdrawn)
 	if n := queryInt(t, f.direct(0), "select count(*) from entries"); n != 0 {
@@ -58,12 +58,12 @@
 }
 
 // waitHeld waits until a session uses an endpoint connection.
-func (f *fixture) waitHeld() {
+func (f *fixture) waitActive() {
 	f.t.Helper()
 	eventually(f.t, "statement sent", func() bool {
-		for _, s := range f.server.list() {
+		for _, s := range f.server.activeSessions() {
 			s.mu.Lock()
-			held := s.held != nil
+			held := s.active != nil
 			s.mu.Unlock()
 			if held {
 				return true
@@ -73,7 +73,7 @@
 	})
 }
 
-func TestNoWorkPastTheLease(t *testing.T) {
+func TestExpiredConfigLeaseRefusesRequests(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestRequestIsHeldWhileThereIsNoPrimary(t *testing.T) {
+func TestWriteWaitsWithoutPrimary(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -103,8 +103,8 @@
 		_, err := conn.Exec(context.Background(), "insert into entries values (1)")
 		done <- err
 	}()
-	hurried := f.connect("galenabridge.deadline=50")
-	_, err := hurried.Exec(testContext(t), "insert into entries values (2)")
+	shortDeadline := f.connect("galenabridge.deadline=50")
+	_, err := shortDeadline.Exec(testContext(t), "insert into entries values (2)")
 	wantCode(t, err, result.NoPrimary)
 	f.publish(func(s *agreed.State) {
 		g := s.Groups[testService]
@@ -120,7 +120,7 @@
 }
 
 // A read that cannot learn its position during a failover waits like a write.
-func TestReadIsHeldWhileItsPositionIsUnknown(t *testing.T) {
+func TestReadWaitsForUnknownPosition(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	setPhase := func(phase agreed.Phase, term uint64) {
 		f.publish(func(s *agreed.State) {
@@ -136,8 +136,8 @@
 		_, err := conn.Exec(context.Background(), "select 1")
 		done <- err
 	}()
-	hurried := f.connect("galenabridge.deadline=200")
-	if _, err := hurried.Exec(testContext(t), "select 1"); err == nil {
+	shortDeadline := f.connect("galenabridge.deadline=200")
+	if _, err := shortDeadline.Exec(testContext(t), "select 1"); err == nil {
 		t.Fatal("a read without a position was served")
 	}
 	setPhase(agreed.PhaseActive, 2)
@@ -146,7 +146,7 @@
 	}
 }
 
-func TestOutcomeIsUnknownWhenTheAnswerIsLost(t *testing.T) {
+func TestLostAnswerOutcomeUnknown(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -159,7 +159,7 @@
 	}
 }
 
-func TestNoAcknowledgementWithoutAMajority(t *testing.T) {
+func TestWriteWithoutMajorityOutcomeUnknown(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -169,7 +169,7 @@
 	wantCode(t, err, result.OutcomeUnknown)
 }
 
-func TestLateAnswerOfAReplacedPrimaryIsNotPassedOn(t *testing.T) {
+func TestReplacedPrimaryLateAnswerDropped(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -179,7 +179,7 @@
 		_, err := conn.Exec(context.Background(), "insert into entries values (1)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	f.publish(func(s *agreed.State) {
 		g := s.Groups[testService]
 		g.Term, g.Primary = g.Term+1, g.Members[1]
@@ -189,7 +189,7 @@
 	f.group.Servers[0].Faults().Stall(false)
 }
 
-func TestLostTransactionStaysFailed(t *testing.T) {
+func TestLostTransactionFailedUntilEnd(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -253,7 +253,7 @@
 	}
 }
 
-func TestClientThatStopsReadingIsClosed(t *testing.T) {
+func TestClientNotReadingDisconnected(t *testing.T) {
 	f := newFixture(t, fixtureConfig{options: func(o *Options) { o.WriteTimeout = 50 * time.Millisecond }})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (word text)")
@@ -265,7 +265,7 @@
 	if err := front.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "session closed", func() bool { return len(f.server.list()) == 0 })
+	eventually(t, "session closed", func() bool { return len(f.server.activeSessions()) == 0 })
 	if n := queryInt(t, f.connect(""), "select count(*) from entries"); n != 8 {
 		t.Errorf("%d rows", n)
 	}
@@ -279,7 +279,7 @@
 		_, err := conn.Exec(context.Background(), "select pg_sleep(100)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	if err := conn.PgConn().CancelRequest(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
@@ -292,7 +292,7 @@
 	}
 }
 
-func TestDrainLetsTransactionsEnd(t *testing.T) {
+func TestDrainWaitsForTransactions(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	idle, busy := f.connect(""), f.connect("")
 	mustExec(t, busy, "create table entries (id int primary key)")
@@ -303,7 +303,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if farewell, ok := msg.(*pgproto3.ErrorResponse); !ok || farewell.Code != "57P01" {
+	if notice, ok := msg.(*pgproto3.ErrorResponse); !ok || notice.Code != "57P01" {
 		t.Errorf("%+v", msg)
 	}
 	mustExec(t, busy, "insert into entries values (1)")
@@ -316,7 +316,7 @@
 	}
 }
 
-func TestOpenWorkspaceReadsOnly(t *testing.T) {
+func TestOpenWorkspaceReadOnly(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	mustExec(t, f.connect(""), "create table entries (id int primary key)")
 	conn, err := pgx.Connect(testContext(t), f.url("pull", "", ""))
@@ -340,7 +340,7 @@
 	}
 }
 
-func TestWorkspaceMayBeBoundToServices(t *testing.T) {
+func TestWorkspaceRestrictedToServices(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	f.publish(func(s *agreed.State) {
 		s.Catalog.Workspaces["crew"] = note.Workspace{Name: "crew", Rate: 1, Burst: 1, Class: "bulk", Services: []string{"other"}}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -38,7 +38,7 @@
 
 // newPatientFleet returns a fleet whose hosts wait for each other's positions
 // however slow the machine is, so that no read falls back to the primary.
-func newPatientFleet(t testing.TB) *fleet {
+func newFleetWithLongGather(t testing.TB) *fleet {
 	t.Helper()
 	return startFleet(t, &fleet{gatherTimeout: time.Minute}, 2, 0)
 }
@@ -56,7 +56,7 @@
 	}
 	f.fixture = newFixture(t, fixtureConfig{
 		standin:     func(o *standin.Options) { o.ReplayLag = lag },
-		options:     f.link(0),
+		options:     f.peerOptions(0),
 		connections: 20 * size,
 	})
 	f.publish(func(s *agreed.State) {
@@ -68,7 +68,7 @@
 	})
 	servers := []*Server{f.server}
 	for i := 1; i < size; i++ {
-		servers = append(servers, f.startHost(hostName(i), f.link(i)))
+		servers = append(servers, f.startHost(hostName(i), f.peerOptions(i)))
 	}
 	f.other = servers[1]
 	for i, node := range f.nodes {
@@ -80,7 +80,7 @@
 
 func hostName(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-func (f *fleet) link(i int) func(*Options) {
+func (f *fleet) peerOptions(i int) func(*Options) {
 	return func(o *Options) {
 		l := NewPeerLink(f.nodes[i], o.View)
 		o.Peers, o.CancelForwarder = l, l
@@ -88,7 +88,7 @@
 	}
 }
 
-func TestOwnWritesAreReadThroughAnotherHost(t *testing.T) {
+func TestOwnWritesVisibleThroughOtherHost(t *testing.T) {
 	f := newFleet(t, 150*time.Millisecond)
 	writers := []*pgx.Conn{f.connect(""), f.connectTo(f.other, "")}
 	mustExec(t, writers[0], "create table entries (id int primary key)")
@@ -101,7 +101,7 @@
 	f.waitReplicas(writers[0])
 }
 
-func TestReadsStaySafeWhenAHostDoesNotAnswer(t *testing.T) {
+func TestOwnWritesVisibleWithHostDown(t *testing.T) {
 	f := newFleet(t, 150*time.Millisecond)
 	writer, reader := f.connectTo(f.other, ""), f.connect("")
 	mustExec(t, writer, "create table entries (id int primary key)")
@@ -115,8 +115,8 @@
 	}
 }
 
-func TestWritesOfAnotherWorkspaceDoNotHoldReadsBack(t *testing.T) {
-	f := newPatientFleet(t)
+func TestOtherWorkspaceWritesKeepReadsOnReplicas(t *testing.T) {
+	f := newFleetWithLongGather(t)
 	conn := f.connect("")
 	f.waitReplicas(conn)
 	for _, s := range f.group.Servers {
@@ -133,7 +133,7 @@
 	}
 }
 
-func TestCancelThroughAnotherHost(t *testing.T) {
+func TestCancelThroughOtherHost(t *testing.T) {
 	f := newFleet(t, 0)
 	conn := f.connect("")
 	done := make(chan error, 1)
@@ -141,7 +141,7 @@
 		_, err := conn.Exec(context.Background(), "select pg_sleep(100)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	pg := conn.PgConn()
 	request := pgproto3.CancelRequest{ProcessID: pg.PID(), SecretKey: pg.SecretKey()}
 	encoded, err := request.Encode(nil)
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -26,7 +26,7 @@
 
 const (
 	// patience bounds every wait for a condition.
-	patience     = 60 * time.Second
+	testTimeout  = 60 * time.Second
 	testService  = "ledger"
 	testPassword = "endpoint secret"
 	callerKey    = "key of the crew"
@@ -34,10 +34,10 @@
 
 // fixture is an entry server before a group of stand-ins.
 type fixture struct {
-	t      testing.TB
-	group  *standin.Group
-	box    *view.Publisher
-	server *Server
+	t         testing.TB
+	group     *standin.Group
+	publisher *view.Publisher
+	server    *Server
 	// registry holds the server's metrics.
 	registry *prometheus.Registry
 
@@ -68,7 +68,7 @@
 		cfg.connections = 20
 	}
 	f := &fixture{
-		t: t, group: group, box: view.NewPublisher(), registry: prometheus.NewRegistry(),
+		t: t, group: group, publisher: view.NewPublisher(), registry: prometheus.NewRegistry(),
 		state: newState(group, cfg.connections),
 	}
 	f.background(group.Run)
@@ -122,14 +122,14 @@
 	next.Groups = maps.Clone(next.Groups)
 	change(&next)
 	f.state = next
-	f.box.Publish(view.View{State: &next, Settled: next.Revision, ValidUntil: clock.Now().Add(time.Hour)})
+	f.publisher.Publish(view.View{State: &next, Settled: next.Revision, ValidUntil: clock.Now().Add(time.Hour)})
 }
 
 // expire ends the configuration lease.
 func (f *fixture) expire() {
-	v := f.box.Current()
+	v := f.publisher.Current()
 	v.ValidUntil = clock.Now()
-	f.box.Publish(v)
+	f.publisher.Publish(v)
 }
 
 func (f *fixture) start(cfg fixtureConfig) {
@@ -147,9 +147,9 @@
 	f.t.Helper()
 	opts := Options{
 		Settings: &config.Settings{Host: host, Entry: &config.Entry{
-			Listen: "127.0.0.1:0", MaxMessage: 1 << 20, DefaultDeadline: config.Duration(patience),
+			Listen: "127.0.0.1:0", MaxMessage: 1 << 20, DefaultDeadline: config.Duration(testTimeout),
 		}},
-		View: f.box,
+		View: f.publisher,
 	}
 	change(&opts)
 	server, err := NewServer(opts)
@@ -222,7 +222,7 @@
 
 func testContext(t testing.TB) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -262,10 +262,10 @@
 // eventually waits until condition holds.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(testTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, patience)
+			t.Fatalf("%s: not within %s", what, testTimeout)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/entry/identity.go
+++ b/internal/entry/identity.go
@@ -54,7 +54,7 @@
 }
 
 // guard reports why a statement may not be sent now.
-func (s *session) guard() error {
+func (s *session) authorize() error {
 	v := s.srv.opts.View.Current()
 	if !v.Valid() {
 		return result.New(result.NoConfigLease, "the configuration lease ended")
@@ -63,11 +63,11 @@
 	if registered && host.Registered > v.Settled {
 		return result.New(result.NoConfigLease, "the host is not known to the whole fleet yet")
 	}
-	if err := s.who.check(v); err != nil {
+	if err := s.identity.check(v); err != nil {
 		return err
 	}
-	if v.State.Catalog.Services[s.who.service].Leaving {
-		return result.New(result.ServiceLeaving, "%q", s.who.service)
+	if v.State.Catalog.Services[s.identity.service].Leaving {
+		return result.New(result.ServiceLeaving, "%q", s.identity.service)
 	}
 	return nil
 }
--- a/internal/entry/local.go
+++ b/internal/entry/local.go
@@ -22,13 +22,13 @@
 }
 
 // localError reports an error of a statement answered at the entry.
-func (s *session) localError(err error, ends bool) error {
+func (s *session) localError(err error, final bool) error {
 	s.srv.metrics.result(err)
 	if queueErr := s.conn.Queue(pgfront.ErrorMessage(err, pgfront.Error)); queueErr != nil {
 		return queueErr
 	}
-	if !ends {
-		s.skip = true
+	if !final {
+		s.skipToSync = true
 		return s.conn.Flush()
 	}
 	return s.ready(s.status())
@@ -51,7 +51,7 @@
 func (s *session) answerOp(o op, execute func(*statement) error) error {
 	switch o.kind {
 	case opParse:
-		s.statements[o.client] = o.stmt
+		s.statements[o.clientName] = o.stmt
 		return s.conn.Queue(&pgproto3.ParseComplete{})
 	case opBind:
 		return s.conn.Queue(&pgproto3.BindComplete{})
@@ -63,7 +63,7 @@
 	case opDescribePortal:
 		return s.describeLocal(o.stmt)
 	case opCloseStatement:
-		delete(s.statements, o.client)
+		delete(s.statements, o.clientName)
 		return s.conn.Queue(&pgproto3.CloseComplete{})
 	case opClosePortal:
 		return s.conn.Queue(&pgproto3.CloseComplete{})
@@ -97,14 +97,14 @@
 	if cmd.verb == "RESET" {
 		cmd.value = ""
 	}
-	if err := s.param.set(cmd.name, cmd.value); err != nil {
+	if err := s.params.set(cmd.name, cmd.value); err != nil {
 		return err
 	}
 	return s.conn.Queue(&pgproto3.CommandComplete{CommandTag: []byte(cmd.verb)})
 }
 
 func (s *session) show(name string, describe bool) error {
-	value, err := s.param.get(name)
+	value, err := s.params.get(name)
 	if err != nil {
 		return err
 	}
@@ -137,8 +137,8 @@
 		tag += " ALL"
 		clear(s.statements)
 		if cmd.verb == "DISCARD" {
-			s.set = settings{}
-			s.param = params{}
+			s.settings = settings{}
+			s.params = params{}
 		}
 	case cmd.verb == "DEALLOCATE":
 		delete(s.statements, name)
--- a/internal/entry/login.go
+++ b/internal/entry/login.go
@@ -11,7 +11,7 @@
 )
 
 // reported are the run-time parameters that callers are told of.
-var reported = []pgfront.Parameter{
+var reportedParams = []pgfront.Parameter{
 	{Name: "server_version", Value: "17.0"},
 	{Name: "server_encoding", Value: "UTF8"},
 	{Name: "client_encoding", Value: "UTF8"},
@@ -27,7 +27,7 @@
 	select {
 	case s.handshakes <- struct{}{}:
 	default:
-		s.turnAway(nc)
+		s.refuseOverload(nc)
 		return
 	}
 	session, err := s.login(nc)
@@ -43,11 +43,11 @@
 	s.metrics.sessions.Inc()
 	session.run()
 	s.metrics.sessions.Dec()
-	s.remove(session)
+	s.unregisterSession(session)
 }
 
 // turnAway refuses a caller while too many log in.
-func (s *Server) turnAway(nc net.Conn) {
+func (s *Server) refuseOverload(nc net.Conn) {
 	conn, startup, err := pgfront.Accept(nc, s.front)
 	if err != nil {
 		return
@@ -71,7 +71,7 @@
 		s.routeCancel(*startup.Cancel)
 		return nil, conn.Close()
 	}
-	session, err := s.open(conn, startup)
+	session, err := s.openSession(conn, startup)
 	if err != nil {
 		conn.Refuse(err)
 		return nil, err
@@ -79,24 +79,24 @@
 	return session, nil
 }
 
-func (s *Server) open(conn *pgfront.Conn, startup *pgfront.Startup) (*session, error) {
+func (s *Server) openSession(conn *pgfront.Conn, startup *pgfront.Startup) (*session, error) {
 	ses := &session{srv: s, conn: conn, key: newSecret(), statements: make(map[string]*statement)}
 	if err := ses.authenticate(startup); err != nil {
 		return nil, err
 	}
-	if err := ses.guard(); err != nil {
+	if err := ses.authorize(); err != nil {
 		return nil, err
 	}
-	if err := ses.parameters(startup.Parameters); err != nil {
+	if err := ses.applyStartupParams(startup.Parameters); err != nil {
 		return nil, err
 	}
-	s.backends.use(ses.who.service)
-	s.add(ses)
+	s.backends.addService(ses.identity.service)
+	s.registerSession(ses)
 	if s.draining.Load() {
 		ses.drain()
 	}
-	if err := conn.Ready(reported, pgfront.Cancel{ProcessID: ses.pid, Secret: ses.key}); err != nil {
-		s.remove(ses)
+	if err := conn.Ready(reportedParams, pgfront.Cancel{ProcessID: ses.pid, Secret: ses.key}); err != nil {
+		s.unregisterSession(ses)
 		return nil, err
 	}
 	return ses, nil
@@ -108,18 +108,18 @@
 	if !v.Valid() {
 		return result.New(result.NoConfigLease, "the configuration lease ended")
 	}
-	s.who = identity{workspace: startup.Workspace, service: startup.Service}
+	s.identity = identity{workspace: startup.Workspace, service: startup.Service}
 	candidates := candidatesFor(v, startup.Workspace)
 	ws, known := v.State.Catalog.Workspaces[startup.Workspace]
 	if known && ws.Open && len(candidates) == 0 {
-		s.who.open = true
+		s.identity.open = true
 		return nil
 	}
 	keyID, err := s.conn.Authenticate(scramauth.NewConversation(startup.Workspace, candidates))
 	if err != nil {
 		return err
 	}
-	s.who.key = v.State.Catalog.Keys[keyID]
+	s.identity.key = v.State.Catalog.Keys[keyID]
 	return nil
 }
 
@@ -135,21 +135,21 @@
 }
 
 // parameters applies the run-time parameters of the start-up.
-func (s *session) parameters(named map[string]string) error {
+func (s *session) applyStartupParams(named map[string]string) error {
 	for name, value := range named {
-		if len(name) > len(ownPrefix) && name[:len(ownPrefix)] == ownPrefix {
-			if err := s.param.set(name, value); err != nil {
+		if len(name) > len(paramPrefix) && name[:len(paramPrefix)] == paramPrefix {
+			if err := s.params.set(name, value); err != nil {
 				return err
 			}
 			continue
 		}
-		if s.who.open {
+		if s.identity.open {
 			continue
 		}
 		if !validName(name) {
 			return result.New(result.MalformedMessage, "parameter %q", name)
 		}
-		s.set.add(name, value)
+		s.settings.add(name, value)
 	}
 	return nil
 }
--- a/internal/entry/marker_sweep.go
+++ b/internal/entry/marker_sweep.go
@@ -12,20 +12,20 @@
 const (
 	// markersPerSweep is the number of markers that a host writes between two
 	// deletions. It is less than markersPerDelete, so that deletion keeps up.
-	markersPerSweep  = 500
-	markersPerDelete = 1000
-	sweepTimeout     = 5 * time.Second
+	markersPerSweep    = 500
+	markersPerDelete   = 1000
+	markerSweepTimeout = 5 * time.Second
 )
 
 // sweepMarkers deletes expired markers now and then, on the primary that the
 // lease is for and beside the requests of callers.
-func (s *Server) sweepMarkers(l *lease) {
+func (s *Server) sweepMarkers(co *checkout) {
 	if s.markers.Add(1)%markersPerSweep != 1 {
 		return
 	}
-	member, endpoint := l.backend, l.endpoint
+	member, endpoint := co.backend, co.endpoint
 	s.spawn(func() {
-		ctx, cancel := context.WithTimeout(context.Background(), sweepTimeout)
+		ctx, cancel := context.WithTimeout(context.Background(), markerSweepTimeout)
 		defer cancel()
 		conn, err := member.pool.Acquire(ctx)
 		if err != nil {
--- a/internal/entry/params.go
+++ b/internal/entry/params.go
@@ -11,11 +11,11 @@
 
 // Names of the parameters that callers set at the start-up or by SET.
 const (
-	paramClass        = ownPrefix + "class"
-	paramDeadline     = ownPrefix + "deadline"
-	paramMaxStaleness = ownPrefix + "max_staleness"
-	paramRequestID    = ownPrefix + "request_id"
-	paramReadOnly     = ownPrefix + "read_only"
+	paramClass        = paramPrefix + "class"
+	paramDeadline     = paramPrefix + "deadline"
+	paramMaxStaleness = paramPrefix + "max_staleness"
+	paramRequestID    = paramPrefix + "request_id"
+	paramReadOnly     = paramPrefix + "read_only"
 )
 
 // maxRequestID is the longest request id in bytes.
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -55,7 +55,7 @@
 	}
 }
 
-func TestInterleavedCallersKeepTheirAnswers(t *testing.T) {
+func TestInterleavedCallersOwnAnswers(t *testing.T) {
 	const callers, rounds = 200, 5
 	// One connection of five is the monitor's.
 	f := newFixture(t, fixtureConfig{connections: 5})
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -30,7 +30,7 @@
 type Gate interface {
 	// AcquireSlot waits for a slot. The caller must call leave once the request has
 	// ended. It returns a result.Error with a code for which NotRun holds.
-	AcquireSlot(ctx context.Context, a gate.SlotRequest) (leave func(), err error)
+	AcquireSlot(ctx context.Context, a gate.SlotRequest) (releaseSlot func(), err error)
 }
 
 // Need describes the endpoint that a request may run on.
--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -15,10 +15,10 @@
 
 const (
 	// positionInbox is the number of messages that wait for a service's task.
-	positionInbox = 256
+	positionQueueSize = 256
 	// gatherLimit bounds one question to another host. An answer after the
 	// round's time-out still shows that the host lives.
-	gatherLimit = time.Second
+	gatherCallTimeout = time.Second
 )
 
 // positionMessage is a message to a service's task.
@@ -63,13 +63,13 @@
 	seen struct{ revision, settled uint64 }
 	term uint64
 	// floor is the replayed position that the machine knows.
-	floor pos.Position
+	replayed pos.Position
 }
 
 func newPositionTask(p *SharedPositions, service string) *positionTask {
 	return &positionTask{
 		shared: p, service: service,
-		inbox:    make(chan positionMessage, positionInbox),
+		inbox:    make(chan positionMessage, positionQueueSize),
 		done:     make(chan struct{}),
 		machine:  pos.NewService(positionConfig(p.gatherTimeout)),
 		reads:    make(map[uint64]chan readResult),
@@ -174,10 +174,10 @@
 			t.resolve(effect.ID, readResult{err: err})
 		case pos.RequestTables:
 			for _, host := range effect.Hosts {
-				go t.ask(ctx, effect.Round, host)
+				go t.requestTable(ctx, effect.Round, host)
 			}
 		case pos.RequestPrimaryPosition:
-			go t.askPrimary(ctx, effect.Round)
+			go t.readPrimaryPosition(ctx, effect.Round)
 		}
 	}
 }
@@ -196,11 +196,11 @@
 }
 
 // ask asks one host; no answer is as good as a late one.
-func (t *positionTask) ask(ctx context.Context, round uint64, host string) {
+func (t *positionTask) requestTable(ctx context.Context, round uint64, host string) {
 	if t.shared.peers == nil {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, gatherLimit)
+	limited, cancel := context.WithTimeout(ctx, gatherCallTimeout)
 	defer cancel()
 	answer, err := t.shared.peers.Gather(limited, host, t.service)
 	if err != nil {
@@ -212,13 +212,13 @@
 
 // askPrimary reads the position of the primary. It counts only if the host may
 // act on the same term when the answer arrives.
-func (t *positionTask) askPrimary(ctx context.Context, round uint64) {
+func (t *positionTask) readPrimaryPosition(ctx context.Context, round uint64) {
 	answer := pos.PrimaryPosition{Round: round}
 	if state := t.shared.view.Current().State; state != nil {
 		group := state.Groups[t.service]
-		l := &lease{service: t.service, endpoint: group.Primary, term: group.Term}
-		status, err := t.shared.current(ctx, group.Primary)
-		if err == nil && termHolds(t.shared.view.Current(), l) {
+		co := &checkout{service: t.service, endpoint: group.Primary, term: group.Term}
+		status, err := t.shared.primaryStatus(ctx, group.Primary)
+		if err == nil && termHolds(t.shared.view.Current(), co) {
 			answer.OK = true
 			answer.Position = pos.Position{Term: group.Term, LSN: status.LSN}
 		}
@@ -249,8 +249,8 @@
 		}
 		count++
 	}
-	if count > 0 && t.floor.Before(replayed) {
-		t.floor = replayed
+	if count > 0 && t.replayed.Before(replayed) {
+		t.replayed = replayed
 		t.step(ctx, pos.Replayed{Position: replayed})
 	}
 }
--- a/internal/entry/positions.go
+++ b/internal/entry/positions.go
@@ -33,7 +33,7 @@
 	self  string
 	peers Peers
 	// current reads the position of an endpoint that is a primary.
-	current func(ctx context.Context, endpoint string) (pgback.Status, error)
+	primaryStatus func(ctx context.Context, endpoint string) (pgback.Status, error)
 
 	// gatherTimeout replaces the default when it is set.
 	gatherTimeout time.Duration
@@ -47,9 +47,9 @@
 	services map[string]*positionTask
 }
 
-func newSharedPositions(src view.Source, self string, peers Peers, current func(context.Context, string) (pgback.Status, error)) *SharedPositions {
+func newSharedPositions(src view.Source, self string, peers Peers, primaryStatus func(context.Context, string) (pgback.Status, error)) *SharedPositions {
 	return &SharedPositions{
-		view: src, self: self, peers: peers, current: current,
+		view: src, self: self, peers: peers, primaryStatus: primaryStatus,
 		services: make(map[string]*positionTask),
 	}
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -12,30 +12,30 @@
 
 const (
 	// flushSize is the output in bytes from which rows are passed on.
-	flushSize = 32 << 10
+	flushBytes = 32 << 10
 	// holdSize bounds the output in bytes that is held back until a write is
 	// safe; past it the wait takes place in the middle of the answer.
-	holdSize = 4 << 20
+	maxHeldBytes = 4 << 20
 )
 
 // SQLSTATEs of a replica that has provably not run a statement.
 const (
-	stateReadOnly = "25006"
+	sqlstateReadOnly = "25006"
 	// stateRecovery: a function cannot run during recovery.
-	stateRecovery = "55000"
+	sqlstateInRecovery = "55000"
 	// stateConflict: the statement conflicts with the replay of the log.
-	stateConflict = "40001"
+	sqlstateConflict = "40001"
 )
 
 // relay passes the answer to one unit from the endpoint to the caller.
 type relay struct {
-	s    *session
-	l    *lease
-	u    *unit
-	p    purpose
-	plan plan
+	s     *session
+	co    *checkout
+	u     *unit
+	class unitClass
+	plan  plan
 	// within tells that a transaction was in progress before the unit.
-	within bool
+	inTransaction bool
 	// marker is the row that the transaction opened for the unit holds, or nil.
 	marker *marker
 	// request is what is known of the unit's fate.
@@ -44,10 +44,10 @@
 	sent   time.Time
 	writer chan error
 	// mark is the queue's length before the first answer that is held back.
-	mark int
-	held bool
+	heldFrom int
+	holding  bool
 	// wrote tells that a statement completed that may have written.
-	wrote bool
+	mayHaveWritten bool
 	// answered counts the answers before the one to Sync.
 	answered int
 	failed   bool
@@ -55,18 +55,18 @@
 }
 
 // run reads until the unit is answered.
-func (r *relay) run() (verdict, error) {
+func (r *relay) run() (attemptOutcome, error) {
 	for {
-		msg, err := r.l.conn.Receive()
+		msg, err := r.co.conn.Receive()
 		if err != nil {
-			return r.lost(err)
+			return r.connectionLost(err)
 		}
 		switch msg := msg.(type) {
 		case *pgproto3.ReadyForQuery:
 			return r.ready(msg.TxStatus)
 		case *pgproto3.ErrorResponse:
-			if r.runsElsewhere(msg) {
-				return r.moveToPrimary()
+			if r.primaryMayRun(msg) {
+				return r.discardForPrimary()
 			}
 			r.failed = true
 			err = r.pass(msg)
@@ -78,10 +78,10 @@
 			err = r.relayMessage(msg)
 		}
 		if err != nil {
-			return doneHere, err
+			return outcomeAnswered, err
 		}
 		if !r.u.sync && (r.failed || r.answered >= r.plan.pending) {
-			return doneHere, r.endSegment()
+			return outcomeAnswered, r.endSegment()
 		}
 	}
 }
@@ -103,7 +103,7 @@
 		return r.pass(msg)
 	case *pgproto3.CommandComplete:
 		r.answered++
-		return r.complete(msg)
+		return r.commandComplete(msg)
 	case *pgproto3.NotificationResponse:
 		return nil // LISTEN is not served
 	}
@@ -117,9 +117,9 @@
 	}
 	queued := r.s.conn.Queued()
 	switch {
-	case r.held && queued > holdSize:
+	case r.holding && queued > maxHeldBytes:
 		return r.releaseEarly()
-	case !r.held && queued > flushSize:
+	case !r.holding && queued > flushBytes:
 		r.request.Streamed = true
 		return r.s.conn.Flush()
 	}
@@ -128,50 +128,50 @@
 
 func (r *relay) parseComplete() error {
 	if len(r.plan.parses) == 0 {
-		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.l.endpoint)
+		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.co.endpoint)
 	}
 	a := r.plan.parses[0]
 	r.plan.parses = r.plan.parses[1:]
-	r.l.conn.Session.Add(a.name)
+	r.co.conn.Session.Add(a.name)
 	if a.injected {
 		return nil
 	}
-	r.s.statements[a.client] = a.stmt
+	r.s.statements[a.clientName] = a.stmt
 	return r.pass(&pgproto3.ParseComplete{})
 }
 
 func (r *relay) closeComplete() error {
 	if len(r.plan.closes) == 0 {
-		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.l.endpoint)
+		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.co.endpoint)
 	}
 	a := r.plan.closes[0]
 	r.plan.closes = r.plan.closes[1:]
 	if a.injected {
 		return nil
 	}
-	if a.client != "" {
-		delete(r.s.statements, a.client)
+	if a.clientName != "" {
+		delete(r.s.statements, a.clientName)
 	}
 	return r.pass(&pgproto3.CloseComplete{})
 }
 
 // complete handles the end of a statement, and holds it back when it may have
 // written.
-func (r *relay) complete(msg *pgproto3.CommandComplete) error {
+func (r *relay) commandComplete(msg *pgproto3.CommandComplete) error {
 	r.tag = append(r.tag[:0], msg.CommandTag...)
-	r.s.srv.countRead(r.p, r.l)
-	if r.l.primary && !r.l.readOnly && (r.marker != nil || !harmlessTag(r.tag)) {
-		r.wrote = true
-		if !r.held {
-			r.held = true
-			r.mark = r.s.conn.Queued()
+	r.s.srv.countRead(r.class, r.co)
+	if r.co.primary && !r.co.readOnly && (r.marker != nil || !cannotHaveWritten(r.tag)) {
+		r.mayHaveWritten = true
+		if !r.holding {
+			r.holding = true
+			r.heldFrom = r.s.conn.Queued()
 		}
 	}
 	return r.pass(msg)
 }
 
 // harmlessTag reports whether the statement cannot have committed a write.
-func harmlessTag(tag []byte) bool {
+func cannotHaveWritten(tag []byte) bool {
 	for _, verb := range []string{"BEGIN", "START TRANSACTION", "ROLLBACK", "SET", "RESET", "SHOW", "SAVEPOINT"} {
 		if string(tag) == verb {
 			return true
@@ -181,9 +181,9 @@
 }
 
 // keep is the length of the queue that may be passed on whatever happens.
-func (r *relay) keep() int {
-	if r.held {
-		return r.mark
+func (r *relay) safeLength() int {
+	if r.holding {
+		return r.heldFrom
 	}
 	return r.s.conn.Queued()
 }
@@ -193,62 +193,62 @@
 	if err := r.acknowledge(); err != nil {
 		return err
 	}
-	r.held = false
+	r.holding = false
 	r.request.Streamed = true
 	return r.s.conn.Flush()
 }
 
 // runsElsewhere reports whether the error proves that a read has not run on a
 // replica and the primary may run it.
-func (r *relay) runsElsewhere(msg *pgproto3.ErrorResponse) bool {
+func (r *relay) primaryMayRun(msg *pgproto3.ErrorResponse) bool {
 	switch msg.Code {
-	case stateReadOnly, stateRecovery, stateConflict:
+	case sqlstateReadOnly, sqlstateInRecovery, sqlstateConflict:
 	default:
 		return false
 	}
-	declared := r.l.readOnly && msg.Code == stateReadOnly
-	return !r.l.primary && !declared && r.p.kind == kindRead && !r.request.InTransaction && !r.request.Streamed
+	declared := r.co.readOnly && msg.Code == sqlstateReadOnly
+	return !r.co.primary && !declared && r.class.kind == kindRead && !r.request.InTransaction && !r.request.Streamed
 }
 
 // moveToPrimary drops the rest of the answer.
-func (r *relay) moveToPrimary() (verdict, error) {
+func (r *relay) discardForPrimary() (attemptOutcome, error) {
 	for {
-		msg, err := r.l.conn.Receive()
+		msg, err := r.co.conn.Receive()
 		if err != nil {
 			r.s.conn.Truncate(0)
-			r.s.abandon()
-			return retryPrimary, nil
+			r.s.discardConnection()
+			return outcomeRetryPrimary, nil
 		}
 		if _, ok := msg.(*pgproto3.ReadyForQuery); ok {
 			break
 		}
 	}
 	r.s.conn.Truncate(0)
-	r.returnLease()
-	return retryPrimary, nil
+	r.returnCheckout()
+	return outcomeRetryPrimary, nil
 }
 
 // returnLease gives the connection back after the endpoint reported that it is
 // idle.
-func (r *relay) returnLease() {
-	l := r.s.lease
-	if l.latency == 0 {
-		l.latency = time.Since(r.sent)
+func (r *relay) returnCheckout() {
+	co := r.s.checkout
+	if co.latency == 0 {
+		co.latency = time.Since(r.sent)
 	}
-	r.s.lease = nil
+	r.s.checkout = nil
 	reusable := r.writer == nil || <-r.writer == nil
-	r.s.release(l, reusable)
+	r.s.release(co, reusable)
 }
 
 // endSegment ends a unit that ended with Flush; the connection stays with the
 // session until Sync.
 func (r *relay) endSegment() error {
 	if r.failed {
-		r.s.skip = true
+		r.s.skipToSync = true
 	}
-	if r.held && bytes.Equal(r.tag, []byte("COMMIT")) {
+	if r.holding && bytes.Equal(r.tag, []byte("COMMIT")) {
 		if err := r.acknowledge(); err != nil {
-			r.s.conn.Truncate(r.mark)
+			r.s.conn.Truncate(r.heldFrom)
 			return r.s.refuse(err, false)
 		}
 	}
@@ -256,44 +256,44 @@
 }
 
 // ready ends the unit with the endpoint's transaction state.
-func (r *relay) ready(status byte) (verdict, error) {
+func (r *relay) ready(status byte) (attemptOutcome, error) {
 	s := r.s
 	if r.marker != nil {
-		ended, err := r.finishMarked(status)
+		ended, err := r.endMarkedTransaction(status)
 		if err != nil {
-			return r.lostCommit(err)
+			return r.commitFailed(err)
 		}
 		status = ended
 	}
 	r.request.Apply(retry.AnswerReceived)
-	s.setTransaction(r.l, status != txIdle)
+	s.setTransaction(r.co, status != txIdle)
 	r.recordSettings(status)
 	if status != txIdle {
-		r.l.conn.SetDeadline(time.Time{})
-		return doneHere, s.ready(status)
+		r.co.conn.SetDeadline(time.Time{})
+		return outcomeAnswered, s.ready(status)
 	}
-	if !r.wrote {
+	if !r.mayHaveWritten {
 		err := s.ready(txIdle)
-		r.returnLease()
-		return doneHere, err
+		r.returnCheckout()
+		return outcomeAnswered, err
 	}
-	holds := termHolds(s.srv.opts.View.Current(), r.l)
-	r.returnLease()
+	holds := termHolds(s.srv.opts.View.Current(), r.co)
+	r.returnCheckout()
 	err := r.termEnded()
 	if holds {
 		err = r.acknowledge()
 	}
 	if err != nil {
-		s.conn.Truncate(r.keep())
-		return doneHere, s.refuse(err, true)
+		s.conn.Truncate(r.safeLength())
+		return outcomeAnswered, s.refuse(err, true)
 	}
-	return doneHere, s.ready(txIdle)
+	return outcomeAnswered, s.ready(txIdle)
 }
 
 // recordSettings keeps SET statements that have taken effect.
 func (r *relay) recordSettings(status byte) {
 	s := r.s
-	if r.p.kind == kindSet && !r.failed {
+	if r.class.kind == kindSet && !r.failed {
 		s.pendingSet = append(s.pendingSet, r.u.settingTexts()...)
 	}
 	if status != txIdle || len(s.pendingSet) == 0 {
@@ -305,9 +305,9 @@
 		return
 	}
 	for _, text := range pending {
-		s.set.record(text)
+		s.settings.record(text)
 	}
-	r.l.conn.Session.Settings = s.script()
+	r.co.conn.Session.Settings = s.script()
 }
 
 // settingTexts returns the SET and RESET statements of the unit.
--- a/internal/entry/replica_test.go
+++ b/internal/entry/replica_test.go
@@ -42,7 +42,7 @@
 	return 0
 }
 
-func TestReadsGoToReplicasAndSeeOwnWrites(t *testing.T) {
+func TestReplicaReadsSeeOwnWrites(t *testing.T) {
 	for name, lag := range map[string]time.Duration{"no lag": 0, "lag": 200 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
 			f := newFixture(t, fixtureConfig{
@@ -64,7 +64,7 @@
 	}
 }
 
-func TestLoneQueryThatWritesRunsOnThePrimaryOnce(t *testing.T) {
+func TestWritingQueryRunsOnceOnPrimary(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int)")
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestReadOnlyTransactionsRunOnReplicas(t *testing.T) {
+func TestReadOnlyTransactionRunsOnReplica(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int)")
@@ -113,7 +113,7 @@
 	}
 }
 
-func TestStaleReadsAreServedWhenAskedFor(t *testing.T) {
+func TestMaxStalenessReadsLaggingReplica(t *testing.T) {
 	f := newFixture(t, fixtureConfig{standin: func(o *standin.Options) { o.ReplayLag = 300 * time.Millisecond }})
 	conn := f.connect("galenabridge.max_staleness=30000")
 	mustExec(t, conn, "create table entries (id int)")
@@ -128,7 +128,7 @@
 	}
 }
 
-func TestReadMovesToAnotherEndpointWhenOneFails(t *testing.T) {
+func TestReadRetriesOnOtherEndpoint(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	f.waitReplicas(conn)
@@ -138,7 +138,7 @@
 	}
 }
 
-func TestReadLeavesAReplicaThatFallsSilent(t *testing.T) {
+func TestReadMovesFromUnresponsiveReplica(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	f.waitReplicas(conn)
@@ -154,7 +154,7 @@
 	}
 }
 
-func TestDomainThatIsOutGetsNoReads(t *testing.T) {
+func TestDomainOutGetsNoReads(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	f.publish(func(s *agreed.State) {
 		s.Endpoints = maps.Clone(s.Endpoints)
--- a/internal/entry/request_id.go
+++ b/internal/entry/request_id.go
@@ -18,14 +18,14 @@
 
 // createMarkers makes the table of request ids. The column "at" holds Unix
 // time in milliseconds by the clock of the entry host.
-const createMarkers = "CREATE TABLE IF NOT EXISTS galenabridge_requests " +
+const createMarkerTable = "CREATE TABLE IF NOT EXISTS galenabridge_requests " +
 	"(id text PRIMARY KEY, digest text NOT NULL, at bigint NOT NULL); " +
 	"CREATE INDEX IF NOT EXISTS galenabridge_requests_at ON galenabridge_requests (at)"
 
 // SQLSTATEs that the insertion of a marker meets.
 const (
-	stateDuplicate = "23505"
-	stateNoTable   = "42P01"
+	sqlstateUniqueViolation = "23505"
+	sqlstateUndefinedTable  = "42P01"
 )
 
 // marker is the row that a request with an id writes in its own transaction.
@@ -36,15 +36,15 @@
 
 // takeMarker returns the marker for the next request and uses the request id
 // up, or nil when there is none. What is declared read-only needs no marker.
-func (s *session) takeMarker(u *unit, p purpose) (*marker, error) {
-	id := s.param.requestID
-	if id == "" || !p.executes || s.readOnly() {
+func (s *session) takeMarker(u *unit, uc unitClass) (*marker, error) {
+	id := s.params.requestID
+	if id == "" || !uc.executes || s.readOnly() {
 		return nil, nil
 	}
-	switch p.kind {
+	switch uc.kind {
 	case kindWrite, kindRead:
 	case kindBegin:
-		if _, executed := u.classes(); len(executed) > 1 {
+		if _, executed := u.statementClasses(); len(executed) > 1 {
 			return nil, result.New(result.UnsupportedFeature, "a request id for BEGIN and more in one pipeline")
 		}
 	default:
@@ -53,8 +53,8 @@
 	if u.simple && u.class.multi || !u.sync {
 		return nil, result.New(result.UnsupportedFeature, "a request id for several statements; use a transaction")
 	}
-	s.param.requestID = ""
-	return &marker{id: markerID(s.who.workspace, id), digest: u.digest()}, nil
+	s.params.requestID = ""
+	return &marker{id: markerID(s.identity.workspace, id), digest: u.digest()}, nil
 }
 
 // markerID names a workspace's request. No two pairs share a name: a slash in
@@ -75,16 +75,16 @@
 }
 
 // text returns the digest in hexadecimal.
-func (m *marker) text() string { return fmt.Sprintf("%x", m.digest[:]) }
+func (m *marker) hexDigest() string { return fmt.Sprintf("%x", m.digest[:]) }
 
 // begin opens a transaction on the lease and writes the marker. It returns a
 // result.Error with code RequestAlreadyDone or RequestIDReused when the request
 // has run, and an error of the transport when the connection is lost.
-func (m *marker) begin(ctx context.Context, l *lease, open string) error {
+func (m *marker) begin(ctx context.Context, co *checkout, open string) error {
 	insert := fmt.Sprintf("%s; INSERT INTO galenabridge_requests (id, digest, at) VALUES (%s, '%s', %d)",
-		open, quote(m.id), m.text(), time.Now().UnixMilli())
+		open, quoteLiteral(m.id), m.hexDigest(), time.Now().UnixMilli())
 	for range 3 {
-		_, err := l.conn.Query(ctx, insert)
+		_, err := co.conn.Query(ctx, insert)
 		if err == nil {
 			return nil
 		}
@@ -92,16 +92,16 @@
 		if !errors.As(err, &refused) {
 			return err
 		}
-		if _, err := l.conn.Query(ctx, "ROLLBACK"); err != nil {
+		if _, err := co.conn.Query(ctx, "ROLLBACK"); err != nil {
 			return err
 		}
 		switch refused.Code {
-		case stateNoTable:
-			if _, err := l.conn.Query(ctx, createMarkers); err != nil {
+		case sqlstateUndefinedTable:
+			if _, err := co.conn.Query(ctx, createMarkerTable); err != nil {
 				return err
 			}
-		case stateDuplicate:
-			if err := m.check(ctx, l); err != nil {
+		case sqlstateUniqueViolation:
+			if err := m.checkExisting(ctx, co); err != nil {
 				return err
 			}
 		default:
@@ -112,8 +112,8 @@
 }
 
 // check reads the marker that is in the way. An expired one is deleted.
-func (m *marker) check(ctx context.Context, l *lease) error {
-	rows, err := l.conn.Query(ctx, "SELECT digest, at FROM galenabridge_requests WHERE id = "+quote(m.id))
+func (m *marker) checkExisting(ctx context.Context, co *checkout) error {
+	rows, err := co.conn.Query(ctx, "SELECT digest, at FROM galenabridge_requests WHERE id = "+quoteLiteral(m.id))
 	if err != nil {
 		return err
 	}
@@ -125,51 +125,51 @@
 		return errors.Wrap(err, "time of the marker")
 	}
 	found := &retry.Marker{RequestID: m.id, Written: time.UnixMilli(millis)}
-	if rows[0][0][0] == m.text() {
+	if rows[0][0][0] == m.hexDigest() {
 		found.Digest = m.digest
 	}
 	if err := retry.CheckMarker(found, m.digest, time.Now()); err != nil {
 		return err
 	}
-	_, err = l.conn.Query(ctx, fmt.Sprintf("DELETE FROM galenabridge_requests WHERE id = %s AND at = %d", quote(m.id), millis))
+	_, err = co.conn.Query(ctx, fmt.Sprintf("DELETE FROM galenabridge_requests WHERE id = %s AND at = %d", quoteLiteral(m.id), millis))
 	return err
 }
 
-func quote(text string) string {
+func quoteLiteral(text string) string {
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
 // sendMarked runs a unit outside a transaction together with its marker.
-func (s *session) sendMarked(ctx context.Context, u *unit, p purpose, timing *timing, m *marker) (verdict, error) {
-	l := s.lease
+func (s *session) sendWithMarker(ctx context.Context, u *unit, uc unitClass, timing *timing, m *marker) (attemptOutcome, error) {
+	co := s.checkout
 	open := "BEGIN"
-	if p.kind == kindBegin {
+	if uc.kind == kindBegin {
 		open = u.settingTexts()[0]
 	}
 	timing.sent = time.Now()
-	switch err := m.begin(ctx, l, open); {
+	switch err := m.begin(ctx, co, open); {
 	case result.CodeOf(err) == result.RequestAlreadyDone:
-		return doneHere, s.alreadyDone(u, err)
+		return outcomeAnswered, s.refuseAlreadyDone(u, err)
 	case result.CodeOf(err) != 0:
-		s.giveBack(l, true)
-		return doneHere, s.refuse(err, u.sync)
+		s.returnCheckout(co, true)
+		return outcomeAnswered, s.refuse(err, u.sync)
 	case err != nil:
-		l.lost = true
-		s.abandon()
-		return retryOther, nil
+		co.lost = true
+		s.discardConnection()
+		return outcomeRetryOther, nil
 	}
-	s.srv.sweepMarkers(l)
-	if p.kind == kindBegin {
-		return doneHere, s.answerBegin(u, l)
+	s.srv.sweepMarkers(co)
+	if uc.kind == kindBegin {
+		return outcomeAnswered, s.answerBegin(u, co)
 	}
-	return s.sendUnit(u, p, timing, m)
+	return s.sendUnit(u, uc, timing, m)
 }
 
 // alreadyDone refuses a request that has run once what it wrote is safe.
-func (s *session) alreadyDone(u *unit, refusal error) error {
-	l := s.lease
-	r := &relay{s: s, l: l}
-	s.giveBack(l, true)
+func (s *session) refuseAlreadyDone(u *unit, refusal error) error {
+	co := s.checkout
+	r := &relay{s: s, co: co}
+	s.returnCheckout(co, true)
 	if err := r.acknowledge(); err != nil {
 		return s.refuse(err, u.sync)
 	}
@@ -177,15 +177,15 @@
 }
 
 // giveBack returns the session's lease.
-func (s *session) giveBack(l *lease, reusable bool) {
-	s.lease = nil
-	s.release(l, reusable)
+func (s *session) returnCheckout(co *checkout, reusable bool) {
+	s.checkout = nil
+	s.release(co, reusable)
 }
 
 // answerBegin tells the caller that the transaction which holds the marker is
 // open.
-func (s *session) answerBegin(u *unit, l *lease) error {
-	s.setTransaction(l, true)
+func (s *session) answerBegin(u *unit, co *checkout) error {
+	s.setTransaction(co, true)
 	tag := &pgproto3.CommandComplete{CommandTag: []byte("BEGIN")}
 	if u.simple {
 		if err := s.conn.Queue(tag); err != nil {
@@ -198,18 +198,18 @@
 
 // finishMarked ends the transaction that was opened for the marker. It reports
 // the transaction state for the caller.
-func (r *relay) finishMarked(status byte) (byte, error) {
+func (r *relay) endMarkedTransaction(status byte) (byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.s.deadline())
 	defer cancel()
 	end := "COMMIT"
 	if status != txActive {
 		end = "ROLLBACK"
-		r.wrote = false
+		r.mayHaveWritten = false
 	}
 	if status == txIdle {
 		return status, nil
 	}
-	if _, err := r.l.conn.Query(ctx, end); err != nil {
+	if _, err := r.co.conn.Query(ctx, end); err != nil {
 		return txIdle, err
 	}
 	return txIdle, nil
@@ -217,19 +217,19 @@
 
 // lostCommit answers a unit whose transaction could not be ended: the endpoint
 // refused the commit, or the connection was lost.
-func (r *relay) lostCommit(err error) (verdict, error) {
+func (r *relay) commitFailed(err error) (attemptOutcome, error) {
 	var refused *pgback.Refusal
 	if !errors.As(err, &refused) {
-		return r.lost(err)
+		return r.connectionLost(err)
 	}
 	s := r.s
-	s.conn.Truncate(r.keep())
-	s.abandon()
+	s.conn.Truncate(r.safeLength())
+	s.discardConnection()
 	msg := &pgproto3.ErrorResponse{
 		Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: refused.Code, Message: refused.Message,
 	}
 	if err := s.conn.Queue(msg); err != nil {
-		return doneHere, err
+		return outcomeAnswered, err
 	}
-	return doneHere, s.ready(txIdle)
+	return outcomeAnswered, s.ready(txIdle)
 }
--- a/internal/entry/request_id_test.go
+++ b/internal/entry/request_id_test.go
@@ -11,7 +11,7 @@
 	"github.com/galenabridge/galenabridge/internal/retry"
 )
 
-func requestID(t *testing.T, conn *pgx.Conn, id string) {
+func setRequestID(t *testing.T, conn *pgx.Conn, id string) {
 	t.Helper()
 	mustExec(t, conn, "set galenabridge.request_id = '"+id+"'")
 }
@@ -22,15 +22,15 @@
 	mustExec(t, conn, "create table entries (id int)")
 	for _, params := range []string{"", "default_query_exec_mode=simple_protocol"} {
 		id := "correction " + params
-		requestID(t, conn, id)
+		setRequestID(t, conn, id)
 		mustExec(t, conn, "insert into entries values ($1)", 1)
 		other := f.connect(params)
 		mustExec(t, other, "insert into entries values ($1)", 2)
-		requestID(t, other, id)
+		setRequestID(t, other, id)
 		_, err := other.Exec(testContext(t), "insert into entries values ($1)", 3)
 		wantCode(t, err, result.RequestIDReused)
 		again := f.connect("")
-		requestID(t, again, id)
+		setRequestID(t, again, id)
 		_, err = again.Exec(testContext(t), "insert into entries values ($1)", 1)
 		wantCode(t, err, result.RequestAlreadyDone)
 	}
@@ -39,33 +39,33 @@
 	}
 }
 
-func TestRequestIDOfAFailedRequestMayBeUsedAgain(t *testing.T) {
+func TestRequestIDReusableAfterFailure(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
 	mustExec(t, conn, "insert into entries values (1)")
 	for range 2 {
-		requestID(t, conn, "a")
+		setRequestID(t, conn, "a")
 		if _, err := conn.Exec(testContext(t), "insert into entries values (1)"); err == nil {
 			t.Fatal("a duplicate was accepted")
 		}
 	}
 	mustExec(t, conn, "delete from entries")
-	requestID(t, conn, "a")
+	setRequestID(t, conn, "a")
 	mustExec(t, conn, "insert into entries values (1)")
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 1 {
 		t.Errorf("%d rows", n)
 	}
 }
 
-func TestRequestIDSettlesALostAnswer(t *testing.T) {
+func TestRequestIDResolvesLostAnswer(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int)")
-	requestID(t, conn, "first")
+	setRequestID(t, conn, "first")
 	mustExec(t, conn, "insert into entries values (0)")
 	f.group.Servers[0].Faults().DropAfterCommit(1)
-	requestID(t, conn, "second")
+	setRequestID(t, conn, "second")
 	_, err := conn.Exec(testContext(t), "insert into entries values (1)")
 	wantCode(t, err, result.RequestAlreadyDone)
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 2 {
@@ -73,27 +73,27 @@
 	}
 }
 
-func TestRequestIDOfATransaction(t *testing.T) {
+func TestRequestIDTransaction(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int)")
-	file := func() error {
-		requestID(t, conn, "whole")
+	insertOnce := func() error {
+		setRequestID(t, conn, "whole")
 		return pgx.BeginFunc(testContext(t), conn, func(tx pgx.Tx) error {
 			_, err := tx.Exec(testContext(t), "insert into entries values ($1), ($2)", 1, 2)
 			return err
 		})
 	}
-	if err := file(); err != nil {
+	if err := insertOnce(); err != nil {
 		t.Fatal(err)
 	}
-	wantCode(t, file(), result.RequestAlreadyDone)
+	wantCode(t, insertOnce(), result.RequestAlreadyDone)
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 2 {
 		t.Errorf("%d rows", n)
 	}
 }
 
-func TestMarkersOfWorkspacesAreSeparate(t *testing.T) {
+func TestMarkerIDUniquePerWorkspace(t *testing.T) {
 	pairs := [][2]string{{"a", "b/c"}, {"a/b", "c"}, {"a%2Fb", "c"}, {"a", "b"}, {"", "a/b"}}
 	seen := map[string][2]string{}
 	for _, p := range pairs {
@@ -105,19 +105,19 @@
 	}
 }
 
-func TestExpiredMarkersAreDeleted(t *testing.T) {
+func TestExpiredMarkersDeleted(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	primary := f.direct(0)
-	mustExec(t, primary, createMarkers)
+	mustExec(t, primary, createMarkerTable)
 	now := time.Now()
 	for id, at := range map[string]time.Time{"old": now.Add(-retry.MarkerTTL - time.Minute), "recent": now.Add(-retry.MarkerTTL + time.Hour)} {
 		mustExec(t, primary, fmt.Sprintf("insert into galenabridge_requests values ('%s', '', %d)", id, at.UnixMilli()))
 	}
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int)")
-	requestID(t, conn, "new")
+	setRequestID(t, conn, "new")
 	mustExec(t, conn, "insert into entries values (1)")
-	for end := now.Add(patience); queryInt(t, primary, "select count(*) from galenabridge_requests where id = 'old'") != 0; {
+	for end := now.Add(testTimeout); queryInt(t, primary, "select count(*) from galenabridge_requests where id = 'old'") != 0; {
 		if time.Now().After(end) {
 			t.Fatal("the expired marker is still there")
 		}
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -12,46 +12,46 @@
 )
 
 // verdict tells what follows an attempt to run a unit.
-type verdict int
+type attemptOutcome int
 
 const (
 	// doneHere means that the caller has its answer.
-	doneHere verdict = iota
+	outcomeAnswered attemptOutcome = iota
 	// retryPrimary means that the unit provably has not run and goes to the
 	// primary.
-	retryPrimary
+	outcomeRetryPrimary
 	// retryOther means that the unit had no effect and goes to another
 	// endpoint.
-	retryOther
+	outcomeRetryOther
 )
 
 // writeAside is the size in bytes from which a unit is written while answers
 // are read, so that neither side waits for the other.
-const writeAside = 32 << 10
+const concurrentWriteBytes = 32 << 10
 
 // send runs the unit on the session's lease.
-func (s *session) send(ctx context.Context, u *unit, p purpose, timing *timing, m *marker) (verdict, error) {
+func (s *session) send(ctx context.Context, u *unit, uc unitClass, timing *timing, m *marker) (attemptOutcome, error) {
 	if m != nil {
-		return s.sendMarked(ctx, u, p, timing, m)
+		return s.sendWithMarker(ctx, u, uc, timing, m)
 	}
-	return s.sendUnit(u, p, timing, nil)
+	return s.sendUnit(u, uc, timing, nil)
 }
 
 // sendUnit writes the unit and relays its answer. A unit with a marker runs in
 // the transaction that holds the marker.
-func (s *session) sendUnit(u *unit, p purpose, timing *timing, m *marker) (verdict, error) {
-	l := s.lease
-	plan, err := u.planFor(&l.conn.Session)
+func (s *session) sendUnit(u *unit, uc unitClass, timing *timing, m *marker) (attemptOutcome, error) {
+	co := s.checkout
+	plan, err := u.planFor(&co.conn.Session)
 	if err != nil {
-		return doneHere, s.refuse(err, u.sync)
+		return outcomeAnswered, s.refuse(err, u.sync)
 	}
-	if p.dirty {
-		l.conn.Session.Dirty = true
+	if uc.dirty {
+		co.conn.Session.Dirty = true
 	}
-	r := &relay{s: s, l: l, u: u, p: p, plan: plan, marker: m, within: l.transaction}
+	r := &relay{s: s, co: co, u: u, class: uc, plan: plan, marker: m, inTransaction: co.transaction}
 	r.request = retry.Request{
-		ReadOnly:      l.readOnly || p.kind == kindRead && !l.primary,
-		InTransaction: r.within || !u.sync,
+		ReadOnly:      co.readOnly || uc.kind == kindRead && !co.primary,
+		InTransaction: r.inTransaction || !u.sync,
 		Streamed:      s.conn.Queued() > 0,
 		HasID:         m != nil,
 	}
@@ -59,33 +59,33 @@
 		timing.sent = time.Now()
 	}
 	r.sent = time.Now()
-	if s.param.deadline > 0 && !l.transaction {
-		s.limit(l, timing.started.Add(s.param.deadline))
+	if s.params.deadline > 0 && !co.transaction {
+		s.setAnswerDeadline(co, timing.started.Add(s.params.deadline))
 	}
 	if err := r.write(); err != nil {
-		return r.lost(err)
+		return r.connectionLost(err)
 	}
-	again, err := r.run()
+	outcome, err := r.run()
 	timing.answered = time.Now()
-	if l.latency == 0 {
-		l.latency = timing.answered.Sub(r.sent)
+	if co.latency == 0 {
+		co.latency = timing.answered.Sub(r.sent)
 	}
-	return again, err
+	return outcome, err
 }
 
 // limit bounds the wait for an answer, unless the lease was interrupted.
-func (s *session) limit(l *lease, deadline time.Time) {
+func (s *session) setAnswerDeadline(co *checkout, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.reason == nil {
-		l.conn.SetDeadline(deadline)
+		co.conn.SetDeadline(deadline)
 	}
 }
 
 // write sends the encoded unit; a large one is written while answers are read.
 func (r *relay) write() error {
-	if len(r.plan.encoded) < writeAside {
-		n, err := r.l.conn.Write(r.plan.encoded)
+	if len(r.plan.encoded) < concurrentWriteBytes {
+		n, err := r.co.conn.Write(r.plan.encoded)
 		if n > 0 {
 			r.request.Apply(retry.BytesSent)
 		}
@@ -93,7 +93,7 @@
 	}
 	r.request.Apply(retry.BytesSent)
 	r.writer = make(chan error, 1)
-	conn, encoded := r.l.conn, r.plan.encoded
+	conn, encoded := r.co.conn, r.plan.encoded
 	go func() {
 		_, err := conn.Write(encoded)
 		r.writer <- err
@@ -103,51 +103,51 @@
 
 // lost answers a unit whose endpoint connection failed before its answer was
 // complete, or makes it run again when that is safe.
-func (r *relay) lost(cause error) (verdict, error) {
+func (r *relay) connectionLost(cause error) (attemptOutcome, error) {
 	s := r.s
 	if err := s.stopReason(); err != nil && result.CodeOf(err) != result.ShuttingDown {
-		return doneHere, err
+		return outcomeAnswered, err
 	}
-	r.l.lost = true
+	r.co.lost = true
 	r.request.Apply(retry.ConnectionLost)
 	switch r.request.Next() {
 	case retry.RetryElsewhere, retry.LookUpMarker:
-		if s.srv.mayRetry(s.who.workspace, r.l.endpoint) {
+		if s.srv.allowRetry(s.identity.workspace, r.co.endpoint) {
 			s.conn.Truncate(0)
-			s.abandon()
-			return retryOther, nil
+			s.discardConnection()
+			return outcomeRetryOther, nil
 		}
 	}
-	s.conn.Truncate(r.keep())
-	s.stopLate(r.l, cause)
-	err := r.lostError(cause)
+	s.conn.Truncate(r.safeLength())
+	s.cancelOnTimeout(r.co, cause)
+	err := r.connectionLostError(cause)
 	if result.CodeOf(err) == result.OutcomeUnknown {
-		s.setTransaction(r.l, false)
+		s.setTransaction(r.co, false)
 	}
-	return doneHere, s.refuse(err, r.u.sync)
+	return outcomeAnswered, s.refuse(err, r.u.sync)
 }
 
 // stopLate cancels a request whose answer did not arrive in time.
-func (s *session) stopLate(l *lease, cause error) {
+func (s *session) cancelOnTimeout(co *checkout, cause error) {
 	var netErr net.Error
 	if errors.As(cause, &netErr) && netErr.Timeout() {
-		s.srv.cancelOn(l.conn)
+		s.srv.cancelOn(co.conn)
 	}
 }
 
 // lostError is the numbered result for a lost answer.
-func (r *relay) lostError(cause error) error {
-	if r.request.Outcome() == retry.NotSent && !r.within {
-		return result.New(result.RetryBudgetSpent, "endpoint %s: %v", r.l.endpoint, errors.Cause(cause))
+func (r *relay) connectionLostError(cause error) error {
+	if r.request.Outcome() == retry.NotSent && !r.inTransaction {
+		return result.New(result.RetryBudgetSpent, "endpoint %s: %v", r.co.endpoint, errors.Cause(cause))
 	}
-	if r.within && r.p.kind != kindCommit && !r.mayEnd() {
-		return result.New(result.EndpointLost, "endpoint %s: %v; the transaction was rolled back", r.l.endpoint, errors.Cause(cause))
+	if r.inTransaction && r.class.kind != kindCommit && !r.mayEndTransaction() {
+		return result.New(result.EndpointLost, "endpoint %s: %v; the transaction was rolled back", r.co.endpoint, errors.Cause(cause))
 	}
-	return result.New(result.OutcomeUnknown, "endpoint %s: %v", r.l.endpoint, errors.Cause(cause))
+	return result.New(result.OutcomeUnknown, "endpoint %s: %v", r.co.endpoint, errors.Cause(cause))
 }
 
 // mayEnd reports whether the unit may have ended the transaction.
-func (r *relay) mayEnd() bool {
+func (r *relay) mayEndTransaction() bool {
 	if r.u.simple {
 		return r.u.class.multi
 	}
@@ -165,17 +165,17 @@
 	s := r.s
 	ctx, cancel := context.WithTimeout(context.Background(), s.deadline())
 	defer cancel()
-	position, err := s.srv.durability.Wait(ctx, r.l.service, r.l.term)
+	position, err := s.srv.durability.Wait(ctx, r.co.service, r.co.term)
 	if err != nil {
 		return result.New(result.OutcomeUnknown, "waiting for a majority of the group: %v", errors.Cause(err))
 	}
-	if !termHolds(s.srv.opts.View.Current(), r.l) {
+	if !termHolds(s.srv.opts.View.Current(), r.co) {
 		return r.termEnded()
 	}
-	s.srv.positions.RecordAcked(r.l.service, s.who.workspace, position)
+	s.srv.positions.RecordAcked(r.co.service, s.identity.workspace, position)
 	return nil
 }
 
 func (r *relay) termEnded() error {
-	return result.New(result.OutcomeUnknown, "term %d of service %s ended before the answer arrived", r.l.term, r.l.service)
+	return result.New(result.OutcomeUnknown, "term %d of service %s ended before the answer arrived", r.co.term, r.co.service)
 }
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -45,10 +45,10 @@
 	// markers counts the request ids that were written.
 	markers atomic.Uint64
 
-	mu       sync.Mutex
-	sessions map[uint32]*session
-	serial   uint32
-	budgets  *retry.Budgets
+	mu                sync.Mutex
+	sessions          map[uint32]*session
+	lastSessionNumber uint32
+	budgets           *retry.Budgets
 }
 
 // NewServer checks the options and opens the listener.
@@ -75,8 +75,8 @@
 	if limit == nil {
 		limit = evenShare(opts.View, minConnections, func(svc note.Service) int { return svc.Connections })
 	}
-	s.setPorts()
-	observers := append([]Observer{newSilence(s.giveUpOn)}, opts.Observers...)
+	s.setDefaults()
+	observers := append([]Observer{newUnresponsiveDetector(s.interruptReplica)}, opts.Observers...)
 	for _, port := range []any{s.router, s.positions} {
 		if o, ok := port.(Observer); ok {
 			observers = append(observers, o)
@@ -91,7 +91,7 @@
 }
 
 // setPorts fills in ports that are not given.
-func (s *Server) setPorts() {
+func (s *Server) setDefaults() {
 	s.limiter, s.gate, s.router = s.opts.Limiter, s.opts.Gate, s.opts.Router
 	s.positions, s.durability = s.opts.Positions, s.opts.Durability
 	if s.limiter == nil {
@@ -112,7 +112,7 @@
 		s.router, s.positions = NewPrimaryRouter(s.opts.View), NoPositions{}
 	}
 	if s.durability == nil {
-		s.durability = &majorityWait{view: s.opts.View, read: s.PrimaryStatus}
+		s.durability = &majorityDurability{view: s.opts.View, read: s.PrimaryStatus}
 	}
 }
 
@@ -137,7 +137,7 @@
 	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
 	s.spawn(func() { s.backends.run(ctx) })
-	s.spawn(func() { s.watch(ctx) })
+	s.spawn(func() { s.watchView(ctx) })
 	if s.shared != nil {
 		s.spawn(func() { s.shared.run(ctx) })
 	}
@@ -188,12 +188,12 @@
 const acceptPause = 50 * time.Millisecond
 
 // watch tells the sessions about changes of the agreed state.
-func (s *Server) watch(ctx context.Context) {
+func (s *Server) watchView(ctx context.Context) {
 	for {
 		changed := s.opts.View.Changed()
 		v := s.opts.View.Current()
-		for _, session := range s.list() {
-			session.review(v)
+		for _, session := range s.activeSessions() {
+			session.applyView(v)
 		}
 		select {
 		case <-changed:
@@ -203,7 +203,7 @@
 	}
 }
 
-func (s *Server) list() []*session {
+func (s *Server) activeSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*session, 0, len(s.sessions))
@@ -219,7 +219,7 @@
 	s.draining.Store(true)
 	_ = s.listener.Close()
 	for {
-		all := s.list()
+		all := s.activeSessions()
 		if len(all) == 0 {
 			return nil
 		}
@@ -233,7 +233,7 @@
 }
 
 func (s *Server) closeSessions() {
-	for _, session := range s.list() {
+	for _, session := range s.activeSessions() {
 		session.kill()
 	}
 }
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -27,42 +27,42 @@
 
 // session serves one caller. Its goroutine owns all fields but those under mu.
 type session struct {
-	srv   *Server
-	conn  *pgfront.Conn
-	pid   uint32
-	key   []byte
-	who   identity
-	param params
-	set   settings
+	srv      *Server
+	conn     *pgfront.Conn
+	pid      uint32
+	key      []byte
+	identity identity
+	params   params
+	settings settings
 	// pendingSet holds SET statements of a transaction in progress.
 	pendingSet []string
 	statements map[string]*statement
 
 	// lease is held within a transaction or between Flush and Sync.
-	lease *lease
+	checkout *checkout
 	// failed tells that a transaction was rolled back by the entry, so that
 	// statements are refused until the caller ends it.
 	failed bool
 	// skip tells that messages are dropped until Sync.
-	skip bool
+	skipToSync bool
 	// batch collects messages of the extended protocol.
 	batch *unit
 
-	mu      sync.Mutex
-	held    *lease
-	reason  error
-	stopped func()
+	mu         sync.Mutex
+	active     *checkout
+	reason     error
+	cancelWait func()
 }
 
 // run serves requests until the caller leaves or the session must end.
 func (s *session) run() {
 	err := s.loop()
-	if s.lease != nil {
-		s.abandon()
+	if s.checkout != nil {
+		s.discardConnection()
 	}
 	if result.CodeOf(err) != 0 {
 		s.srv.metrics.result(err)
-		s.srv.log.Info("session_closed", "workspace", s.who.workspace, "code", result.CodeOf(err), "reason", err)
+		s.srv.log.Info("session_closed", "workspace", s.identity.workspace, "code", result.CodeOf(err), "reason", err)
 		if result.CodeOf(err) != result.SlowClient {
 			s.conn.Refuse(err)
 		}
@@ -72,7 +72,7 @@
 
 func (s *session) loop() error {
 	for {
-		if err := s.boundary(); err != nil {
+		if err := s.checkStop(); err != nil {
 			return err
 		}
 		msg, err := s.conn.Receive()
@@ -87,7 +87,7 @@
 }
 
 // boundary ends the session between two statements when it has been told to.
-func (s *session) boundary() error {
+func (s *session) checkStop() error {
 	reason := s.stopReason()
 	if reason == nil {
 		return nil
@@ -100,7 +100,7 @@
 
 // busy reports whether the caller is within a transaction or a pipeline.
 func (s *session) busy() bool {
-	return s.lease != nil || s.batch != nil || s.skip
+	return s.checkout != nil || s.batch != nil || s.skipToSync
 }
 
 func (s *session) receiveError(err error) error {
@@ -141,9 +141,9 @@
 }
 
 func (s *session) query(text string) error {
-	s.skip = false
+	s.skipToSync = false
 	s.batch = nil
-	u, err := newSimple(text)
+	u, err := newSimpleUnit(text)
 	if err != nil {
 		return err
 	}
@@ -152,11 +152,11 @@
 
 // collect appends a message to the batch.
 func (s *session) collect(msg pgproto3.FrontendMessage) error {
-	if s.skip {
+	if s.skipToSync {
 		return nil
 	}
 	if s.batch == nil {
-		s.batch = newBatch()
+		s.batch = newExtendedUnit()
 	}
 	if err := s.batch.add(msg, s.statements); err != nil {
 		return err
@@ -175,12 +175,12 @@
 func (s *session) sync() error {
 	u := s.batch
 	s.batch = nil
-	if s.skip {
-		s.skip = false
+	if s.skipToSync {
+		s.skipToSync = false
 		u = nil
 	}
 	if u == nil {
-		u = newBatch()
+		u = newExtendedUnit()
 	}
 	u.sync = true
 	return s.serve(u)
@@ -189,7 +189,7 @@
 func (s *session) flush() error {
 	u := s.batch
 	s.batch = nil
-	if u == nil || s.skip {
+	if u == nil || s.skipToSync {
 		return s.conn.Flush()
 	}
 	return s.serve(u)
@@ -197,17 +197,17 @@
 
 // refuse answers a request that was not run. A transaction in progress is
 // rolled back, because a part of it was refused.
-func (s *session) refuse(err error, ends bool) error {
+func (s *session) refuse(err error, final bool) error {
 	s.srv.metrics.result(err)
-	if s.lease != nil {
-		s.failed = s.failed || s.lease.transaction
-		s.abandon()
+	if s.checkout != nil {
+		s.failed = s.failed || s.checkout.transaction
+		s.discardConnection()
 	}
 	if queueErr := s.conn.Queue(pgfront.ErrorMessage(err, pgfront.Error)); queueErr != nil {
 		return queueErr
 	}
-	if !ends {
-		s.skip = true
+	if !final {
+		s.skipToSync = true
 		return s.conn.Flush()
 	}
 	return s.ready(s.status())
@@ -218,7 +218,7 @@
 	switch {
 	case s.failed:
 		return txFailed
-	case s.lease != nil && s.lease.transaction:
+	case s.checkout != nil && s.checkout.transaction:
 		return txActive
 	}
 	return txIdle
@@ -233,22 +233,22 @@
 }
 
 // abandon closes the endpoint connection, which rolls back a transaction.
-func (s *session) abandon() {
-	l := s.lease
-	s.lease = nil
+func (s *session) discardConnection() {
+	co := s.checkout
+	s.checkout = nil
 	s.pendingSet = nil
-	s.release(l, false)
+	s.release(co, false)
 }
 
 // script is the settings that the session needs on an endpoint connection.
 func (s *session) script() string {
-	if s.who.open || s.param.readOnly {
-		return "SET default_transaction_read_only = on;" + s.set.script
+	if s.identity.open || s.params.readOnly {
+		return "SET default_transaction_read_only = on;" + s.settings.script
 	}
-	return s.set.script
+	return s.settings.script
 }
 
 // readOnly reports whether the caller declared the session read-only.
 func (s *session) readOnly() bool {
-	return s.who.open || s.param.readOnly || s.set.readOnly()
+	return s.identity.open || s.params.readOnly || s.settings.readOnly()
 }
--- a/internal/entry/control.go
+++ b/internal/entry/session_control.go
@@ -12,25 +12,25 @@
 const drainGrace = 100 * time.Millisecond
 
 // hold makes a lease known to cancel requests and to changes of the state.
-func (s *session) hold(l *lease) {
+func (s *session) setActive(co *checkout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.held = l
+	s.active = co
 }
 
-func (s *session) unhold(l *lease) {
+func (s *session) clearActive(co *checkout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held == l {
-		s.held = nil
+	if s.active == co {
+		s.active = nil
 	}
 }
 
 // setTransaction records whether the endpoint reports a transaction.
-func (s *session) setTransaction(l *lease, on bool) {
+func (s *session) setTransaction(co *checkout, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	l.transaction = on
+	co.transaction = on
 }
 
 // stopReason returns why the session must end, or nil.
@@ -52,38 +52,38 @@
 
 // review applies a change of the agreed state. It is called by the server's
 // task, not by the session's own.
-func (s *session) review(v view.View) {
-	if err := s.who.check(v); err != nil {
-		s.withdraw(err)
+func (s *session) applyView(v view.View) {
+	if err := s.identity.check(v); err != nil {
+		s.terminate(err)
 		return
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if l := s.held; l != nil && l.primary && v.State != nil && !sameTerm(v, l) {
-		l.conn.Interrupt()
+	if co := s.active; co != nil && co.primary && v.State != nil && !sameTerm(v, co) {
+		co.conn.Interrupt()
 	}
 }
 
 // sameTerm reports whether the lease's term is still the group's.
-func sameTerm(v view.View, l *lease) bool {
-	return termHolds(view.View{State: v.State, ValidUntil: farFuture}, l)
+func sameTerm(v view.View, co *checkout) bool {
+	return termHolds(view.View{State: v.State, ValidUntil: farFuture}, co)
 }
 
 var farFuture = time.Unix(1<<40, 0)
 
 // withdraw ends the session at the next statement boundary and cancels a
 // transaction in progress.
-func (s *session) withdraw(reason error) {
+func (s *session) terminate(reason error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.reason = reason
 	s.conn.Interrupt(0)
-	if s.held == nil || !s.held.transaction {
+	if s.active == nil || !s.active.transaction {
 		return
 	}
-	s.held.conn.Interrupt()
-	s.held.conn.MarkCancelled()
-	s.srv.cancelOn(s.held.conn)
+	s.active.conn.Interrupt()
+	s.active.conn.MarkCancelled()
+	s.srv.cancelOn(s.active.conn)
 }
 
 // cancel cancels the request in progress.
@@ -91,11 +91,11 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	switch {
-	case s.held != nil:
-		s.held.conn.MarkCancelled()
-		s.srv.cancelOn(s.held.conn)
-	case s.stopped != nil:
-		s.stopped()
+	case s.active != nil:
+		s.active.conn.MarkCancelled()
+		s.srv.cancelOn(s.active.conn)
+	case s.cancelWait != nil:
+		s.cancelWait()
 	}
 }
 
@@ -103,11 +103,11 @@
 func (s *session) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.held != nil {
-		s.held.conn.Interrupt()
+	if s.active != nil {
+		s.active.conn.Interrupt()
 	}
-	if s.stopped != nil {
-		s.stopped()
+	if s.cancelWait != nil {
+		s.cancelWait()
 	}
 	_ = s.conn.Close()
 }
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -13,10 +13,10 @@
 
 const (
 	// noStatement is a name that no statement has; closing it has no effect.
-	noStatement = "gb_none"
+	absentStatement = "gb_none"
 	// statementDigest is the part of the SHA-256 digest, in bytes, that names a
 	// statement. It resists collisions that a caller could look for.
-	statementDigest = 16
+	statementDigestBytes = 16
 )
 
 // statement is a prepared statement of a caller. It is immutable.
@@ -37,7 +37,7 @@
 		content = binary.BigEndian.AppendUint32(content, oid)
 	}
 	digest := sha256.Sum256(content)
-	name := "gb_" + hex.EncodeToString(digest[:statementDigest])
+	name := "gb_" + hex.EncodeToString(digest[:statementDigestBytes])
 	return &statement{name: name, query: query, oids: append([]uint32(nil), oids...), class: classify(query)}
 }
 
@@ -58,7 +58,7 @@
 type op struct {
 	kind opKind
 	// client is the statement's name as the caller knows it.
-	client string
+	clientName string
 	// stmt is the statement that the message refers to; nil when unknown.
 	stmt *statement
 	// start and end delimit the encoded message within the unit.
@@ -86,7 +86,7 @@
 }
 
 // newSimple returns the unit of a simple query.
-func newSimple(text string) (*unit, error) {
+func newSimpleUnit(text string) (*unit, error) {
 	data, err := (&pgproto3.Query{String: text}).Encode(nil)
 	if err != nil {
 		return nil, result.New(result.MalformedMessage, "%v", err)
@@ -94,7 +94,7 @@
 	return &unit{simple: true, sync: true, text: text, class: classify(text), data: data}, nil
 }
 
-func newBatch() *unit {
+func newExtendedUnit() *unit {
 	return &unit{portals: make(map[string]*statement), parsed: make(map[string]*statement)}
 }
 
@@ -114,7 +114,7 @@
 		u.parsed[msg.Name] = stmt
 		client := msg.Name
 		msg.Name = stmt.name
-		return u.append(op{kind: opParse, client: client, stmt: stmt}, msg)
+		return u.append(op{kind: opParse, clientName: client, stmt: stmt}, msg)
 	case *pgproto3.Bind:
 		stmt := u.lookup(msg.PreparedStatement, session)
 		u.portals[msg.DestinationPortal] = stmt
@@ -135,15 +135,15 @@
 		}
 		client := msg.Name
 		u.parsed[client] = nil
-		msg.Name = noStatement
-		return u.append(op{kind: opCloseStatement, client: client}, msg)
+		msg.Name = absentStatement
+		return u.append(op{kind: opCloseStatement, clientName: client}, msg)
 	}
 	return result.New(result.MalformedMessage, "%T is not expected here", msg)
 }
 
 func nameOf(stmt *statement) string {
 	if stmt == nil {
-		return noStatement
+		return absentStatement
 	}
 	return stmt.name
 }
@@ -165,18 +165,18 @@
 	encoded []byte
 	// parses and closes tell, for each answer to Parse and Close in order,
 	// what it answers.
-	parses []answer
-	closes []answer
+	parses []expectedAnswer
+	closes []expectedAnswer
 	// pending is the number of answers before the one to Sync.
 	pending int
 }
 
 // answer is what an answer of the endpoint stands for.
-type answer struct {
+type expectedAnswer struct {
 	// injected answers are not passed on to the caller.
-	injected bool
-	client   string
-	stmt     *statement
+	injected   bool
+	clientName string
+	stmt       *statement
 	// name is the statement's name on the endpoint connection.
 	name string
 }
@@ -225,7 +225,7 @@
 			}
 		}
 		b.known[o.stmt.name] = true
-		b.plan.parses = append(b.plan.parses, answer{client: o.client, stmt: o.stmt, name: o.stmt.name})
+		b.plan.parses = append(b.plan.parses, expectedAnswer{clientName: o.clientName, stmt: o.stmt, name: o.stmt.name})
 	case opBind, opDescribeStatement:
 		if o.stmt != nil && !b.has(o.stmt.name) {
 			if err := b.injectParse(o.stmt); err != nil {
@@ -233,7 +233,7 @@
 			}
 		}
 	case opCloseStatement, opClosePortal:
-		b.plan.closes = append(b.plan.closes, answer{client: o.client, stmt: o.stmt})
+		b.plan.closes = append(b.plan.closes, expectedAnswer{clientName: o.clientName, stmt: o.stmt})
 	}
 	b.plan.encoded = append(b.plan.encoded, encoded...)
 	b.plan.pending++
@@ -253,7 +253,7 @@
 	}
 	b.plan.encoded = encoded
 	b.known[stmt.name] = true
-	b.plan.parses = append(b.plan.parses, answer{injected: true, stmt: stmt, name: stmt.name})
+	b.plan.parses = append(b.plan.parses, expectedAnswer{injected: true, stmt: stmt, name: stmt.name})
 	b.plan.pending++
 	return nil
 }
@@ -265,7 +265,7 @@
 	}
 	b.plan.encoded = encoded
 	b.state.Remove(name)
-	b.plan.closes = append(b.plan.closes, answer{injected: true, name: name})
+	b.plan.closes = append(b.plan.closes, expectedAnswer{injected: true, name: name})
 	b.plan.pending++
 	return nil
 }
--- a/internal/entry/purpose.go
+++ b/internal/entry/unit_class.go
@@ -1,69 +1,69 @@
 package entry
 
 // purpose sums up what a unit does, as far as routing needs it.
-type purpose struct {
+type unitClass struct {
 	kind kind
 	// dirty tells that the connection must be reset afterwards.
 	dirty bool
 	// executes tells that the unit runs statements, not only prepares them.
 	executes bool
 	// own tells that all statements are answered at the entry.
-	own bool
+	local bool
 	// why is set for unsupported statements.
-	why string
+	feature string
 }
 
-const whyMixed = "parameters of galenabridge together with other statements in one pipeline"
+const featureMixedParams = "parameters of galenabridge together with other statements in one pipeline"
 
 // purpose classifies the unit.
-func (u *unit) purpose() purpose {
+func (u *unit) classify() unitClass {
 	if u.simple {
-		return purpose{
+		return unitClass{
 			kind: u.class.kind, dirty: u.class.dirty, executes: true,
-			own: u.class.isOwn(), why: u.class.why,
+			local: u.class.answeredLocally(), feature: u.class.feature,
 		}
 	}
-	mentioned, executed := u.classes()
-	p := purpose{kind: kindRead, executes: len(executed) > 0}
+	mentioned, executed := u.statementClasses()
+	uc := unitClass{kind: kindRead, executes: len(executed) > 0}
 	if len(mentioned) == 0 {
-		return p
+		return uc
 	}
-	p.own = mentioned[0].isOwn()
+	uc.local = mentioned[0].answeredLocally()
 	for _, c := range mentioned {
 		if c.kind == kindUnsupported {
-			return purpose{kind: kindUnsupported, why: c.why}
+			return unitClass{kind: kindUnsupported, feature: c.feature}
 		}
-		if c.isOwn() != p.own {
-			return purpose{kind: kindUnsupported, why: whyMixed}
+		if c.answeredLocally() != uc.local {
+			return unitClass{kind: kindUnsupported, feature: featureMixedParams}
 		}
 	}
 	if len(executed) == 0 {
 		executed = mentioned
 	}
-	p.join(executed)
-	return p
+	uc.combine(executed)
+	return uc
 }
 
-func (c class) isOwn() bool { return c.kind == kindOwn || c.kind == kindDeallocate }
+func (c class) answeredLocally() bool { return c.kind == kindProxyParam || c.kind == kindDeallocate }
 
 // join makes the first statement decide, except that a read followed by
 // another kind counts as a write.
-func (p *purpose) join(classes []class) {
-	p.kind = classes[0].kind
+func (uc *unitClass) combine(classes []class) {
+	uc.kind = classes[0].kind
 	for _, c := range classes {
-		p.dirty = p.dirty || c.dirty
-		if p.kind == kindRead && c.kind != kindRead && c.kind != kindEmpty {
-			p.kind = kindWrite
+		uc.dirty = uc.dirty || c.dirty
+		if uc.kind == kindRead && c.kind != kindRead && c.kind != kindEmpty {
+			uc.kind = kindWrite
 		}
-		if p.kind == kindSet && c.kind != kindSet {
-			p.kind, p.dirty = kindWrite, true
+		if uc.kind == kindSet && c.kind != kindSet {
+			uc.kind, uc.dirty = kindWrite, true
 		}
 	}
 }
 
 // classes returns the classes of the statements that the unit mentions and of
 // those that it executes.
-func (u *unit) classes() (mentioned, executed []class) {
+func (u *unit) statementClasses() (mentioned, executed []class) {
 	for _, o := range u.ops {
 		if o.stmt == nil {
 			continue
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -8,7 +8,7 @@
 // Usage implements limits.Pool.
 func (s *Server) Usage() []limits.Usage {
 	var all []limits.Usage
-	for _, use := range s.backends.poolUse() {
+	for _, use := range s.backends.poolUsage() {
 		// The monitor has a connection of its own.
 		u := limits.Usage{
 			Service:           use.service,
