--- a/internal/entry/request_id.go
+++ b/internal/entry/request_id.go
@@ -88,7 +88,7 @@
 		if err == nil {
 			return nil
 		}
-		var refused *pgback.Refusal
+		var refused *pgback.ServerError
 		if !errors.As(err, &refused) {
 			return err
 		}
@@ -218,7 +218,7 @@
 // lostCommit answers a unit whose transaction could not be ended: the endpoint
 // refused the commit, or the connection was lost.
 func (r *relay) commitFailed(err error) (attemptOutcome, error) {
-	var refused *pgback.Refusal
+	var refused *pgback.ServerError
 	if !errors.As(err, &refused) {
 		return r.connectionLost(err)
 	}
