--- a/internal/entry/backends.go
+++ b/internal/entry/backends.go
@@ -13,11 +13,12 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// sweepInterval is the time between two searches for idle connections.
+// idleSweepInterval is the time between two sweeps that close idle connections.
 const idleSweepInterval = 10 * time.Second
 
-// backends keeps a pool and a monitor for each endpoint of the services in
-// use. It follows the agreed state.
+// backends keeps a connection pool and a monitor for each endpoint of the services in use.
+// It follows the agreed state. The maps and ctx are guarded by mu; no endpoint is started
+// before run has set ctx.
 type backends struct {
 	view      view.Source
 	limit     func(service, endpoint string) int
@@ -30,7 +31,7 @@
 	members  map[string]*backend
 }
 
-// backend is one endpoint in use.
+// backend is the pool and the monitor of one endpoint. stop ends the monitor.
 type backend struct {
 	service string
 	pool    *pgback.Pool
@@ -46,7 +47,8 @@
 	}
 }
 
-// run keeps the set of endpoints in line with the agreed state until ctx ends.
+// run reconciles the set of endpoints with the agreed state until ctx ends, then closes all
+// pools and waits for the monitors.
 func (b *backends) run(ctx context.Context) {
 	b.mu.Lock()
 	b.ctx = ctx
@@ -67,7 +69,7 @@
 	}
 }
 
-// use makes the endpoints of a service ready.
+// addService starts the endpoints of a service on its first use.
 func (b *backends) addService(service string) {
 	b.mu.Lock()
 	known := b.services[service]
@@ -78,7 +80,7 @@
 	}
 }
 
-// get returns an endpoint in use.
+// get returns the backend of an endpoint, or an error when the endpoint is not in use.
 func (b *backends) get(endpoint string) (*backend, error) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -89,6 +91,8 @@
 	return member, nil
 }
 
+// reconcile starts the members of the services in use and closes endpoints that are no
+// longer members.
 func (b *backends) reconcile() {
 	state := b.view.Current().State
 	b.mu.Lock()
@@ -113,7 +117,8 @@
 	}
 }
 
-// ensure starts the endpoint, anew when its address or credentials changed.
+// ensure starts the endpoint, or restarts it when its address or credentials have changed.
+// The caller holds mu.
 func (b *backends) ensure(service string, target pgback.Target) {
 	limit := b.limit(service, target.Endpoint)
 	if member, ok := b.members[target.Endpoint]; ok {
@@ -131,7 +136,7 @@
 	}
 	member := &backend{
 		service: service,
-		// One connection is the monitor's.
+		// One connection of the limit is the monitor's.
 		pool:    pgback.NewPool(target, limit-1),
 		monitor: pgback.NewMonitor(target, publish),
 		stop:    stop,
@@ -144,7 +149,7 @@
 	}()
 }
 
-// nudge asks the replicas of a service for their positions.
+// pollReplicas makes the monitors of a service's replicas read their positions soon.
 func (b *backends) pollReplicas(service, primary string) {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -155,7 +160,8 @@
 	}
 }
 
-// poolUse is the use of one endpoint's connections.
+// poolUsage is the number of connections of one endpoint: those open now, and the number
+// that the pool could have used since the last reading.
 type poolUsage struct {
 	service  string
 	endpoint string
@@ -163,7 +169,7 @@
 	peak     int
 }
 
-// poolUse lists the endpoints in use, with their peaks since the last call.
+// poolUsage returns the usage of each endpoint and resets the peaks.
 func (b *backends) poolUsage() []poolUsage {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -174,7 +180,7 @@
 	return all
 }
 
-// resize makes the pools follow changed caps.
+// resize applies changed connection limits to the pools.
 func (b *backends) resize() {
 	b.mu.RLock()
 	defer b.mu.RUnlock()
@@ -206,6 +212,8 @@
 	b.running.Wait()
 }
 
+// targetOf returns the address and credentials of an endpoint. It reports false when the
+// state has no such endpoint or service.
 func targetOf(state *agreed.State, service, id string) (pgback.Target, bool) {
 	endpoint, ok := state.Endpoints[id]
 	svc, known := state.Catalog.Services[service]
@@ -218,12 +226,12 @@
 	}, true
 }
 
-// minConnections is the least even share of an endpoint's connections: one for
-// the monitor and one for requests.
+// minConnections is the smallest even share of an endpoint's connections: one for the
+// monitor and one for requests.
 const minConnections = 2
 
-// evenShare shares a cap of a service evenly among the entry hosts; each gets at
-// least the given number.
+// evenShare divides a limit of a service evenly among the entry hosts; each gets at least
+// the given minimum.
 func evenShare(src view.Source, minimum int, total func(note.Service) int) func(service, endpoint string) int {
 	return func(service, _ string) int {
 		state := src.Current().State
--- a/internal/entry/bare_test.go
+++ b/internal/entry/bare_test.go
@@ -8,9 +8,10 @@
 	"github.com/xdg-go/scram"
 )
 
-// bareClient is a caller that keeps nothing but its socket.
+// bareClient is a logged-in caller without driver state: it keeps only its socket.
 type bareClient struct{ net net.Conn }
 
+// newBareClient connects and logs in with callerKey.
 func newBareClient(t testing.TB, f *fixture) *bareClient {
 	t.Helper()
 	nc, err := net.Dial("tcp", f.server.Addr().String())
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -15,7 +15,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// benchFixture is an entry before a group without artificial delays.
+// benchFixture returns an entry in front of a group without artificial delays, with one row
+// and replicas that serve reads.
 func benchFixture(b *testing.B) *fixture {
 	f := newFixture(b, fixtureConfig{
 		connections: 60,
@@ -41,8 +42,8 @@
 	})
 }
 
-// BenchmarkWrite compares a prepared write. The entry's answer waits for a
-// majority, the direct one does not.
+// BenchmarkWrite compares a prepared write through the entry with the same write sent
+// directly to the primary. Only the entry waits for a majority.
 func BenchmarkWrite(b *testing.B) {
 	f := benchFixture(b)
 	const sql = "update entries set word = 'pohang' where id = $1"
@@ -50,7 +51,7 @@
 	b.Run("entry", func(b *testing.B) { benchOne(b, f.connect(""), sql) })
 }
 
-// benchOne runs the statement one after the other and reports the median.
+// benchOne runs the statement sequentially and reports the median time.
 func benchOne(b *testing.B, conn *pgx.Conn, sql string) {
 	ctx := context.Background()
 	var times []time.Duration
@@ -66,7 +67,7 @@
 	b.ReportMetric(float64(times[len(times)/2].Microseconds()), "p50-µs")
 }
 
-// BenchmarkReadParallel measures the throughput of many callers.
+// BenchmarkReadParallel measures the read throughput of concurrent callers.
 func BenchmarkReadParallel(b *testing.B) {
 	f := benchFixture(b)
 	for _, callers := range []int{16, 64} {
@@ -90,6 +91,7 @@
 	}
 }
 
+// benchMany runs reads on all connections concurrently and reports the throughput.
 func benchMany(b *testing.B, conns []*pgx.Conn) {
 	var wg sync.WaitGroup
 	share := b.N/len(conns) + 1
@@ -110,8 +112,8 @@
 	b.ReportMetric(float64(share*len(conns))/b.Elapsed().Seconds(), "statements/s")
 }
 
-// BenchmarkIdleConnections measures the memory that an idle caller holds in
-// the entry. Clients are bare sockets, so that their part is small.
+// BenchmarkIdleConnections measures the entry's memory for each idle caller. The clients are
+// bare sockets, because they share the process and their memory is counted too.
 func BenchmarkIdleConnections(b *testing.B) {
 	const callers = 1000
 	f := benchFixture(b)
@@ -132,13 +134,15 @@
 	}
 }
 
+// readMemStats reads the statistics after a full collection. The second collection frees what
+// the first one has finalized.
 func readMemStats(m *runtime.MemStats) {
 	runtime.GC()
 	runtime.GC()
 	runtime.ReadMemStats(m)
 }
 
-// BenchmarkClassify measures the look at a statement's first keywords.
+// BenchmarkClassify measures the classification of a read.
 func BenchmarkClassify(b *testing.B) {
 	b.ReportAllocs()
 	for b.Loop() {
@@ -148,7 +152,8 @@
 	}
 }
 
-// BenchmarkPlan measures the preparation of a pipeline for a connection.
+// BenchmarkPlan measures the encoding of a pipeline for a connection that has the statement
+// prepared.
 func BenchmarkPlan(b *testing.B) {
 	f := benchFixture(b)
 	member, err := f.server.backends.get("ledger-1")
@@ -178,7 +183,8 @@
 	}
 }
 
-// BenchmarkPosition measures the ways to find the position that a read needs.
+// BenchmarkPosition compares the two sources of the position that a read must include: the
+// primary, and the tables of all entry hosts.
 func BenchmarkPosition(b *testing.B) {
 	for _, hosts := range []int{2, 9} {
 		f := newFleetOf(b, hosts, 0)
@@ -203,6 +209,7 @@
 	}
 }
 
+// benchPosition determines positions with concurrent readers and reports the mean wait.
 func benchPosition(b *testing.B, readers int, find func(context.Context) error) {
 	var wg sync.WaitGroup
 	share := b.N/readers + 1
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -9,20 +9,21 @@
 	"github.com/galenabridge/galenabridge/internal/pgfront"
 )
 
-// A cancel key's process number holds the host's number above the session's.
+// The process number in a cancel key holds the host number in its upper bits and the
+// session number in its lower bits.
 const (
 	sessionBits = 20
 	sessionMask = 1<<sessionBits - 1
-	// MaxHostNumbers bounds the numbers of hosts, so that process numbers stay
-	// positive in 32 bits.
+	// MaxHostNumbers is the number of distinct host numbers. Process numbers below 1<<31
+	// stay positive for clients that read them as signed 32-bit numbers.
 	MaxHostNumbers = 1 << (31 - sessionBits)
 )
 
-// forwardTimeout bounds the forwarding of a cancel request.
+// forwardTimeout bounds the forwarding of a cancel request to another host.
 const forwardTimeout = 2 * time.Second
 
-// Cancel cancels the request of a session of this host. It reports whether the
-// key matches one.
+// Cancel cancels the request in progress of a session of this host. It reports whether the
+// key matches a session.
 func (s *Server) Cancel(c pgfront.Cancel) bool {
 	s.mu.Lock()
 	session := s.sessions[c.ProcessID&sessionMask]
@@ -37,7 +38,8 @@
 	return true
 }
 
-// routeCancel handles a caller's cancel request for any host.
+// routeCancel handles a caller's cancel request. It is forwarded unless the key belongs to
+// a session of this host; the host number alone does not decide, since hosts may share one.
 func (s *Server) routeCancel(c pgfront.Cancel) {
 	host := c.ProcessID >> sessionBits
 	if host == s.number && s.Cancel(c) || s.opts.CancelForwarder == nil {
@@ -50,7 +52,7 @@
 	}
 }
 
-// cancelOn sends a cancel request to the endpoint in the background.
+// cancelOn sends a cancel request for the connection to its endpoint in the background.
 func (s *Server) cancelOn(conn *pgback.Conn) {
 	s.spawn(func() {
 		if err := conn.Cancel(); err != nil {
@@ -59,7 +61,8 @@
 	})
 }
 
-// add gives the session its number and makes it known.
+// registerSession assigns the session a process number and makes it reachable for cancel
+// requests. Session numbers are unique among the host's open sessions and never 0.
 func (s *Server) registerSession(ses *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -73,13 +76,15 @@
 	s.sessions[s.lastSessionNumber] = ses
 }
 
+// unregisterSession releases the session's number.
 func (s *Server) unregisterSession(ses *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	delete(s.sessions, ses.pid&sessionMask)
 }
 
-// countRead counts a read by the role of the endpoint that served it.
+// countRead counts a read by the role of the endpoint that served it. Statements that may
+// write are not counted.
 func (s *Server) countRead(uc unitClass, co *checkout) {
 	if uc.kind != kindRead && !co.readOnly {
 		return
--- a/internal/entry/checkout.go
+++ b/internal/entry/checkout.go
@@ -10,7 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// lease is a session's use of an endpoint connection and a slot.
+// checkout is an endpoint connection that a session has borrowed from the pool, and the
+// slot in which its requests run. It is valid for one term of the group.
 type checkout struct {
 	endpoint    string
 	service     string
@@ -19,21 +20,22 @@
 	conn        *pgback.Conn
 	backend     *backend
 	releaseSlot func()
-	// latency is the time of the first answer.
+	// latency is the time to the first answer, as reported to the router.
 	latency time.Duration
-	// lost tells that the endpoint failed.
+	// lost: the connection to the endpoint failed.
 	lost bool
-	// readOnly tells that the caller declared the transaction read-only.
+	// readOnly: the caller declared the session or the transaction read-only.
 	readOnly bool
-	// transaction tells that the endpoint reported a transaction in progress.
+	// transaction: the endpoint reported a transaction in progress. It is guarded by the
+	// session's mu.
 	transaction bool
 }
 
-// retryDelay is the wait before an endpoint is looked for again.
+// retryDelay is the wait before a request looks for an endpoint again.
 const retryDelay = 20 * time.Millisecond
 
-// place finds an endpoint and takes a slot and a connection. It waits until
-// ctx ends.
+// acquire picks an endpoint and takes a slot and a connection. While none can serve the
+// need it retries, until ctx ends.
 func (s *session) acquire(ctx context.Context, need Need) (*checkout, error) {
 	for {
 		changed := s.srv.opts.View.Changed()
@@ -44,7 +46,7 @@
 		if !isTransient(err) || ctx.Err() != nil {
 			return nil, err
 		}
-		// Nothing else is left: what was tried before may serve again.
+		// All other endpoints failed too: one that failed before may serve again.
 		need.Exclude = nil
 		timer := time.NewTimer(retryDelay)
 		select {
@@ -62,7 +64,7 @@
 	}
 }
 
-// waitable reports whether a later attempt may succeed.
+// isTransient reports whether a later attempt may succeed.
 func isTransient(err error) bool {
 	switch result.CodeOf(err) {
 	case result.NoPrimary, result.NoEndpoint:
@@ -71,13 +73,15 @@
 	return false
 }
 
+// tryAcquire makes one attempt to pick an endpoint and to take a slot and a connection.
 func (s *session) tryAcquire(ctx context.Context, need Need) (*checkout, error) {
 	endpoint, err := s.srv.router.Pick(time.Now(), need)
 	if err != nil {
 		return nil, err
 	}
 	if need.ReadOnly && s.srv.isPrimary(need.Service, endpoint) {
-		// No replica is known to have the position: later reads need news of them.
+		// No replica is known to have replayed the position: request newer positions for
+		// the reads that follow.
 		s.srv.backends.pollReplicas(need.Service, endpoint)
 	}
 	member, err := s.srv.backends.get(endpoint)
@@ -111,7 +115,8 @@
 	return co, nil
 }
 
-// recheck makes sure that the endpoint may still be used after the wait.
+// revalidate checks after the wait that the session is still authorized and that the
+// endpoint still has the required role. It records the term and role in the checkout.
 func (s *session) revalidate(co *checkout, need Need) error {
 	if err := s.authorize(); err != nil {
 		return err
@@ -120,12 +125,12 @@
 	co.term = group.Term
 	co.primary = group.Primary == co.endpoint
 	if !need.ReadOnly && (!co.primary || group.Phase != agreed.PhaseActive) {
-		return result.New(result.NoPrimary, "endpoint %s is not the primary any more", co.endpoint)
+		return result.New(result.NoPrimary, "endpoint %s is no longer the primary", co.endpoint)
 	}
 	return nil
 }
 
-// applySettings brings the connection's settings in line with the session's.
+// applySettings sets the session's settings on the connection, unless it has them already.
 func (s *session) applySettings(co *checkout) error {
 	script := s.script()
 	state := &co.conn.Session
@@ -145,8 +150,9 @@
 	return nil
 }
 
-// release returns the slot and the connection. A connection whose state is
-// unknown is closed; one that a caller has changed is reset first.
+// release returns the slot and the connection. A connection whose state is unknown is
+// closed; one whose session state may have changed is reset in the background before it
+// is reused.
 func (s *session) release(co *checkout, reusable bool) {
 	s.clearActive(co)
 	co.conn.SetDeadline(time.Time{})
@@ -163,7 +169,8 @@
 	}()
 }
 
-// termHolds reports whether the host may act on the lease's term now.
+// termHolds reports whether the host may act now on the term of the checkout: the
+// configuration lease is valid, the group is active, and its term and primary are the same.
 func termHolds(v view.View, co *checkout) bool {
 	if !v.Valid() {
 		return false
--- a/internal/entry/classify.go
+++ b/internal/entry/classify.go
@@ -2,48 +2,47 @@
 
 import "strings"
 
-// kind is what the first keywords of a statement tell about it.
+// kind is the kind of a statement, as derived from its first keywords.
 type kind int
 
 const (
-	// kindWrite is any statement that is not known to be of another kind.
+	// kindWrite is any statement not classified as another kind.
 	kindWrite kind = iota
 	// kindEmpty has no keyword.
 	kindEmpty
-	// kindRead is a lone query, which an endpoint refuses with SQLSTATE 25006
-	// when it would write.
+	// kindRead is a single query. A replica refuses it with SQLSTATE 25006 when it writes.
 	kindRead
 	kindBegin
 	kindBeginReadOnly
 	kindCommit
 	kindRollback
-	// kindSet changes a run-time setting of the session.
+	// kindSet is SET or RESET of a run-time setting of the database session.
 	kindSet
-	// kindOwn is SET, SHOW or RESET of a galenabridge parameter.
+	// kindProxyParam is SET, SHOW or RESET of a galenabridge parameter, answered at the
+	// entry.
 	kindProxyParam
 	// kindDeallocate is DEALLOCATE or DISCARD, answered at the entry.
 	kindDeallocate
-	// kindUnsupported needs session state that pooling cannot keep.
+	// kindUnsupported needs session state that a pooled connection cannot keep.
 	kindUnsupported
 )
 
 // class is the classification of a statement text.
 type class struct {
 	kind kind
-	// dirty tells that the connection must be reset before another caller
-	// uses it.
+	// dirty: the connection must be reset before another session uses it.
 	dirty bool
-	// multi tells that the text holds, or may hold, several statements.
+	// multi: the text contains, or may contain, several statements.
 	multi bool
-	// why names the unsupported feature.
+	// feature is the unsupported feature, for the error message.
 	feature string
 }
 
-// ownPrefix begins the names of the parameters that the entry handles itself.
+// paramPrefix is the prefix of the parameters that the entry handles itself.
 const paramPrefix = "galenabridge."
 
-// classify looks at the first keywords after comments. It does not parse SQL:
-// what it cannot tell is a write.
+// classify classifies a statement by its first keywords after comments. It does not parse
+// SQL: a statement that it does not recognize is a write.
 func classify(text string) class {
 	body := skipSpace(text)
 	word, rest := cutWord(body)
@@ -113,7 +112,7 @@
 	return class{kind: kindBegin}
 }
 
-// classifyRollback tells a rollback of the transaction from one to a savepoint.
+// classifyRollback distinguishes ROLLBACK from ROLLBACK [WORK|TRANSACTION] TO a savepoint.
 func classifyRollback(rest string) class {
 	for range 2 {
 		word, after := cutWord(rest)
@@ -167,6 +166,7 @@
 	return class{kind: kindWrite}
 }
 
+// unsupportedFunction returns the unsupported feature that the text calls, or "".
 func unsupportedFunction(body string) string {
 	if containsFold(body, "pg_advisory_lock") || containsFold(body, "pg_try_advisory_lock") {
 		return "session advisory locks; use the transaction forms"
@@ -174,14 +174,14 @@
 	return ""
 }
 
-// isMulti reports whether text follows a semicolon. A semicolon inside a
-// literal counts as well, which is on the safe side.
+// isMulti reports whether text follows a semicolon. A semicolon inside a literal counts as
+// well: the statement is then treated as a write, which is safe.
 func isMulti(body string) bool {
 	i := strings.IndexByte(body, ';')
 	return i >= 0 && strings.Trim(skipSpace(body[i+1:]), "; \t\r\n") != ""
 }
 
-// skipSpace drops leading white space and comments.
+// skipSpace removes leading white space and comments.
 func skipSpace(text string) string {
 	for {
 		text = strings.TrimLeft(text, " \t\r\n\f")
@@ -200,7 +200,7 @@
 	}
 }
 
-// skipBlock drops a block comment; such comments nest.
+// skipBlock removes a leading block comment. Block comments nest.
 func skipBlock(text string) string {
 	depth := 0
 	for i := 0; i+1 < len(text); i++ {
@@ -219,7 +219,7 @@
 	return ""
 }
 
-// cutWord splits off the first word in upper case. Dots belong to a word.
+// cutWord splits off the first word and returns it in upper case. Dots are part of a word.
 func cutWord(text string) (word, rest string) {
 	text = skipSpace(text)
 	end := 0
@@ -233,8 +233,8 @@
 	return b == '_' || b == '.' || b >= '0' && b <= '9' || b >= 'a' && b <= 'z' || b >= 'A' && b <= 'Z'
 }
 
-// containsFold reports whether text holds the lower-case ASCII pattern in any
-// case.
+// containsFold reports whether text contains the pattern, ignoring case. The pattern must
+// be lower-case ASCII.
 func containsFold(text, pattern string) bool {
 	for i := 0; i+len(pattern) <= len(text); i++ {
 		if text[i]|0x20 == pattern[0] && strings.EqualFold(text[i:i+len(pattern)], pattern) {
--- a/internal/entry/classify_test.go
+++ b/internal/entry/classify_test.go
@@ -47,7 +47,7 @@
 		"select set_config('a.b', 'c', false)":  true,
 		"select 1; set timezone = 'UTC'":        true,
 		"do $$ begin end $$":                    true,
-		"select ';' as semicolon_in_a_literal ": true, // on the safe side
+		"select ';' as semicolon_in_a_literal ": true, // treated as a second statement
 	} {
 		if got := classify(text).dirty; got != want {
 			t.Errorf("%q: dirty %t", text, got)
--- a/internal/entry/copy.go
+++ b/internal/entry/copy.go
@@ -9,8 +9,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// copyIn passes the caller's data on until the caller ends the copy. With the
-// extended protocol the copy ends with Sync.
+// copyIn forwards the caller's COPY data until the caller ends the copy. With the extended
+// protocol the copy ends with Sync.
 func (r *relay) copyIn() error {
 	if err := r.flushNow(); err != nil {
 		return err
@@ -34,7 +34,7 @@
 		ended := r.endsCopy(msg)
 		if ended || len(out) > flushBytes {
 			if _, err := r.co.conn.Write(out); err != nil {
-				return nil // the next read reports the loss
+				return nil // the next read reports the lost connection
 			}
 			out = out[:0]
 		}
@@ -44,6 +44,7 @@
 	}
 }
 
+// endsCopy reports whether the message is the last one of the copy.
 func (r *relay) endsCopy(msg pgproto3.FrontendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.CopyDone, *pgproto3.CopyFail:
@@ -54,7 +55,7 @@
 	return false
 }
 
-// flushNow sends what is queued to a caller that waits for it.
+// flushNow sends the queued output, which the caller needs before it sends its data.
 func (r *relay) flushNow() error {
 	if r.holding {
 		return r.releaseEarly()
@@ -63,7 +64,7 @@
 	return r.s.conn.Flush()
 }
 
-// receiveCopy reads the next message of a copy. A shutdown does not cut it.
+// receiveCopy reads the next message of a copy. A shutdown does not interrupt a copy.
 func (s *session) receiveCopy() (pgproto3.FrontendMessage, error) {
 	for {
 		msg, err := s.conn.Receive()
--- a/internal/entry/durability.go
+++ b/internal/entry/durability.go
@@ -11,12 +11,11 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// durabilityPause is the wait before a majority's positions are read again.
+// quorumPollInterval is the wait before the flushed positions are read again.
 const quorumPollInterval = time.Millisecond
 
-// majorityWait is a Durability that asks the primary for its own position and
-// those of its replicas. Questions of concurrent callers are batched by the
-// endpoint's monitor.
+// majorityDurability is a Durability that reads from the primary its own position and the
+// flushed positions of its replicas. The endpoint's monitor batches concurrent readings.
 type majorityDurability struct {
 	view view.Source
 	read func(ctx context.Context, endpoint string) (pgback.Status, error)
@@ -50,7 +49,8 @@
 	}
 }
 
-// hasQuorum counts the primary and the members that have flushed lsn.
+// hasQuorum reports whether the primary and the members that have flushed lsn reach the
+// quorum.
 func hasQuorum(group agreed.Group, quorum int, status pgback.Status, lsn uint64) bool {
 	count := 0
 	for _, id := range group.Members {
--- a/internal/entry/extended_test.go
+++ b/internal/entry/extended_test.go
@@ -11,6 +11,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
+// Callers that share connections use the same statement name for different statements. Each
+// must execute its own.
 func TestPreparedStatementsOverPooledConnections(t *testing.T) {
 	f := newFixture(t, fixtureConfig{connections: 4})
 	mustExec(t, f.connect(""), "create table entries (id int primary key, word text)")
@@ -18,7 +20,7 @@
 	var conns []*pgx.Conn
 	for i := range callers {
 		conn := f.connect("")
-		// Every caller uses the same name, half of them for another statement.
+		// All callers use the same name; every other one for a different statement.
 		sql := "insert into entries values ($1, 'even')"
 		if i%2 == 1 {
 			sql = "insert into entries values ($1, 'odd')"
@@ -28,7 +30,7 @@
 		}
 		conns = append(conns, conn)
 	}
-	// Transactions in progress spread the callers over the connections.
+	// The open transactions each occupy a connection, which moves the callers to others.
 	for round := range 3 {
 		for i, conn := range conns {
 			mustExec(t, conn, "file", round*callers+i)
@@ -57,7 +59,7 @@
 	}
 	pg := conn.PgConn()
 	if res := pg.ExecPrepared(testContext(t), "one", nil, nil, nil).Read(); res.Err == nil {
-		t.Error("a closed statement runs")
+		t.Error("a closed statement was executed")
 	}
 	if n := queryInt(t, conn, "select 2"); n != 2 {
 		t.Errorf("got %d", n)
@@ -121,8 +123,8 @@
 	}
 }
 
-// TestFlushAnswersBeforeSync asks for a description without ending the
-// pipeline, as drivers do.
+// TestFlushAnswersBeforeSync requests a description with Flush, as drivers do, before the
+// pipeline goes on. The answers must not wait for Sync.
 func TestFlushAnswersBeforeSync(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -145,7 +147,7 @@
 	}
 }
 
-// expect flushes and reads messages of the given types.
+// expect flushes the frontend and checks that messages of the given types follow.
 func expect(t *testing.T, front *pgproto3.Frontend, types ...string) {
 	t.Helper()
 	if err := front.Flush(); err != nil {
@@ -223,10 +225,10 @@
 	}
 	for range 3 {
 		if got := show(a, "statement_timeout"); got != "4321" {
-			t.Errorf("own setting is %q", got)
+			t.Errorf("own setting is %q, want 4321", got)
 		}
 		if got := show(b, "statement_timeout"); got == "4321" {
-			t.Error("a caller sees the setting of another")
+			t.Error("a session has the setting of another session")
 		}
 		if got := show(b, "timezone"); got != "Asia/Seoul" {
 			t.Errorf("time zone %q", got)
@@ -251,6 +253,6 @@
 		wantCode(t, err, result.UnsupportedFeature)
 	}
 	if n := queryInt(t, conn, "select 1"); n != 1 {
-		t.Error("the session does not go on")
+		t.Error("the session cannot be used after the refusal")
 	}
 }
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -17,13 +17,14 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
+// withdrawKey removes the key of the test callers from the catalog.
 func withdrawKey(s *agreed.State) { delete(s.Catalog.Keys, "crew-1") }
 
 func TestWithdrawnKeyClosesIdleSession(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	f.publish(withdrawKey)
-	// The session ends without a request of the caller.
+	// The session must end without a request from the caller.
 	front := conn.PgConn().Frontend()
 	msg, err := front.Receive()
 	if err != nil {
@@ -34,7 +35,7 @@
 		t.Fatalf("%+v", msg)
 	}
 	if _, err := pgx.Connect(testContext(t), f.url("crew", callerKey, "")); err == nil {
-		t.Error("the key still opens sessions")
+		t.Error("the withdrawn key was accepted at login")
 	}
 }
 
@@ -57,7 +58,7 @@
 	}
 }
 
-// waitHeld waits until a session uses an endpoint connection.
+// waitActive waits until a session uses an endpoint connection.
 func (f *fixture) waitActive() {
 	f.t.Helper()
 	eventually(f.t, "statement sent", func() bool {
@@ -73,6 +74,8 @@
 	})
 }
 
+// Without a valid configuration lease the host may have missed a new primary or a withdrawn
+// key, so it must refuse requests and logins. After a renewal the session goes on.
 func TestExpiredConfigLeaseRefusesRequests(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -88,6 +91,7 @@
 	}
 }
 
+// While the group has no active primary, a write waits until its deadline.
 func TestWriteWaitsWithoutPrimary(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -112,14 +116,15 @@
 		s.Groups[testService] = g
 	})
 	if err := <-done; err != nil {
-		t.Fatalf("the held request: %v", err)
+		t.Fatalf("the waiting request: %v", err)
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 1 {
 		t.Errorf("%d rows", n)
 	}
 }
 
-// A read that cannot learn its position during a failover waits like a write.
+// A read whose required position cannot be determined during a failover must wait, as a write
+// does, rather than be served without a position.
 func TestReadWaitsForUnknownPosition(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	setPhase := func(phase agreed.Phase, term uint64) {
@@ -142,10 +147,12 @@
 	}
 	setPhase(agreed.PhaseActive, 2)
 	if err := <-done; err != nil {
-		t.Fatalf("the held read: %v", err)
+		t.Fatalf("the waiting read: %v", err)
 	}
 }
 
+// The connection is lost after the commit and before the answer: the caller must learn that
+// the outcome is unknown, and the write must not be retried.
 func TestLostAnswerOutcomeUnknown(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -159,6 +166,8 @@
 	}
 }
 
+// A write that the primary has committed and no replica has flushed must not be acknowledged:
+// a failover could lose it.
 func TestWriteWithoutMajorityOutcomeUnknown(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -169,6 +178,8 @@
 	wantCode(t, err, result.OutcomeUnknown)
 }
 
+// A primary is replaced while it executes a write. Its answer must not be relayed, because the
+// write may be missing on the new primary.
 func TestReplacedPrimaryLateAnswerDropped(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -189,6 +200,8 @@
 	f.group.Servers[0].Faults().Stall(false)
 }
 
+// After the entry has rolled a transaction back, later statements of the caller must not run
+// outside the transaction: they are refused until COMMIT or ROLLBACK, which answer ROLLBACK.
 func TestLostTransactionFailedUntilEnd(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -222,7 +235,7 @@
 	_, err := conn.Exec(testContext(t), "select '"+strings.Repeat("x", 2<<20)+"'")
 	wantCode(t, err, result.MessageTooLarge)
 	if n := queryInt(t, f.connect(""), "select 1"); n != 1 {
-		t.Error("the server does not go on")
+		t.Error("the server does not serve other callers")
 	}
 }
 
@@ -249,10 +262,12 @@
 		t.Fatal(err)
 	}
 	if n := queryInt(t, f.connect(""), "select 1"); n != 1 {
-		t.Error("the server does not go on")
+		t.Error("the server does not serve other callers")
 	}
 }
 
+// A client that does not read its answer must be disconnected after the write timeout, so that
+// it does not hold an endpoint connection.
 func TestClientNotReadingDisconnected(t *testing.T) {
 	f := newFixture(t, fixtureConfig{options: func(o *Options) { o.WriteTimeout = 50 * time.Millisecond }})
 	conn := f.connect("")
@@ -288,7 +303,7 @@
 		t.Fatalf("%v", err)
 	}
 	if n := queryInt(t, conn, "select 1"); n != 1 {
-		t.Error("the session does not go on")
+		t.Error("the session cannot be used after the cancellation")
 	}
 }
 
@@ -316,6 +331,7 @@
 	}
 }
 
+// Callers without a key may read, and no statement may undo the read-only setting.
 func TestOpenWorkspaceReadOnly(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	mustExec(t, f.connect(""), "create table entries (id int primary key)")
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -17,18 +17,19 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// fleet is several entry hosts before one group.
+// fleet is a set of entry hosts in front of one group. The embedded fixture is the first host.
 type fleet struct {
-	// gatherTimeout replaces the default when it is set.
+	// gatherTimeout replaces the default when it is positive.
 	gatherTimeout time.Duration
 	*fixture
 	// other is the second host.
 	other *Server
 	nodes []*peer.Node
-	// stops end the nodes.
+	// stops stop the nodes, in the order of nodes.
 	stops []func()
 }
 
+// newFleet returns a fleet of two hosts with the given replay lag of the replicas.
 func newFleet(t testing.TB, lag time.Duration) *fleet { return newFleetOf(t, 2, lag) }
 
 func newFleetOf(t testing.TB, size int, lag time.Duration) *fleet {
@@ -36,8 +37,8 @@
 	return startFleet(t, &fleet{}, size, lag)
 }
 
-// newPatientFleet returns a fleet whose hosts wait for each other's positions
-// however slow the machine is, so that no read falls back to the primary.
+// newFleetWithLongGather returns a fleet of two hosts that wait so long for each other's
+// positions that no read falls back to the primary on a slow machine.
 func newFleetWithLongGather(t testing.TB) *fleet {
 	t.Helper()
 	return startFleet(t, &fleet{gatherTimeout: time.Minute}, 2, 0)
@@ -80,6 +81,7 @@
 
 func hostName(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
+// peerOptions returns the change of the options that connects host i to the others.
 func (f *fleet) peerOptions(i int) func(*Options) {
 	return func(o *Options) {
 		l := NewPeerLink(f.nodes[i], o.View)
@@ -88,6 +90,8 @@
 	}
 }
 
+// A read through one host must include the writes that the other one has acknowledged, though
+// the replicas lag.
 func TestOwnWritesVisibleThroughOtherHost(t *testing.T) {
 	f := newFleet(t, 150*time.Millisecond)
 	writers := []*pgx.Conn{f.connect(""), f.connectTo(f.other, "")}
@@ -95,12 +99,14 @@
 	for i := range 30 {
 		mustExec(t, writers[i%2], "insert into entries values ($1)", i)
 		if n := queryInt(t, writers[(i+1)%2], "select count(*) from entries"); n != i+1 {
-			t.Fatalf("%d entries are read after %d were acknowledged", n, i+1)
+			t.Fatalf("read %d entries after %d were acknowledged", n, i+1)
 		}
 	}
 	f.waitReplicas(writers[0])
 }
 
+// When the host that acknowledged the writes does not answer, reads must fall back to the
+// primary's position and still include the writes.
 func TestOwnWritesVisibleWithHostDown(t *testing.T) {
 	f := newFleet(t, 150*time.Millisecond)
 	writer, reader := f.connectTo(f.other, ""), f.connect("")
@@ -110,11 +116,13 @@
 	for i := range 10 {
 		mustExec(t, writer, "insert into entries values ($1)", i)
 		if n := queryInt(t, reader, "select count(*) from entries"); n != i+1 {
-			t.Fatalf("%d entries are read after %d were acknowledged", n, i+1)
+			t.Fatalf("read %d entries after %d were acknowledged", n, i+1)
 		}
 	}
 }
 
+// Writes that the workspace has not made must not raise the position that its reads require,
+// which would send them to the primary while the replicas lag.
 func TestOtherWorkspaceWritesKeepReadsOnReplicas(t *testing.T) {
 	f := newFleetWithLongGather(t)
 	conn := f.connect("")
@@ -133,6 +141,7 @@
 	}
 }
 
+// A cancel request that reaches another host must be forwarded to the host of the session.
 func TestCancelThroughOtherHost(t *testing.T) {
 	f := newFleet(t, 0)
 	conn := f.connect("")
--- a/internal/entry/helpers_test.go
+++ b/internal/entry/helpers_test.go
@@ -25,14 +25,15 @@
 )
 
 const (
-	// patience bounds every wait for a condition.
+	// testTimeout bounds every wait of a test.
 	testTimeout  = 60 * time.Second
 	testService  = "ledger"
 	testPassword = "endpoint secret"
 	callerKey    = "key of the crew"
 )
 
-// fixture is an entry server before a group of stand-ins.
+// fixture is an entry server in front of a group of three stand-in endpoints. The agreed state
+// is set by the test.
 type fixture struct {
 	t         testing.TB
 	group     *standin.Group
@@ -45,6 +46,8 @@
 	state agreed.State
 }
 
+// fixtureConfig changes the defaults of a fixture. connections is the service's limit on
+// connections to an endpoint.
 type fixtureConfig struct {
 	standin     func(*standin.Options)
 	options     func(*Options)
@@ -77,6 +80,7 @@
 	return f
 }
 
+// newState returns an agreed state in which the first stand-in is the primary.
 func newState(group *standin.Group, connections int) agreed.State {
 	state := agreed.State{
 		Revision: 1,
@@ -110,7 +114,7 @@
 	return state
 }
 
-// publish changes the agreed state under a lease that does not end.
+// publish changes the agreed state and publishes it with a configuration lease of an hour.
 func (f *fixture) publish(change func(*agreed.State)) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -125,7 +129,7 @@
 	f.publisher.Publish(view.View{State: &next, Settled: next.Revision, ValidUntil: clock.Now().Add(time.Hour)})
 }
 
-// expire ends the configuration lease.
+// expire ends the configuration lease now.
 func (f *fixture) expire() {
 	v := f.publisher.Current()
 	v.ValidUntil = clock.Now()
@@ -142,7 +146,7 @@
 	})
 }
 
-// startHost runs an entry server of its own.
+// startHost runs another entry server on the same agreed state.
 func (f *fixture) startHost(host string, change func(*Options)) *Server {
 	f.t.Helper()
 	opts := Options{
@@ -160,8 +164,7 @@
 	return server
 }
 
-// background runs a task until the test ends or the function that it returns
-// is called.
+// background runs a task until the test ends or stop is called.
 func (f *fixture) background(task func(context.Context) error) (stop func()) {
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
@@ -177,7 +180,7 @@
 	return stop
 }
 
-// url is the address for a workspace; params are added to it.
+// url returns the connection URL of a workspace with additional parameters.
 func (f *fixture) url(workspace, key, params string) string {
 	return urlOf(f.server, workspace, key, params)
 }
@@ -190,6 +193,7 @@
 	return u.String()
 }
 
+// connect opens a session of the workspace crew.
 func (f *fixture) connect(params string) *pgx.Conn {
 	f.t.Helper()
 	return f.connectTo(f.server, params)
@@ -205,7 +209,7 @@
 	return conn
 }
 
-// direct connects to an endpoint without the entry.
+// direct connects to endpoint i without the entry.
 func (f *fixture) direct(i int) *pgx.Conn {
 	f.t.Helper()
 	u := url.URL{
@@ -243,7 +247,7 @@
 	return n
 }
 
-// wantCode checks that err carries a result code and its SQLSTATE.
+// wantCode checks that err has the result code in its message and the matching SQLSTATE.
 func wantCode(t testing.TB, err error, code result.Code) {
 	t.Helper()
 	var pgErr *pgconn.PgError
@@ -259,7 +263,7 @@
 	}
 }
 
-// eventually waits until condition holds.
+// eventually polls until the condition holds and fails the test after testTimeout.
 func eventually(t testing.TB, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(testTimeout)
--- a/internal/entry/identity.go
+++ b/internal/entry/identity.go
@@ -8,20 +8,21 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// identity is whom a session serves.
+// identity is the authenticated caller of a session and the service that it uses.
 type identity struct {
 	workspace string
 	service   string
-	// key is the key that the caller proved to hold; it is empty on open
-	// workspaces.
-	key  note.Key
+	// key is the key that the caller authenticated with; empty for an open workspace.
+	key note.Key
+	// open: the workspace admits callers without a key, for reads only.
 	open bool
 }
 
-// check reports why the identity may not be served under the agreed state.
+// check returns the reason why the identity may not be served under the agreed state, or
+// nil. A key is valid only while the catalog holds it unchanged.
 func (id identity) check(v view.View) error {
 	if v.State == nil {
-		return nil // the lease is checked elsewhere
+		return nil // authorize checks the configuration lease
 	}
 	catalog := &v.State.Catalog
 	ws, ok := catalog.Workspaces[id.workspace]
@@ -43,7 +44,7 @@
 func (id identity) checkKey(catalog *note.Catalog, ws note.Workspace) error {
 	if id.open {
 		if !ws.Open {
-			return result.New(result.KeyWithdrawn, "workspace %q is not open any more", id.workspace)
+			return result.New(result.KeyWithdrawn, "workspace %q is no longer open", id.workspace)
 		}
 		return nil
 	}
@@ -53,7 +54,8 @@
 	return nil
 }
 
-// guard reports why a statement may not be sent now.
+// authorize returns the reason why no statement of the session may be sent now, or nil. A
+// host serves only after every host of the fleet has seen its registration.
 func (s *session) authorize() error {
 	v := s.srv.opts.View.Current()
 	if !v.Valid() {
@@ -61,7 +63,7 @@
 	}
 	host, registered := v.State.Hosts[s.srv.opts.Settings.Host]
 	if registered && host.Registered > v.Settled {
-		return result.New(result.NoConfigLease, "the host is not known to the whole fleet yet")
+		return result.New(result.NoConfigLease, "the registration of the host has not reached the whole fleet yet")
 	}
 	if err := s.identity.check(v); err != nil {
 		return err
--- a/internal/entry/local.go
+++ b/internal/entry/local.go
@@ -6,9 +6,10 @@
 	"github.com/galenabridge/galenabridge/internal/pgfront"
 )
 
+// oidText is the OID of the type text.
 const oidText = 25
 
-// answerLocal answers a unit without an endpoint.
+// answerLocal answers a unit at the entry, without an endpoint.
 func (s *session) answerLocal(u *unit) error {
 	if u.simple {
 		if err := s.runLocal(u.text, u.class, true); err != nil {
@@ -21,7 +22,8 @@
 	})
 }
 
-// localError reports an error of a statement answered at the entry.
+// localError reports an error of a statement answered at the entry. Unless the unit is
+// final, that is, ends with ReadyForQuery, messages are skipped up to Sync.
 func (s *session) localError(err error, final bool) error {
 	s.srv.metrics.result(err)
 	if queueErr := s.conn.Queue(pgfront.ErrorMessage(err, pgfront.Error)); queueErr != nil {
@@ -34,8 +36,8 @@
 	return s.ready(s.status())
 }
 
-// answerOps answers messages of the extended protocol; execute runs one
-// statement.
+// answerOps answers the messages of a unit of the extended protocol. execute runs one
+// statement and queues its result.
 func (s *session) answerOps(u *unit, execute func(*statement) error) error {
 	for _, o := range u.ops {
 		if err := s.answerOp(o, execute); err != nil {
@@ -83,7 +85,8 @@
 	return s.conn.Queue(showColumns(parseCommand(stmt.query).name))
 }
 
-// runLocal performs a statement and queues its result.
+// runLocal runs a statement at the entry and queues its result. describe adds the row
+// description, which the extended protocol sends separately.
 func (s *session) runLocal(text string, c class, describe bool) error {
 	cmd := parseCommand(text)
 	switch {
@@ -125,7 +128,8 @@
 	}}}
 }
 
-// discard forgets prepared statements, and with DISCARD ALL the settings too.
+// discard removes prepared statements, and with DISCARD ALL also the settings and
+// parameters of the session. The parser reads DEALLOCATE PREPARE x as name "prepare".
 func (s *session) discard(cmd command) error {
 	tag := cmd.verb
 	name := cmd.name
--- a/internal/entry/login.go
+++ b/internal/entry/login.go
@@ -10,7 +10,7 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// reported are the run-time parameters that callers are told of.
+// reportedParams are the run-time parameters reported to callers after login.
 var reportedParams = []pgfront.Parameter{
 	{Name: "server_version", Value: "17.0"},
 	{Name: "server_encoding", Value: "UTF8"},
@@ -22,7 +22,8 @@
 	{Name: "standard_conforming_strings", Value: "on"},
 }
 
-// serve logs a caller in and runs its session.
+// serve logs a caller in and runs its session. At most maxHandshakes logins are in
+// progress at a time; further callers are refused.
 func (s *Server) serve(nc net.Conn) {
 	select {
 	case s.handshakes <- struct{}{}:
@@ -46,7 +47,7 @@
 	s.unregisterSession(session)
 }
 
-// turnAway refuses a caller while too many log in.
+// refuseOverload refuses a caller because too many logins are in progress.
 func (s *Server) refuseOverload(nc net.Conn) {
 	conn, startup, err := pgfront.Accept(nc, s.front)
 	if err != nil {
@@ -61,7 +62,8 @@
 	conn.Refuse(refusal)
 }
 
-// login returns a nil session for a cancel request.
+// login performs the handshake and opens a session. It returns a nil session for a cancel
+// request.
 func (s *Server) login(nc net.Conn) (*session, error) {
 	conn, startup, err := pgfront.Accept(nc, s.front)
 	if err != nil {
@@ -79,6 +81,7 @@
 	return session, nil
 }
 
+// openSession authenticates the caller, registers its session and reports it ready.
 func (s *Server) openSession(conn *pgfront.Conn, startup *pgfront.Startup) (*session, error) {
 	ses := &session{srv: s, conn: conn, key: newSecret(), statements: make(map[string]*statement)}
 	if err := ses.authenticate(startup); err != nil {
@@ -102,7 +105,8 @@
 	return ses, nil
 }
 
-// authenticate checks the key against the agreed state.
+// authenticate verifies the caller's key against the agreed state. An open workspace
+// without keys needs none.
 func (s *session) authenticate(startup *pgfront.Startup) error {
 	v := s.srv.opts.View.Current()
 	if !v.Valid() {
@@ -123,6 +127,7 @@
 	return nil
 }
 
+// candidatesFor returns the workspace's keys, ordered by their ids.
 func candidatesFor(v view.View, workspace string) []scramauth.Candidate {
 	var candidates []scramauth.Candidate
 	for id, key := range v.State.Catalog.Keys {
@@ -134,7 +139,8 @@
 	return candidates
 }
 
-// parameters applies the run-time parameters of the start-up.
+// applyStartupParams applies the run-time parameters of the start-up message. A session of
+// an open workspace ignores database settings.
 func (s *session) applyStartupParams(named map[string]string) error {
 	for name, value := range named {
 		if len(name) > len(paramPrefix) && name[:len(paramPrefix)] == paramPrefix {
@@ -154,7 +160,7 @@
 	return nil
 }
 
-// validName reports whether a parameter's name may stand in a SET statement.
+// validName reports whether a parameter name can be inserted into a SET statement unquoted.
 func validName(name string) bool {
 	for i := range len(name) {
 		if !isWordByte(name[i]) {
--- a/internal/entry/main_test.go
+++ b/internal/entry/main_test.go
@@ -6,5 +6,5 @@
 	"go.uber.org/goleak"
 )
 
-// TestMain fails the package when a test leaves a goroutine behind.
+// TestMain fails the package when a test leaks a goroutine.
 func TestMain(m *testing.M) { goleak.VerifyTestMain(m) }
--- a/internal/entry/marker_sweep.go
+++ b/internal/entry/marker_sweep.go
@@ -8,17 +8,17 @@
 	"github.com/galenabridge/galenabridge/internal/retry"
 )
 
-// Bounds of the deletion of expired markers.
+// Limits of the deletion of expired markers.
 const (
-	// markersPerSweep is the number of markers that a host writes between two
-	// deletions. It is less than markersPerDelete, so that deletion keeps up.
+	// markersPerSweep is the number of markers that a host writes between two deletions.
+	// It is less than markersPerDelete, so that deletion keeps up.
 	markersPerSweep    = 500
 	markersPerDelete   = 1000
 	markerSweepTimeout = 5 * time.Second
 )
 
-// sweepMarkers deletes expired markers now and then, on the primary that the
-// lease is for and beside the requests of callers.
+// sweepMarkers deletes expired markers once every markersPerSweep calls. It runs in the
+// background, on another connection to the primary of the checkout.
 func (s *Server) sweepMarkers(co *checkout) {
 	if s.markers.Add(1)%markersPerSweep != 1 {
 		return
@@ -29,9 +29,9 @@
 		defer cancel()
 		conn, err := member.pool.Acquire(ctx)
 		if err != nil {
-			return // the next sweep makes up for it
+			return // the next sweep retries
 		}
-		// The connection may still have the settings of a session.
+		// The connection may still have the settings of a session, for example read-only.
 		_, err = conn.Query(ctx, "RESET ALL;"+deleteExpired(time.Now()))
 		conn.Session.Settings = ""
 		if err != nil {
@@ -41,6 +41,7 @@
 	})
 }
 
+// deleteExpired returns the statement that deletes up to markersPerDelete expired markers.
 func deleteExpired(now time.Time) string {
 	return fmt.Sprintf("DELETE FROM galenabridge_requests WHERE id IN "+
 		"(SELECT id FROM galenabridge_requests WHERE at < %d LIMIT %d)",
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -10,7 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// timing holds the moments of one request.
+// timing holds the times of one request: its start, its sending to the endpoint and the
+// end of the endpoint's answer. Times that were not reached are zero.
 type timing struct {
 	started  time.Time
 	sent     time.Time
@@ -56,7 +57,7 @@
 	return m
 }
 
-// observe records a request that was sent to an endpoint.
+// observe records the durations of a request. One that was never sent is not recorded.
 func (m *metrics) observe(workspace string, c note.Class, t *timing) {
 	if t.sent.IsZero() {
 		return
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -17,17 +17,17 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Limits that settings do not change.
+// Limits that are not configurable.
 const (
 	loginTimeout  = 10 * time.Second
 	writeTimeout  = 30 * time.Second
 	maxHandshakes = 256
 )
 
-// Durability waits until what a group's primary has written is safe.
+// Durability waits until the writes of a group's primary are durable.
 type Durability interface {
-	// Wait returns the primary's log position, read after the call began, once
-	// a majority of the group's endpoints has it on disk.
+	// Wait returns the primary's log position, read after the call began, once a majority
+	// of the group's endpoints has flushed it to disk.
 	Wait(ctx context.Context, service string, term uint64) (Position, error)
 }
 
@@ -36,13 +36,13 @@
 	Forward(ctx context.Context, host uint32, cancel pgfront.Cancel) error
 }
 
-// Observer receives the states that endpoints report.
+// Observer receives the status of endpoints from their monitors.
 type Observer interface {
 	Observe(service string, s pgback.Status)
 }
 
-// Options configure a Server. Settings and View are required; other ports that
-// are nil get the implementations of this package.
+// Options configure a Server. Settings and View are required; other interfaces that are
+// nil get the implementations of this package.
 type Options struct {
 	Settings   *config.Settings
 	View       view.Source
@@ -51,33 +51,33 @@
 	Router     Router
 	Positions  Positions
 	Durability Durability
-	// Peers asks the other entry hosts for session positions; nil makes reads
-	// wait for the primary's position when there are other hosts.
+	// Peers requests session positions from the other entry hosts. When it is nil and
+	// there are other hosts, reads wait for the primary's position.
 	Peers Peers
-	// GatherTimeout bounds the wait for their answers; zero means the default of
+	// GatherTimeout bounds the wait for the answers of Peers; zero means the default of
 	// package session.
 	GatherTimeout time.Duration
 	// CancelForwarder forwards cancel requests for other hosts; nil drops them.
 	CancelForwarder CancelForwarder
-	// Baseline serves requests in order of arrival and on the primary only, as
-	// a measure for the policies. It replaces the router and positions.
+	// Baseline serves requests in order of arrival and on the primary only, as a baseline
+	// for comparing policies. It replaces the router and positions.
 	Baseline bool
-	// Observers are told each status of the endpoints in use.
+	// Observers receive each status of the endpoints in use.
 	Observers []Observer
-	// Connections returns the cap on connections of this host to an endpoint.
-	// Nil shares the cap of the service evenly among the entry hosts.
+	// Connections returns the limit on this host's connections to an endpoint. Nil divides
+	// the limit of the service evenly among the entry hosts.
 	Connections func(service, endpoint string) int
-	// Slots returns the number of slots of this host at an endpoint, for the
-	// gate that is used when Gate is nil. Nil shares them evenly as well.
+	// Slots returns the number of this host's slots at an endpoint, for the gate that is
+	// used when Gate is nil. Nil divides them evenly as well.
 	Slots func(service, endpoint string) int
 
 	Log        *log.Logger
 	Registerer prometheus.Registerer
-	// WriteTimeout bounds one write to a caller that does not read; zero means
-	// the default of 30 s.
+	// WriteTimeout bounds one write to a caller; zero means the default of 30 s.
 	WriteTimeout time.Duration
 }
 
+// frontConfig returns the configuration of the connections to callers.
 func (o *Options) frontConfig() (pgfront.Config, error) {
 	entry := o.Settings.Entry
 	cfg := pgfront.Config{
@@ -97,7 +97,7 @@
 	}
 	cert, err := tls.LoadX509KeyPair(entry.TLS.Cert, entry.TLS.Key)
 	if err != nil {
-		return cfg, errors.Wrap(err, "certificate for callers")
+		return cfg, errors.Wrap(err, "load the certificate for callers")
 	}
 	cfg.TLS = &tls.Config{Certificates: []tls.Certificate{cert}, MinVersion: tls.VersionTLS12}
 	return cfg, nil
@@ -110,6 +110,7 @@
 	return admit.PolicyFair
 }
 
+// slots returns the function that gives this host's slots at an endpoint.
 func (o *Options) slots() func(service, endpoint string) int {
 	if o.Slots != nil {
 		return o.Slots
--- a/internal/entry/params.go
+++ b/internal/entry/params.go
@@ -9,7 +9,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Names of the parameters that callers set at the start-up or by SET.
+// Names of the parameters that callers set in the start-up message or by SET.
 const (
 	paramClass        = paramPrefix + "class"
 	paramDeadline     = paramPrefix + "deadline"
@@ -23,13 +23,15 @@
 
 // params are the galenabridge parameters of a session.
 type params struct {
-	// class is empty when the workspace's class applies.
+	// class is the requested class; empty when the workspace's class applies.
 	class note.Class
 	// deadline is zero when the default applies.
-	deadline     time.Duration
+	deadline time.Duration
+	// maxStaleness is zero when reads must see the writes of the workspace.
 	maxStaleness time.Duration
-	requestID    string
-	readOnly     bool
+	// requestID applies to the next request that needs a marker.
+	requestID string
+	readOnly  bool
 }
 
 // set changes a parameter; an empty value restores its default.
@@ -94,7 +96,8 @@
 	return "", result.New(result.UnknownSessionParam, "%q", name)
 }
 
-// classRank orders classes by precedence; it is negative for unknown ones.
+// classRank orders the classes by precedence, 0 being the highest. It is negative for
+// unknown classes.
 func classRank(c note.Class) int {
 	switch c {
 	case note.ClassInteractive:
@@ -107,7 +110,7 @@
 	return -1
 }
 
-// parseMillis reads a number of milliseconds, or a number with the unit ms or s.
+// parseMillis parses a number of milliseconds, or a duration whose unit ends in s.
 func parseMillis(value string) (time.Duration, bool) {
 	if value == "" {
 		return 0, true
@@ -137,15 +140,16 @@
 	return false, false
 }
 
-// command is a parsed SET, SHOW or RESET.
+// command is a parsed SET, SHOW, RESET, DEALLOCATE or DISCARD.
 type command struct {
 	verb  string
 	name  string
 	value string
 }
 
-// parseCommand reads "SET [SESSION] name {=|TO} value", "SHOW name" or
-// "RESET name". The value loses its quotes; DEFAULT reads as empty.
+// parseCommand parses "SET [SESSION] name {=|TO} value", "SHOW name", "RESET name" and
+// statements of the same form. The name is returned in lower case and the value unquoted;
+// DEFAULT yields an empty value.
 func parseCommand(text string) command {
 	verb, rest := cutWord(text)
 	name, rest := cutWord(rest)
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -55,9 +55,11 @@
 	}
 }
 
+// Many callers share few connections. An answer or a row of another caller would show as a
+// wrong value in runCaller.
 func TestInterleavedCallersOwnAnswers(t *testing.T) {
 	const callers, rounds = 200, 5
-	// One connection of five is the monitor's.
+	// One of the five connections is the monitor's.
 	f := newFixture(t, fixtureConfig{connections: 5})
 	mustExec(t, f.connect(""), "create table entries (caller int, round int, primary key (caller, round))")
 	var wg sync.WaitGroup
@@ -88,7 +90,8 @@
 	}
 }
 
-// runCaller files entries in transactions and reads them back by value.
+// runCaller inserts entries in transactions and checks that the session reads its own rows and
+// values only.
 func runCaller(t *testing.T, f *fixture, caller, rounds int) error {
 	ctx := testContext(t)
 	conn, err := pgx.Connect(ctx, f.url("crew", callerKey, ""))
@@ -106,7 +109,7 @@
 				return err
 			}
 			if mine != round+1 {
-				return errors.Errorf("caller %d sees %d of its entries in round %d", caller, mine, round)
+				return errors.Errorf("caller %d reads %d of its own entries in round %d", caller, mine, round)
 			}
 			return nil
 		})
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -11,31 +11,30 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// gatherRequest asks for the positions of a service.
+// gatherRequest requests the positions of a service.
 type gatherRequest struct {
 	Service string `cbor:"1,keyasint"`
 }
 
-// cancelMessage carries a caller's cancel request.
+// cancelMessage is a caller's cancel request.
 type cancelMessage struct {
 	ProcessID uint32 `cbor:"1,keyasint"`
 	Secret    []byte `cbor:"2,keyasint"`
 }
 
-// HostNumber returns the number of a host in cancel keys. Two hosts may share
-// a number; cancel requests then go to both.
+// HostNumber returns the number of a host in cancel keys. Two hosts may share a number;
+// cancel requests are then forwarded to both.
 func HostNumber(host string) uint32 {
 	return uint32(xxhash.Sum64String(host) % MaxHostNumbers)
 }
 
-// PeerLink reaches the other entry hosts. It implements Peers and
-// CancelForwarder.
+// PeerLink calls the other entry hosts. It implements Peers and CancelForwarder.
 type PeerLink struct {
 	node *peer.Node
 	view view.Source
 }
 
-// NewPeerLink returns a link over the host's node.
+// NewPeerLink returns a link that uses the host's node.
 func NewPeerLink(node *peer.Node, src view.Source) *PeerLink {
 	return &PeerLink{node: node, view: src}
 }
@@ -70,12 +69,13 @@
 	return nil
 }
 
-// ServePeers answers other entry hosts. It must be called before the node runs.
+// ServePeers registers the handlers for calls of other entry hosts. It must be called
+// before the node runs.
 func (s *Server) ServePeers(node *peer.Node) {
 	peer.OnCall(node, peer.KindGather, func(ctx context.Context, _ peer.Identity, msg gatherRequest) (PositionTable, error) {
 		answer := PositionTable{Incarnation: node.Incarnation()}
 		if s.shared == nil {
-			return answer, errors.New("this host keeps no positions")
+			return answer, errors.New("this host does not track positions")
 		}
 		table, err := s.shared.Snapshot(ctx, msg.Service)
 		answer.Table = table
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -1,6 +1,7 @@
-// Package entry serves callers: it owns their sessions, sends each request to
-// an endpoint and passes the answer back. Limits, admission, routing and
-// session positions are decided behind the small interfaces of this file.
+// Package entry serves callers that speak the PostgreSQL wire protocol: it owns their
+// sessions, sends each request to an endpoint and relays the answer. Limits, admission,
+// routing and session positions are decided by the implementations of the interfaces in
+// this file.
 package entry
 
 import (
@@ -10,7 +11,7 @@
 	"github.com/galenabridge/galenabridge/internal/gate"
 )
 
-// Position is a log position of a service's database group.
+// Position is a log position in the database group of a service.
 type Position struct {
 	// Term is the group's term in which the position was written.
 	Term uint64
@@ -20,16 +21,16 @@
 
 // Limiter enforces the rate and burst of workspaces across the fleet.
 type Limiter interface {
-	// Acquire takes tokens for one statement, waiting until ctx ends. It
-	// returns a result.Error with code RateExceeded when the workspace is over
-	// its rate, or DeadlineInQueue when ctx ends first.
+	// Acquire takes the tokens for one statement and waits for them until ctx ends. It
+	// returns a result.Error with code RateExceeded when the workspace is over its rate,
+	// or DeadlineInQueue when ctx ends first.
 	Acquire(ctx context.Context, workspace string) error
 }
 
 // Gate admits requests to the slots of endpoints.
 type Gate interface {
-	// AcquireSlot waits for a slot. The caller must call leave once the request has
-	// ended. It returns a result.Error with a code for which NotRun holds.
+	// AcquireSlot waits for a slot. The caller must call releaseSlot once the request has
+	// ended. Errors are a result.Error with a code for which NotRun holds.
 	AcquireSlot(ctx context.Context, a gate.SlotRequest) (releaseSlot func(), err error)
 }
 
@@ -39,28 +40,27 @@
 	ReadOnly bool
 	// Min is the position that a replica must have replayed.
 	Min Position
-	// MaxStaleness allows replicas that lag by at most this time, whatever Min
-	// says. Zero asks for Min.
+	// MaxStaleness, when positive, replaces Min: a replica may lag by at most this time.
 	MaxStaleness time.Duration
 	// Exclude lists endpoints that this request has already tried.
 	Exclude []string
 }
 
-// Report tells the router how a request on an endpoint ended.
+// Report is the result of a request on an endpoint, for the router.
 type Report struct {
 	Endpoint string
-	// Began tells that Begin was called for the request.
+	// Began: Begin was called for the request.
 	Began bool
-	// Failed tells that the endpoint could not be reached or was lost.
+	// Failed: the endpoint could not be reached or its connection was lost.
 	Failed bool
-	// Latency is the time of the first answer.
+	// Latency is the time to the first answer; zero when there was none.
 	Latency time.Duration
 }
 
 // Router chooses endpoints.
 type Router interface {
-	// Pick returns an endpoint, or a result.Error with code NoEndpoint or
-	// NoPrimary when none can serve the need now.
+	// Pick returns an endpoint, or a result.Error with code NoEndpoint or NoPrimary when
+	// none can serve the need now.
 	Pick(now time.Time, need Need) (endpoint string, err error)
 	// Begin and End count the requests in progress on an endpoint.
 	Begin(endpoint string)
@@ -69,9 +69,10 @@
 
 // Positions tracks the log positions that callers must be able to read.
 type Positions interface {
-	// Required returns the position that a read of the workspace must see. It
-	// falls back to the primary's current position when it cannot know better.
+	// Required returns the position that a read of the workspace must include. It falls
+	// back to the primary's current position when it cannot determine an earlier one.
 	Required(ctx context.Context, service, workspace string) (Position, error)
-	// RecordAcked records a write that is about to be acknowledged to its caller.
+	// RecordAcked records a write that is about to be acknowledged to its caller. It must
+	// return before the acknowledgement is sent.
 	RecordAcked(service, workspace string, p Position)
 }
--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -14,14 +14,14 @@
 )
 
 const (
-	// positionInbox is the number of messages that wait for a service's task.
+	// positionQueueSize is the number of messages that can wait for a service's task.
 	positionQueueSize = 256
-	// gatherLimit bounds one question to another host. An answer after the
-	// round's time-out still shows that the host lives.
+	// gatherCallTimeout bounds one call to another host. It may exceed the timeout of the
+	// round: a late answer still shows that the host is running.
 	gatherCallTimeout = time.Second
 )
 
-// positionMessage is a message to a service's task.
+// positionMessage is a message to the task of a service.
 type positionMessage interface{ isPositionMessage() }
 
 type readMessage struct {
@@ -45,10 +45,11 @@
 func (statusMessage) isPositionMessage()   {}
 func (snapshotMessage) isPositionMessage() {}
 
-// errStopped reports that the server has ended.
-var errStopped = errors.New("the server has ended")
+// errStopped is returned to requests that reach a task after the server has stopped.
+var errStopped = errors.New("the server has stopped")
 
-// positionTask owns the positions of one service.
+// positionTask runs the position state machine of one service. Only its goroutine accesses
+// the fields after done; others send messages through post.
 type positionTask struct {
 	shared  *SharedPositions
 	service string
@@ -56,13 +57,15 @@
 	done    chan struct{}
 
 	machine *pos.Service
-	reads   map[uint64]chan readResult
+	// reads holds the reply channels of the unresolved reads by id.
+	reads map[uint64]chan readResult
 	// replicas holds the last status of each endpoint.
 	replicas map[string]pgback.Status
-	// seen identifies the view that the machine knows.
+	// seen identifies the last view passed to the machine.
 	seen struct{ revision, settled uint64 }
+	// term is the last term in which the group was active.
 	term uint64
-	// floor is the replayed position that the machine knows.
+	// replayed is the last position reported to the machine as replayed by all replicas.
 	replayed pos.Position
 }
 
@@ -77,8 +80,9 @@
 	}
 }
 
-// positionConfig lets a round begin as soon as the last one has ended: rounds
-// are paced by their round trip, and reads that arrive meanwhile share the next.
+// positionConfig returns the configuration of the state machine. A round starts as soon as
+// the previous one has ended: rounds are paced by their round-trip time, and reads that
+// arrive during a round share the next one.
 func positionConfig(gatherTimeout time.Duration) pos.Config {
 	cfg := pos.DefaultConfig()
 	cfg.Interval = 0
@@ -88,7 +92,8 @@
 	return cfg
 }
 
-// post passes a message to the task in order.
+// post sends a message to the task. Messages are handled in order. It blocks while the
+// queue is full, until ctx ends or the task has stopped.
 func (t *positionTask) post(ctx context.Context, m positionMessage) error {
 	select {
 	case t.inbox <- m:
@@ -100,6 +105,7 @@
 	}
 }
 
+// run handles messages until ctx ends, then fails all unresolved reads.
 func (t *positionTask) run(ctx context.Context) {
 	defer close(t.done)
 	timer := time.NewTimer(time.Hour)
@@ -140,7 +146,7 @@
 	}
 }
 
-// refresh passes a changed view on.
+// refresh passes a changed view to the machine.
 func (t *positionTask) refresh(ctx context.Context) {
 	v := t.shared.view.Current()
 	if v.State == nil || t.seen.revision == v.State.Revision && t.seen.settled == v.Settled {
@@ -150,6 +156,8 @@
 	t.step(ctx, t.sessionView(v))
 }
 
+// sessionView converts the view for the machine. While the group is not active, the term
+// stays that of the last active one.
 func (t *positionTask) sessionView(v view.View) pos.View {
 	group := v.State.Groups[t.service]
 	if group.Phase == agreed.PhaseActive {
@@ -164,6 +172,7 @@
 	return out
 }
 
+// step passes an event to the machine and carries out the effects.
 func (t *positionTask) step(ctx context.Context, event pos.Event) {
 	for _, effect := range t.machine.Step(time.Now(), event) {
 		switch effect := effect.(type) {
@@ -195,7 +204,8 @@
 	}
 }
 
-// ask asks one host; no answer is as good as a late one.
+// requestTable requests the table of one host. An error is ignored: the machine treats a
+// missing answer like a late one.
 func (t *positionTask) requestTable(ctx context.Context, round uint64, host string) {
 	if t.shared.peers == nil {
 		return
@@ -210,8 +220,9 @@
 	_ = t.post(ctx, eventMessage{reply})
 }
 
-// askPrimary reads the position of the primary. It counts only if the host may
-// act on the same term when the answer arrives.
+// readPrimaryPosition reads the position of the primary. It is valid only if the host may
+// still act on the same term when the answer arrives: a replaced primary may lag behind
+// acknowledged writes.
 func (t *positionTask) readPrimaryPosition(ctx context.Context, round uint64) {
 	answer := pos.PrimaryPosition{Round: round}
 	if state := t.shared.view.Current().State; state != nil {
@@ -226,7 +237,9 @@
 	_ = t.post(ctx, eventMessage{answer})
 }
 
-// observe tells the machine what all replicas have replayed.
+// observe records the status of an endpoint and reports to the machine the lowest position
+// that all replicas have replayed, when it has advanced. A replica without a status on the
+// group's timeline prevents the report.
 func (t *positionTask) observe(ctx context.Context, s pgback.Status) {
 	t.replicas[s.Endpoint] = s
 	v := t.shared.view.Current()
--- a/internal/entry/positions.go
+++ b/internal/entry/positions.go
@@ -12,30 +12,30 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Peers asks other entry hosts.
+// Peers calls the other entry hosts.
 type Peers interface {
-	// Gather returns the positions that a host has acknowledged in a service,
+	// Gather returns the positions of the writes that a host has acknowledged in a service,
 	// read after the call began.
 	Gather(ctx context.Context, host, service string) (PositionTable, error)
 }
 
 // PositionTable is a host's answer to Gather.
 type PositionTable struct {
-	// Incarnation is that of the process that answered.
+	// Incarnation identifies the process that answered.
 	Incarnation uint64    `cbor:"1,keyasint"`
 	Table       pos.Table `cbor:"2,keyasint"`
 }
 
-// SharedPositions is a Positions that gathers from all entry hosts. It is also
-// an Observer of the endpoints' states.
+// SharedPositions is a Positions that gathers the positions of all entry hosts. It is also
+// an Observer of the endpoints' status. Each service has its own task, started on first use.
 type SharedPositions struct {
 	view  view.Source
 	self  string
 	peers Peers
-	// current reads the position of an endpoint that is a primary.
+	// primaryStatus reads the position of an endpoint that is a primary.
 	primaryStatus func(ctx context.Context, endpoint string) (pgback.Status, error)
 
-	// gatherTimeout replaces the default when it is set.
+	// gatherTimeout replaces the default when it is positive.
 	gatherTimeout time.Duration
 
 	lastID atomic.Uint64
@@ -54,7 +54,7 @@
 	}
 }
 
-// run lets the tasks of the services work until ctx ends.
+// run starts the tasks of the services and waits until ctx ends and all have returned.
 func (p *SharedPositions) run(ctx context.Context) {
 	p.mu.Lock()
 	p.ctx = ctx
@@ -69,7 +69,7 @@
 	p.running.Wait()
 }
 
-// start runs a task. The caller holds the lock.
+// start starts a task unless the server has stopped. The caller holds mu.
 func (p *SharedPositions) start(t *positionTask) {
 	if p.ended {
 		return
@@ -82,7 +82,7 @@
 	}()
 }
 
-// task returns the task of a service.
+// task returns the task of a service and creates it on first use.
 func (p *SharedPositions) task(service string) *positionTask {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -97,7 +97,7 @@
 	return t
 }
 
-// Required implements Positions.
+// Required implements Positions. A read that is given up is cancelled in the state machine.
 func (p *SharedPositions) Required(ctx context.Context, service, workspace string) (Position, error) {
 	t := p.task(service)
 	read := readMessage{
@@ -116,24 +116,25 @@
 	}
 }
 
-// RecordAcked implements Positions. The position is known to later answers to Gather
-// once it returns.
+// RecordAcked implements Positions. Every answer to Gather that begins after it has returned
+// includes the position, because the task handles messages in order.
 func (p *SharedPositions) RecordAcked(service, workspace string, position Position) {
 	event := pos.Acked{Workspace: workspace, Position: pos.Position(position)}
-	_ = p.task(service).post(context.Background(), eventMessage{event}) // fails only at the end of the server
+	// post fails only after the server has stopped.
+	_ = p.task(service).post(context.Background(), eventMessage{event})
 }
 
 // Observe implements Observer.
 func (p *SharedPositions) Observe(service string, s pgback.Status) {
 	ctx, cancel := context.WithTimeout(context.Background(), observeTimeout)
 	defer cancel()
-	_ = p.task(service).post(ctx, statusMessage{s}) // a later status makes up for it
+	_ = p.task(service).post(ctx, statusMessage{s}) // the next status replaces a lost one
 }
 
-// observeTimeout bounds how long a status waits for the service's task.
+// observeTimeout bounds the wait of a status for the queue of the service's task.
 const observeTimeout = 100 * time.Millisecond
 
-// Snapshot returns this host's table of a service.
+// Snapshot returns this host's own table of acknowledged positions in a service.
 func (p *SharedPositions) Snapshot(ctx context.Context, service string) (pos.Table, error) {
 	m := snapshotMessage{reply: make(chan pos.Table, 1)}
 	if err := p.task(service).post(ctx, m); err != nil {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -11,50 +11,57 @@
 )
 
 const (
-	// flushSize is the output in bytes from which rows are passed on.
+	// flushBytes is the size of the queued output from which it is sent to the caller.
 	flushBytes = 32 << 10
-	// holdSize bounds the output in bytes that is held back until a write is
-	// safe; past it the wait takes place in the middle of the answer.
+	// maxHeldBytes bounds the output that is held back until a write is durable. A larger
+	// answer waits for durability before its end and is then streamed.
 	maxHeldBytes = 4 << 20
 )
 
-// SQLSTATEs of a replica that has provably not run a statement.
+// SQLSTATEs with which a replica reports that it has not run a statement.
 const (
 	sqlstateReadOnly = "25006"
-	// stateRecovery: a function cannot run during recovery.
+	// sqlstateInRecovery: a function cannot run during recovery.
 	sqlstateInRecovery = "55000"
-	// stateConflict: the statement conflicts with the replay of the log.
+	// sqlstateConflict: the statement conflicts with the replay of the log.
 	sqlstateConflict = "40001"
 )
 
-// relay passes the answer to one unit from the endpoint to the caller.
+// relay relays the answer to one unit from the endpoint to the caller. Once a statement
+// that may have written has completed, the output from its completion on is held back: it is
+// sent only after the write is durable and the term still holds, and is dropped otherwise.
 type relay struct {
 	s     *session
 	co    *checkout
 	u     *unit
 	class unitClass
 	plan  plan
-	// within tells that a transaction was in progress before the unit.
+	// inTransaction: a transaction was in progress before the unit.
 	inTransaction bool
-	// marker is the row that the transaction opened for the unit holds, or nil.
+	// marker is the marker row written by the transaction that was opened for the unit, or
+	// nil.
 	marker *marker
-	// request is what is known of the unit's fate.
+	// request tracks what is known of the unit's outcome.
 	request retry.Request
 	// sent is when the unit was sent.
-	sent   time.Time
+	sent time.Time
+	// writer receives the result of a write that runs concurrently with the answer; nil
+	// when the unit was written before.
 	writer chan error
-	// mark is the queue's length before the first answer that is held back.
+	// heldFrom is the length of the output queue before the first message that is held back.
 	heldFrom int
 	holding  bool
-	// wrote tells that a statement completed that may have written.
+	// mayHaveWritten: a statement completed that may have written.
 	mayHaveWritten bool
 	// answered counts the answers before the one to Sync.
 	answered int
-	failed   bool
-	tag      []byte
+	// failed: the endpoint reported an error.
+	failed bool
+	// tag is the tag of the last completed statement.
+	tag []byte
 }
 
-// run reads until the unit is answered.
+// run relays messages until the unit is answered or must be sent to another endpoint.
 func (r *relay) run() (attemptOutcome, error) {
 	for {
 		msg, err := r.co.conn.Receive()
@@ -86,7 +93,7 @@
 	}
 }
 
-// relayMessage passes on one message that does not end the unit.
+// relayMessage relays one message that does not end the unit.
 func (r *relay) relayMessage(msg pgproto3.BackendMessage) error {
 	switch msg := msg.(type) {
 	case *pgproto3.ParseComplete:
@@ -105,12 +112,12 @@
 		r.answered++
 		return r.commandComplete(msg)
 	case *pgproto3.NotificationResponse:
-		return nil // LISTEN is not served
+		return nil // LISTEN is not supported
 	}
 	return r.pass(msg)
 }
 
-// pass queues a message for the caller and sends what has gathered.
+// pass queues a message for the caller and sends the queue once it is large enough.
 func (r *relay) pass(msg pgproto3.BackendMessage) error {
 	if err := r.s.conn.Queue(msg); err != nil {
 		return err
@@ -126,9 +133,11 @@
 	return nil
 }
 
+// parseComplete matches the answer with the next Parse of the plan and records the
+// statement. The answer to an injected Parse is not relayed.
 func (r *relay) parseComplete() error {
 	if len(r.plan.parses) == 0 {
-		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.co.endpoint)
+		return result.New(result.OutcomeUnknown, "endpoint %s sent an unexpected answer to Parse", r.co.endpoint)
 	}
 	a := r.plan.parses[0]
 	r.plan.parses = r.plan.parses[1:]
@@ -140,9 +149,10 @@
 	return r.pass(&pgproto3.ParseComplete{})
 }
 
+// closeComplete matches the answer with the next Close of the plan, as parseComplete does.
 func (r *relay) closeComplete() error {
 	if len(r.plan.closes) == 0 {
-		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.co.endpoint)
+		return result.New(result.OutcomeUnknown, "endpoint %s sent an unexpected answer to Close", r.co.endpoint)
 	}
 	a := r.plan.closes[0]
 	r.plan.closes = r.plan.closes[1:]
@@ -155,8 +165,8 @@
 	return r.pass(&pgproto3.CloseComplete{})
 }
 
-// complete handles the end of a statement, and holds it back when it may have
-// written.
+// commandComplete relays the end of a statement. From the first statement that may have
+// written on, the output is held back.
 func (r *relay) commandComplete(msg *pgproto3.CommandComplete) error {
 	r.tag = append(r.tag[:0], msg.CommandTag...)
 	r.s.srv.countRead(r.class, r.co)
@@ -170,7 +180,7 @@
 	return r.pass(msg)
 }
 
-// harmlessTag reports whether the statement cannot have committed a write.
+// cannotHaveWritten reports whether a statement with the tag cannot have committed a write.
 func cannotHaveWritten(tag []byte) bool {
 	for _, verb := range []string{"BEGIN", "START TRANSACTION", "ROLLBACK", "SET", "RESET", "SHOW", "SAVEPOINT"} {
 		if string(tag) == verb {
@@ -180,7 +190,8 @@
 	return false
 }
 
-// keep is the length of the queue that may be passed on whatever happens.
+// safeLength returns the length of the queued output that may be sent even if the write
+// turns out not to be durable.
 func (r *relay) safeLength() int {
 	if r.holding {
 		return r.heldFrom
@@ -188,7 +199,8 @@
 	return r.s.conn.Queued()
 }
 
-// releaseEarly waits in the middle of a large answer.
+// releaseEarly waits for durability before the end of the answer and sends the output held
+// back so far.
 func (r *relay) releaseEarly() error {
 	if err := r.acknowledge(); err != nil {
 		return err
@@ -198,8 +210,8 @@
 	return r.s.conn.Flush()
 }
 
-// runsElsewhere reports whether the error proves that a read has not run on a
-// replica and the primary may run it.
+// primaryMayRun reports whether the error proves that a read has not run on a replica, so
+// that the primary may run it. Nothing of the answer may have been sent yet.
 func (r *relay) primaryMayRun(msg *pgproto3.ErrorResponse) bool {
 	switch msg.Code {
 	case sqlstateReadOnly, sqlstateInRecovery, sqlstateConflict:
@@ -210,7 +222,7 @@
 	return !r.co.primary && !declared && r.class.kind == kindRead && !r.request.InTransaction && !r.request.Streamed
 }
 
-// moveToPrimary drops the rest of the answer.
+// discardForPrimary discards the rest of the answer, so that the unit runs on the primary.
 func (r *relay) discardForPrimary() (attemptOutcome, error) {
 	for {
 		msg, err := r.co.conn.Receive()
@@ -228,8 +240,8 @@
 	return outcomeRetryPrimary, nil
 }
 
-// returnLease gives the connection back after the endpoint reported that it is
-// idle.
+// returnCheckout returns the connection after the endpoint has reported that it is idle. It
+// waits for a concurrent write first.
 func (r *relay) returnCheckout() {
 	co := r.s.checkout
 	if co.latency == 0 {
@@ -240,8 +252,8 @@
 	r.s.release(co, reusable)
 }
 
-// endSegment ends a unit that ended with Flush; the connection stays with the
-// session until Sync.
+// endSegment ends a unit that ended with Flush. The session keeps the connection until
+// Sync.
 func (r *relay) endSegment() error {
 	if r.failed {
 		r.s.skipToSync = true
@@ -255,7 +267,9 @@
 	return r.s.conn.Flush()
 }
 
-// ready ends the unit with the endpoint's transaction state.
+// ready ends the unit with the endpoint's transaction state. Outside a transaction the
+// connection is returned, and a unit that may have written is answered only after the write
+// is durable in a term that still holds.
 func (r *relay) ready(status byte) (attemptOutcome, error) {
 	s := r.s
 	if r.marker != nil {
@@ -290,7 +304,7 @@
 	return outcomeAnswered, s.ready(txIdle)
 }
 
-// recordSettings keeps SET statements that have taken effect.
+// recordSettings records SET statements in the session once their transaction has committed.
 func (r *relay) recordSettings(status byte) {
 	s := r.s
 	if r.class.kind == kindSet && !r.failed {
--- a/internal/entry/replica_test.go
+++ b/internal/entry/replica_test.go
@@ -13,7 +13,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// waitReplicas waits until reads of a caller are served by a replica.
+// waitReplicas waits until a replica has served a read of the caller.
 func (f *fixture) waitReplicas(conn *pgx.Conn) {
 	f.t.Helper()
 	eventually(f.t, "a replica serves reads", func() bool {
@@ -22,7 +22,7 @@
 	})
 }
 
-// reads returns the number of reads that endpoints of a role served.
+// reads returns the number of reads served by endpoints of a role.
 func (f *fixture) reads(role string) int {
 	f.t.Helper()
 	families, err := f.registry.Gather()
@@ -42,6 +42,8 @@
 	return 0
 }
 
+// Reads of a workspace are served by replicas and must include all its acknowledged writes, in
+// any session and also while the replicas lag.
 func TestReplicaReadsSeeOwnWrites(t *testing.T) {
 	for name, lag := range map[string]time.Duration{"no lag": 0, "lag": 200 * time.Millisecond} {
 		t.Run(name, func(t *testing.T) {
@@ -55,7 +57,7 @@
 				mustExec(t, writer, "insert into entries values ($1)", i)
 				for _, reader := range []*pgx.Conn{writer, early, f.connect("")} {
 					if n := queryInt(t, reader, "select count(*) from entries"); n != i+1 {
-						t.Fatalf("%d entries are read after %d were acknowledged", n, i+1)
+						t.Fatalf("read %d entries after %d were acknowledged", n, i+1)
 					}
 				}
 			}
@@ -64,6 +66,8 @@
 	}
 }
 
+// A query that writes looks like a read. A replica refuses it, and it must then run on the
+// primary exactly once.
 func TestWritingQueryRunsOnceOnPrimary(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -128,6 +132,7 @@
 	}
 }
 
+// After a replica is killed, no read of the caller may fail.
 func TestReadRetriesOnOtherEndpoint(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -138,6 +143,8 @@
 	}
 }
 
+// Replicas stall without closing their connections. Reads in progress must be interrupted and
+// retried on the primary rather than wait for their deadline.
 func TestReadMovesFromUnresponsiveReplica(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -145,7 +152,7 @@
 	for _, s := range f.group.Servers[1:] {
 		s.Faults().Stall(true)
 	}
-	// The replicas look healthy until their monitors time out.
+	// The router uses the replicas until their monitors time out.
 	for range 20 {
 		queryInt(t, conn, "select count(*) from records")
 	}
@@ -173,7 +180,7 @@
 			t.Fatal(err)
 		}
 		if id == "ledger-2" {
-			t.Fatal("an endpoint in a domain that is out was read")
+			t.Fatal("an endpoint in a failure domain that is out served a read")
 		}
 	}
 }
--- a/internal/entry/request_id.go
+++ b/internal/entry/request_id.go
@@ -16,26 +16,27 @@
 	"github.com/galenabridge/galenabridge/internal/retry"
 )
 
-// createMarkers makes the table of request ids. The column "at" holds Unix
-// time in milliseconds by the clock of the entry host.
+// createMarkerTable creates the table of request ids. The column "at" holds Unix time in
+// milliseconds by the clock of the entry host.
 const createMarkerTable = "CREATE TABLE IF NOT EXISTS galenabridge_requests " +
 	"(id text PRIMARY KEY, digest text NOT NULL, at bigint NOT NULL); " +
 	"CREATE INDEX IF NOT EXISTS galenabridge_requests_at ON galenabridge_requests (at)"
 
-// SQLSTATEs that the insertion of a marker meets.
+// SQLSTATEs of the insertion of a marker.
 const (
 	sqlstateUniqueViolation = "23505"
 	sqlstateUndefinedTable  = "42P01"
 )
 
-// marker is the row that a request with an id writes in its own transaction.
+// marker is the row that a request with an id writes in its own transaction. The row exists
+// if and only if the request has committed, until it expires.
 type marker struct {
 	id     string
 	digest retry.Digest
 }
 
-// takeMarker returns the marker for the next request and uses the request id
-// up, or nil when there is none. What is declared read-only needs no marker.
+// takeMarker returns the marker for the next request and consumes the request id, or returns
+// nil when there is none. Requests declared read-only need no marker.
 func (s *session) takeMarker(u *unit, uc unitClass) (*marker, error) {
 	id := s.params.requestID
 	if id == "" || !uc.executes || s.readOnly() {
@@ -57,13 +58,13 @@
 	return &marker{id: markerID(s.identity.workspace, id), digest: u.digest()}, nil
 }
 
-// markerID names a workspace's request. No two pairs share a name: a slash in
-// the workspace is escaped.
+// markerID returns the id of a workspace's marker. It is unique for each pair, because a
+// slash in the workspace is escaped.
 func markerID(workspace, requestID string) string {
 	return url.PathEscape(workspace) + "/" + requestID
 }
 
-// digest identifies the unit's statements and parameters.
+// digest returns the digest of the unit's statements and parameters.
 func (u *unit) digest() retry.Digest {
 	parts := [][]byte{u.data}
 	for _, o := range u.ops {
@@ -74,12 +75,13 @@
 	return retry.DigestOf(parts...)
 }
 
-// text returns the digest in hexadecimal.
+// hexDigest returns the digest in hexadecimal.
 func (m *marker) hexDigest() string { return fmt.Sprintf("%x", m.digest[:]) }
 
-// begin opens a transaction on the lease and writes the marker. It returns a
-// result.Error with code RequestAlreadyDone or RequestIDReused when the request
-// has run, and an error of the transport when the connection is lost.
+// begin opens a transaction on the connection with the statement open and writes the marker.
+// It returns a result.Error with code RequestAlreadyDone or RequestIDReused when the request
+// has run, and a transport error when the connection is lost. It retries after it has created
+// a missing table or deleted an expired marker.
 func (m *marker) begin(ctx context.Context, co *checkout, open string) error {
 	insert := fmt.Sprintf("%s; INSERT INTO galenabridge_requests (id, digest, at) VALUES (%s, '%s', %d)",
 		open, quoteLiteral(m.id), m.hexDigest(), time.Now().UnixMilli())
@@ -88,14 +90,14 @@
 		if err == nil {
 			return nil
 		}
-		var refused *pgback.ServerError
-		if !errors.As(err, &refused) {
+		var serverErr *pgback.ServerError
+		if !errors.As(err, &serverErr) {
 			return err
 		}
 		if _, err := co.conn.Query(ctx, "ROLLBACK"); err != nil {
 			return err
 		}
-		switch refused.Code {
+		switch serverErr.Code {
 		case sqlstateUndefinedTable:
 			if _, err := co.conn.Query(ctx, createMarkerTable); err != nil {
 				return err
@@ -105,13 +107,14 @@
 				return err
 			}
 		default:
-			return result.New(result.NoPrimary, "the marker of the request id cannot be written: %v", refused)
+			return result.New(result.NoPrimary, "the marker of the request id cannot be written: %v", serverErr)
 		}
 	}
 	return result.New(result.NoPrimary, "the marker of the request id cannot be written")
 }
 
-// check reads the marker that is in the way. An expired one is deleted.
+// checkExisting reads the existing marker with the same id. It returns an error when that
+// one is still valid, and deletes it when it has expired.
 func (m *marker) checkExisting(ctx context.Context, co *checkout) error {
 	rows, err := co.conn.Query(ctx, "SELECT digest, at FROM galenabridge_requests WHERE id = "+quoteLiteral(m.id))
 	if err != nil {
@@ -135,11 +138,13 @@
 	return err
 }
 
+// quoteLiteral returns the text as an SQL string literal.
 func quoteLiteral(text string) string {
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
-// sendMarked runs a unit outside a transaction together with its marker.
+// sendWithMarker runs a unit that is outside a transaction, together with its marker, in a
+// transaction of its own.
 func (s *session) sendWithMarker(ctx context.Context, u *unit, uc unitClass, timing *timing, m *marker) (attemptOutcome, error) {
 	co := s.checkout
 	open := "BEGIN"
@@ -165,7 +170,7 @@
 	return s.sendUnit(u, uc, timing, m)
 }
 
-// alreadyDone refuses a request that has run once what it wrote is safe.
+// refuseAlreadyDone refuses a request that has run before, once its write is durable.
 func (s *session) refuseAlreadyDone(u *unit, refusal error) error {
 	co := s.checkout
 	r := &relay{s: s, co: co}
@@ -176,14 +181,13 @@
 	return s.refuse(refusal, u.sync)
 }
 
-// giveBack returns the session's lease.
+// returnCheckout releases the session's checkout.
 func (s *session) returnCheckout(co *checkout, reusable bool) {
 	s.checkout = nil
 	s.release(co, reusable)
 }
 
-// answerBegin tells the caller that the transaction which holds the marker is
-// open.
+// answerBegin reports to the caller that the transaction with the marker is open.
 func (s *session) answerBegin(u *unit, co *checkout) error {
 	s.setTransaction(co, true)
 	tag := &pgproto3.CommandComplete{CommandTag: []byte("BEGIN")}
@@ -196,8 +200,8 @@
 	return s.answerOps(u, func(*statement) error { return s.conn.Queue(tag) })
 }
 
-// finishMarked ends the transaction that was opened for the marker. It reports
-// the transaction state for the caller.
+// endMarkedTransaction commits the transaction that was opened for the marker, or rolls it
+// back when it has failed. It returns the transaction state for the caller.
 func (r *relay) endMarkedTransaction(status byte) (byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.s.deadline())
 	defer cancel()
@@ -215,18 +219,18 @@
 	return txIdle, nil
 }
 
-// lostCommit answers a unit whose transaction could not be ended: the endpoint
-// refused the commit, or the connection was lost.
+// commitFailed answers a unit whose transaction could not be ended, because the endpoint
+// refused the commit or the connection was lost.
 func (r *relay) commitFailed(err error) (attemptOutcome, error) {
-	var refused *pgback.ServerError
-	if !errors.As(err, &refused) {
+	var serverErr *pgback.ServerError
+	if !errors.As(err, &serverErr) {
 		return r.connectionLost(err)
 	}
 	s := r.s
 	s.conn.Truncate(r.safeLength())
 	s.discardConnection()
 	msg := &pgproto3.ErrorResponse{
-		Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: refused.Code, Message: refused.Message,
+		Severity: "ERROR", SeverityUnlocalized: "ERROR", Code: serverErr.Code, Message: serverErr.Message,
 	}
 	if err := s.conn.Queue(msg); err != nil {
 		return outcomeAnswered, err
--- a/internal/entry/request_id_test.go
+++ b/internal/entry/request_id_test.go
@@ -11,6 +11,7 @@
 	"github.com/galenabridge/galenabridge/internal/retry"
 )
 
+// setRequestID sets the id of the session's next request.
 func setRequestID(t *testing.T, conn *pgx.Conn, id string) {
 	t.Helper()
 	mustExec(t, conn, "set galenabridge.request_id = '"+id+"'")
@@ -39,6 +40,8 @@
 	}
 }
 
+// The marker is written in the transaction of the request. When the request fails, the marker
+// is rolled back too and the id stays free.
 func TestRequestIDReusableAfterFailure(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -58,6 +61,8 @@
 	}
 }
 
+// The answer is lost after the commit. The entry must look up the marker and report that the
+// request has run, and must not run it again.
 func TestRequestIDResolvesLostAnswer(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
@@ -93,13 +98,15 @@
 	}
 }
 
+// Workspaces and request ids may contain slashes. Two pairs with the same marker id would make
+// one workspace's request appear to have run already.
 func TestMarkerIDUniquePerWorkspace(t *testing.T) {
 	pairs := [][2]string{{"a", "b/c"}, {"a/b", "c"}, {"a%2Fb", "c"}, {"a", "b"}, {"", "a/b"}}
 	seen := map[string][2]string{}
 	for _, p := range pairs {
 		id := markerID(p[0], p[1])
 		if other, ok := seen[id]; ok {
-			t.Errorf("%q and %q share the marker %q", p, other, id)
+			t.Errorf("%q and %q have the same marker id %q", p, other, id)
 		}
 		seen[id] = p
 	}
@@ -119,7 +126,7 @@
 	mustExec(t, conn, "insert into entries values (1)")
 	for end := now.Add(testTimeout); queryInt(t, primary, "select count(*) from galenabridge_requests where id = 'old'") != 0; {
 		if time.Now().After(end) {
-			t.Fatal("the expired marker is still there")
+			t.Fatal("the expired marker was not deleted")
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -12,24 +12,26 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// TableRouter is a Router with a routing table for each service. It is also an
-// Observer of the endpoints' states.
+// TableRouter is a Router with a routing table for each service. It is also an Observer of
+// the endpoints' status. It is safe for concurrent use.
 type TableRouter struct {
 	view view.Source
 	cfg  route.Config
 
 	mu       sync.Mutex
 	services map[string]*serviceTable
-	// owners maps endpoints to the service that they belong to.
+	// owners maps each endpoint to the service that it belongs to.
 	owners map[string]string
 }
 
+// serviceTable is the routing table of a service and the revision of the agreed state that
+// it reflects.
 type serviceTable struct {
 	table    *route.Table
 	revision uint64
 }
 
-// NewTableRouter returns a router of a host in the given failure domain.
+// NewTableRouter returns a router for a host in the given failure domain.
 func NewTableRouter(src view.Source, domain string) *TableRouter {
 	return &TableRouter{
 		view: src, cfg: route.DefaultConfig(domain),
@@ -91,7 +93,7 @@
 	})
 }
 
-// table returns the service's table in line with the state.
+// table returns the service's table, updated to the state. The caller holds mu.
 func (r *TableRouter) table(now time.Time, state *agreed.State, service string) *route.Table {
 	s, ok := r.services[service]
 	if !ok {
@@ -108,6 +110,7 @@
 	return s.table
 }
 
+// routeView converts the state of a service's group for package route.
 func routeView(state *agreed.State, service string) route.View {
 	group := state.Groups[service]
 	svc := state.Catalog.Services[service]
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -11,25 +11,24 @@
 	"github.com/galenabridge/galenabridge/internal/retry"
 )
 
-// verdict tells what follows an attempt to run a unit.
+// attemptOutcome is the outcome of an attempt to run a unit.
 type attemptOutcome int
 
 const (
-	// doneHere means that the caller has its answer.
+	// outcomeAnswered: the caller has its answer.
 	outcomeAnswered attemptOutcome = iota
-	// retryPrimary means that the unit provably has not run and goes to the
-	// primary.
+	// outcomeRetryPrimary: the unit has certainly not run; it is sent to the primary.
 	outcomeRetryPrimary
-	// retryOther means that the unit had no effect and goes to another
-	// endpoint.
+	// outcomeRetryOther: the unit had no effect, or its marker will show whether it had; it
+	// is sent to another endpoint.
 	outcomeRetryOther
 )
 
-// writeAside is the size in bytes from which a unit is written while answers
-// are read, so that neither side waits for the other.
+// concurrentWriteBytes is the size from which a unit is written while answers are read.
+// Otherwise both sides could block on full send buffers.
 const concurrentWriteBytes = 32 << 10
 
-// send runs the unit on the session's lease.
+// send runs the unit on the session's checkout.
 func (s *session) send(ctx context.Context, u *unit, uc unitClass, timing *timing, m *marker) (attemptOutcome, error) {
 	if m != nil {
 		return s.sendWithMarker(ctx, u, uc, timing, m)
@@ -37,8 +36,8 @@
 	return s.sendUnit(u, uc, timing, nil)
 }
 
-// sendUnit writes the unit and relays its answer. A unit with a marker runs in
-// the transaction that holds the marker.
+// sendUnit writes the unit and relays its answer. A unit with a marker runs in the
+// transaction that wrote the marker.
 func (s *session) sendUnit(u *unit, uc unitClass, timing *timing, m *marker) (attemptOutcome, error) {
 	co := s.checkout
 	plan, err := u.planFor(&co.conn.Session)
@@ -73,7 +72,8 @@
 	return outcome, err
 }
 
-// limit bounds the wait for an answer, unless the lease was interrupted.
+// setAnswerDeadline bounds the wait for an answer. It does nothing when the session must
+// end, because it would undo the interruption of the connection.
 func (s *session) setAnswerDeadline(co *checkout, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -82,7 +82,8 @@
 	}
 }
 
-// write sends the encoded unit; a large one is written while answers are read.
+// write sends the encoded unit. A large one is written by a goroutine while answers are
+// read.
 func (r *relay) write() error {
 	if len(r.plan.encoded) < concurrentWriteBytes {
 		n, err := r.co.conn.Write(r.plan.encoded)
@@ -101,8 +102,9 @@
 	return nil
 }
 
-// lost answers a unit whose endpoint connection failed before its answer was
-// complete, or makes it run again when that is safe.
+// connectionLost handles a unit whose endpoint connection failed before its answer was
+// complete. The unit is retried when that is safe and the retry budget allows it; otherwise
+// the caller receives an error.
 func (r *relay) connectionLost(cause error) (attemptOutcome, error) {
 	s := r.s
 	if err := s.stopReason(); err != nil && result.CodeOf(err) != result.ShuttingDown {
@@ -127,7 +129,7 @@
 	return outcomeAnswered, s.refuse(err, r.u.sync)
 }
 
-// stopLate cancels a request whose answer did not arrive in time.
+// cancelOnTimeout cancels a request on the endpoint when its answer timed out.
 func (s *session) cancelOnTimeout(co *checkout, cause error) {
 	var netErr net.Error
 	if errors.As(cause, &netErr) && netErr.Timeout() {
@@ -135,7 +137,8 @@
 	}
 }
 
-// lostError is the numbered result for a lost answer.
+// connectionLostError returns the result for a lost answer: nothing was sent, the
+// transaction was rolled back, or the outcome is unknown.
 func (r *relay) connectionLostError(cause error) error {
 	if r.request.Outcome() == retry.NotSent && !r.inTransaction {
 		return result.New(result.RetryBudgetSpent, "endpoint %s: %v", r.co.endpoint, errors.Cause(cause))
@@ -146,7 +149,7 @@
 	return result.New(result.OutcomeUnknown, "endpoint %s: %v", r.co.endpoint, errors.Cause(cause))
 }
 
-// mayEnd reports whether the unit may have ended the transaction.
+// mayEndTransaction reports whether the unit may have ended the transaction.
 func (r *relay) mayEndTransaction() bool {
 	if r.u.simple {
 		return r.u.class.multi
@@ -159,8 +162,9 @@
 	return false
 }
 
-// acknowledge waits until what the unit wrote is safe. The connection has been
-// returned already.
+// acknowledge waits until the unit's writes are durable and records their position. It
+// returns an error with code OutcomeUnknown when that fails or the term has ended by then.
+// It does not use the checkout's connection.
 func (r *relay) acknowledge() error {
 	s := r.s
 	ctx, cancel := context.WithTimeout(context.Background(), s.deadline())
@@ -176,6 +180,7 @@
 	return nil
 }
 
+// termEnded returns the error for a write whose term has ended before its acknowledgement.
 func (r *relay) termEnded() error {
 	return result.New(result.OutcomeUnknown, "term %d of service %s ended before the answer arrived", r.co.term, r.co.service)
 }
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -12,7 +12,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// serve runs one unit and answers it.
+// serve runs one unit, at the entry or on an endpoint, and answers it.
 func (s *session) serve(u *unit) error {
 	started := time.Now()
 	uc := u.classify()
@@ -37,7 +37,8 @@
 	return err
 }
 
-// checkOpen refuses what could lift the read-only setting of an open session.
+// checkOpenWorkspace refuses units that could undo the read-only setting of a session of an
+// open workspace.
 func (s *session) checkOpenWorkspace(u *unit, uc unitClass) error {
 	if !s.identity.open {
 		return nil
@@ -48,6 +49,7 @@
 	return nil
 }
 
+// contains reports whether a statement of the unit contains the lower-case pattern.
 func (u *unit) contains(pattern string) bool {
 	if u.simple {
 		return containsFold(u.text, pattern)
@@ -57,8 +59,8 @@
 	})
 }
 
-// class is the service class in force: the one asked for, unless the
-// workspace's class has less precedence.
+// class returns the effective class: the requested one, but with no higher precedence than
+// the workspace's class.
 func (s *session) class() note.Class {
 	top := note.ClassBulk
 	if state := s.srv.opts.View.Current().State; state != nil {
@@ -72,6 +74,7 @@
 	return top
 }
 
+// slotRequest returns the gate's request for a slot at the endpoint.
 func (s *session) slotRequest(ctx context.Context, endpoint string) gate.SlotRequest {
 	a := gate.SlotRequest{
 		Endpoint: endpoint, Service: s.identity.service, Workspace: s.identity.workspace,
@@ -86,7 +89,8 @@
 	return a
 }
 
-// deadline is the time that a request may wait before it is sent.
+// deadline returns the longest wait of a request before it is sent. It also bounds the wait
+// for the durability of its writes.
 func (s *session) deadline() time.Duration {
 	if s.params.deadline > 0 {
 		return s.params.deadline
@@ -94,8 +98,8 @@
 	return time.Duration(s.srv.opts.Settings.Entry.DefaultDeadline)
 }
 
-// execute sends the unit to an endpoint, another one when it provably has not
-// run, and answers it.
+// execute sends the unit to an endpoint and answers it. Outside a transaction it is sent to
+// another endpoint when that is safe, until the deadline.
 func (s *session) execute(u *unit, uc unitClass, timing *timing) error {
 	ctx, cancel := context.WithTimeout(context.Background(), s.deadline())
 	defer cancel()
@@ -143,12 +147,13 @@
 		}
 		need.Exclude = append(need.Exclude, co.endpoint)
 		if pause(ctx, retryDelay) != nil {
-			return s.refuse(result.New(result.NoEndpoint, "endpoint %s does not answer", co.endpoint), u.sync)
+			return s.refuse(result.New(result.NoEndpoint, "endpoint %s does not respond", co.endpoint), u.sync)
 		}
 	}
 }
 
-// continueOn sends the unit on the lease of the transaction in progress.
+// continueTransaction sends the unit on the checkout of the transaction in progress. Without
+// a valid configuration lease, or in another term, the transaction is rolled back.
 func (s *session) continueTransaction(u *unit, uc unitClass, timing *timing) error {
 	v := s.srv.opts.View.Current()
 	switch err := s.identity.check(v); {
@@ -157,20 +162,21 @@
 	case !v.Valid():
 		return s.refuse(result.New(result.NoConfigLease, "the configuration lease ended; the transaction is rolled back"), u.sync)
 	case s.checkout.primary && !termHolds(v, s.checkout):
-		return s.refuse(result.New(result.EndpointLost, "endpoint %s is not the primary any more", s.checkout.endpoint), u.sync)
+		return s.refuse(result.New(result.EndpointLost, "endpoint %s is no longer the primary", s.checkout.endpoint), u.sync)
 	}
 	_, err := s.sendUnit(u, uc, timing, nil)
 	return err
 }
 
-// waiting makes the wait of a request known to cancel requests.
+// setCancelWait sets the function with which a cancel request ends the wait of the request
+// in progress; nil when none waits.
 func (s *session) setCancelWait(stop func()) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.cancelWait = stop
 }
 
-// need describes the endpoint for a unit outside a transaction.
+// need returns the endpoint requirements of a unit outside a transaction.
 func (s *session) need(uc unitClass) Need {
 	need := Need{Service: s.identity.service}
 	switch uc.kind {
@@ -183,8 +189,8 @@
 	return need
 }
 
-// require sets the position that a read must see. It waits until ctx ends while
-// the position cannot be known, as during a failover.
+// setRequiredPosition sets the position that a read must include. While the position cannot
+// be determined, for example during a failover, it retries until ctx ends.
 func (s *session) setRequiredPosition(ctx context.Context, need *Need, uc unitClass) error {
 	if !need.ReadOnly || need.MaxStaleness > 0 || uc.kind == kindSet {
 		return nil
@@ -206,7 +212,8 @@
 	}
 }
 
-// answerFailed answers a unit after the entry rolled the transaction back.
+// answerFailedTransaction answers a unit after the entry has rolled the transaction back.
+// Only the end of the transaction is accepted.
 func (s *session) answerFailedTransaction(u *unit, uc unitClass) error {
 	if uc.kind == kindRollback || uc.kind == kindCommit {
 		s.failed = false
@@ -237,14 +244,15 @@
 	return s.ready(txFailed)
 }
 
-// firstAttempt counts a request towards the retries that it earns.
+// recordFirstAttempt credits a request to the retry budgets.
 func (s *Server) recordFirstAttempt(workspace, endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.budgets.RecordFirstAttempt(time.Now(), workspace, endpoint)
 }
 
-// mayRetry takes a retry of a request that failed on the endpoint.
+// allowRetry takes a retry from the budgets for a request that failed on the endpoint. It
+// reports false when they are spent.
 func (s *Server) allowRetry(workspace, endpoint string) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -19,7 +19,8 @@
 	"github.com/galenabridge/galenabridge/internal/retry"
 )
 
-// Server serves callers on one address.
+// Server serves callers on one address. mu guards the sessions, their numbers and the retry
+// budgets.
 type Server struct {
 	opts     Options
 	front    pgfront.Config
@@ -32,9 +33,9 @@
 	router     Router
 	positions  Positions
 	durability Durability
-	// shared is the default implementation of positions, or nil.
+	// shared is positions when it is the default implementation, or nil.
 	shared *SharedPositions
-	// number is the host's number in cancel keys.
+	// number is the host number in cancel keys.
 	number uint32
 
 	listener   net.Listener
@@ -42,7 +43,7 @@
 	tasks      sync.WaitGroup
 	draining   atomic.Bool
 
-	// markers counts the request ids that were written.
+	// markers counts the markers written.
 	markers atomic.Uint64
 
 	mu                sync.Mutex
@@ -90,7 +91,7 @@
 	return s, nil
 }
 
-// setPorts fills in ports that are not given.
+// setDefaults sets the interfaces that the options leave nil.
 func (s *Server) setDefaults() {
 	s.limiter, s.gate, s.router = s.opts.Limiter, s.opts.Gate, s.opts.Router
 	s.positions, s.durability = s.opts.Positions, s.opts.Durability
@@ -116,11 +117,11 @@
 	}
 }
 
-// Addr returns the address that callers connect to.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// PrimaryStatus reads the positions of an endpoint that is a primary. The
-// reading begins after the call; concurrent calls share one.
+// PrimaryStatus reads the positions of an endpoint that is a primary. The reading begins
+// after the call; concurrent calls share one reading.
 func (s *Server) PrimaryStatus(ctx context.Context, endpoint string) (pgback.Status, error) {
 	member, err := s.backends.get(endpoint)
 	if err != nil {
@@ -129,8 +130,8 @@
 	return member.monitor.Positions(ctx)
 }
 
-// Run serves callers until ctx ends, then closes their connections. Drain
-// comes first for a graceful shutdown.
+// Run serves callers until ctx ends, then closes their connections. For a graceful shutdown
+// call Drain before ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -155,6 +156,7 @@
 	return err
 }
 
+// spawn runs a task that Run waits for.
 func (s *Server) spawn(task func()) {
 	s.tasks.Add(1)
 	go func() {
@@ -163,6 +165,7 @@
 	}()
 }
 
+// accept accepts callers until the listener is closed.
 func (s *Server) accept(ctx context.Context) error {
 	for {
 		nc, err := s.listener.Accept()
@@ -183,11 +186,11 @@
 	}
 }
 
-// acceptPause is the wait after a failed accept, for example when the process
-// has no file descriptors left.
+// acceptPause is the wait after a failed accept, for example when the process has run out of
+// file descriptors.
 const acceptPause = 50 * time.Millisecond
 
-// watch tells the sessions about changes of the agreed state.
+// watchView applies each change of the agreed state to all sessions.
 func (s *Server) watchView(ctx context.Context) {
 	for {
 		changed := s.opts.View.Changed()
@@ -203,6 +206,7 @@
 	}
 }
 
+// activeSessions returns the registered sessions.
 func (s *Server) activeSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -213,8 +217,8 @@
 	return all
 }
 
-// Drain stops accepting callers and waits until each has ended its request or
-// transaction. Idle callers are told that the host shuts down.
+// Drain stops accepting callers and waits until each has ended its request or transaction.
+// Idle callers are disconnected with code ShuttingDown.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	_ = s.listener.Close()
@@ -238,6 +242,7 @@
 	}
 }
 
+// newSecret returns the random secret of a cancel key.
 func newSecret() []byte {
 	secret := make([]byte, 4)
 	_, _ = rand.Read(secret) // crypto/rand.Read never fails
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -12,20 +12,22 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// resetTimeout bounds the reset of an endpoint connection.
+// resetTimeout bounds the reset of an endpoint connection and the change of its settings.
 const resetTimeout = 5 * time.Second
 
-// maxStatements bounds the prepared statements of one caller.
+// maxStatements is the largest number of prepared statements of one session.
 const maxStatements = 4096
 
-// Transaction states as reported to callers.
+// Transaction states in ReadyForQuery.
 const (
 	txIdle   = 'I'
 	txActive = 'T'
 	txFailed = 'E'
 )
 
-// session serves one caller. Its goroutine owns all fields but those under mu.
+// session serves one caller. Its goroutine owns all fields but those guarded by mu, which
+// cancel requests and changes of the agreed state access from other goroutines. checkout is
+// not nil only while a unit runs, within a transaction, or between Flush and Sync.
 type session struct {
 	srv      *Server
 	conn     *pgfront.Conn
@@ -34,27 +36,32 @@
 	identity identity
 	params   params
 	settings settings
-	// pendingSet holds SET statements of a transaction in progress.
+	// pendingSet holds the SET statements of the transaction in progress, which take effect
+	// when it commits.
 	pendingSet []string
+	// statements holds the prepared statements by the caller's names.
 	statements map[string]*statement
 
-	// lease is held within a transaction or between Flush and Sync.
+	// checkout is the endpoint connection in use, or nil.
 	checkout *checkout
-	// failed tells that a transaction was rolled back by the entry, so that
-	// statements are refused until the caller ends it.
+	// failed: the entry has rolled back the transaction; statements are refused until the
+	// caller ends it.
 	failed bool
-	// skip tells that messages are dropped until Sync.
+	// skipToSync: messages are ignored until Sync, after an error in a pipeline.
 	skipToSync bool
-	// batch collects messages of the extended protocol.
+	// batch collects the messages of the extended protocol up to Flush or Sync.
 	batch *unit
 
-	mu         sync.Mutex
-	active     *checkout
-	reason     error
+	mu sync.Mutex
+	// active is the checkout on which a request may be interrupted or cancelled.
+	active *checkout
+	// reason is why the session must end, or nil.
+	reason error
+	// cancelWait ends the wait of the request in progress, or is nil.
 	cancelWait func()
 }
 
-// run serves requests until the caller leaves or the session must end.
+// run serves requests until the caller disconnects or the session must end.
 func (s *session) run() {
 	err := s.loop()
 	if s.checkout != nil {
@@ -86,7 +93,8 @@
 	}
 }
 
-// boundary ends the session between two statements when it has been told to.
+// checkStop returns the reason to end the session before its next message, or nil. A
+// shutdown does not end a session that is in a transaction or pipeline.
 func (s *session) checkStop() error {
 	reason := s.stopReason()
 	if reason == nil {
@@ -103,6 +111,8 @@
 	return s.checkout != nil || s.batch != nil || s.skipToSync
 }
 
+// receiveError handles an error of Receive. A timeout is the sign of an interruption: the
+// session ends for its stop reason, or goes on when a shutdown has to wait.
 func (s *session) receiveError(err error) error {
 	var netErr net.Error
 	if !errors.As(err, &netErr) || !netErr.Timeout() {
@@ -119,7 +129,7 @@
 	return reason
 }
 
-// handle serves one message.
+// handle processes one message. done reports that the caller has ended the session.
 func (s *session) handle(msg pgproto3.FrontendMessage) (done bool, err error) {
 	switch msg := msg.(type) {
 	case *pgproto3.Terminate:
@@ -133,13 +143,14 @@
 	case *pgproto3.Parse, *pgproto3.Bind, *pgproto3.Describe, *pgproto3.Execute, *pgproto3.Close:
 		return false, s.collect(msg)
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		return false, nil // left over from a COPY that failed
+		return false, nil // the rest of a COPY that failed
 	case *pgproto3.FunctionCall:
 		return false, s.refuse(result.New(result.UnsupportedFeature, "function calls of the wire protocol"), true)
 	}
 	return false, result.New(result.MalformedMessage, "%T is not expected here", msg)
 }
 
+// query serves a simple query. It ends a pipeline without Sync.
 func (s *session) query(text string) error {
 	s.skipToSync = false
 	s.batch = nil
@@ -150,7 +161,7 @@
 	return s.serve(u)
 }
 
-// collect appends a message to the batch.
+// collect appends a message of the extended protocol to the batch.
 func (s *session) collect(msg pgproto3.FrontendMessage) error {
 	if s.skipToSync {
 		return nil
@@ -172,6 +183,7 @@
 	return nil
 }
 
+// sync serves the batch up to Sync. After an error in the pipeline it is an empty unit.
 func (s *session) sync() error {
 	u := s.batch
 	s.batch = nil
@@ -186,6 +198,7 @@
 	return s.serve(u)
 }
 
+// flush serves the batch up to Flush.
 func (s *session) flush() error {
 	u := s.batch
 	s.batch = nil
@@ -195,8 +208,9 @@
 	return s.serve(u)
 }
 
-// refuse answers a request that was not run. A transaction in progress is
-// rolled back, because a part of it was refused.
+// refuse answers a unit with an error. A transaction in progress is rolled back, because a
+// part of it was refused. Unless the unit is final, that is, ends with ReadyForQuery,
+// messages are skipped up to Sync.
 func (s *session) refuse(err error, final bool) error {
 	s.srv.metrics.result(err)
 	if s.checkout != nil {
@@ -213,7 +227,7 @@
 	return s.ready(s.status())
 }
 
-// status is the transaction state as the caller knows it.
+// status returns the transaction state to report to the caller.
 func (s *session) status() byte {
 	switch {
 	case s.failed:
@@ -224,7 +238,7 @@
 	return txIdle
 }
 
-// ready tells the caller that the next request may come.
+// ready sends ReadyForQuery with all queued output.
 func (s *session) ready(status byte) error {
 	if err := s.conn.Queue(&pgproto3.ReadyForQuery{TxStatus: status}); err != nil {
 		return err
@@ -232,7 +246,7 @@
 	return s.conn.Flush()
 }
 
-// abandon closes the endpoint connection, which rolls back a transaction.
+// discardConnection closes the endpoint connection, which rolls back its transaction.
 func (s *session) discardConnection() {
 	co := s.checkout
 	s.checkout = nil
@@ -240,7 +254,7 @@
 	s.release(co, false)
 }
 
-// script is the settings that the session needs on an endpoint connection.
+// script returns the SET statements that the session needs on an endpoint connection.
 func (s *session) script() string {
 	if s.identity.open || s.params.readOnly {
 		return "SET default_transaction_read_only = on;" + s.settings.script
@@ -248,7 +262,7 @@
 	return s.settings.script
 }
 
-// readOnly reports whether the caller declared the session read-only.
+// readOnly reports whether the session is read-only.
 func (s *session) readOnly() bool {
 	return s.identity.open || s.params.readOnly || s.settings.readOnly()
 }
--- a/internal/entry/session_control.go
+++ b/internal/entry/session_control.go
@@ -7,17 +7,19 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// drainGrace is how long an idle session waits for a request that its caller
-// may have sent before the shutdown reaches it.
+// drainGrace is how long an idle session waits during a shutdown for a request that its
+// caller may already have sent.
 const drainGrace = 100 * time.Millisecond
 
-// hold makes a lease known to cancel requests and to changes of the state.
+// setActive makes a checkout accessible to cancel requests and to changes of the agreed
+// state.
 func (s *session) setActive(co *checkout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	s.active = co
 }
 
+// clearActive must precede the return of the connection, which another session may then use.
 func (s *session) clearActive(co *checkout) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -26,21 +28,21 @@
 	}
 }
 
-// setTransaction records whether the endpoint reports a transaction.
+// setTransaction records whether the endpoint reports a transaction in progress.
 func (s *session) setTransaction(co *checkout, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	co.transaction = on
 }
 
-// stopReason returns why the session must end, or nil.
+// stopReason returns the reason why the session must end, or nil.
 func (s *session) stopReason() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.reason
 }
 
-// drain asks the session to end once its caller is idle.
+// drain makes the session end once its caller is idle. It does not replace another reason.
 func (s *session) drain() {
 	s.mu.Lock()
 	if s.reason == nil {
@@ -50,8 +52,9 @@
 	s.conn.Interrupt(drainGrace)
 }
 
-// review applies a change of the agreed state. It is called by the server's
-// task, not by the session's own.
+// applyView applies a change of the agreed state: it terminates the session when its
+// identity is no longer valid, and interrupts a request on a primary whose term has ended.
+// It runs on the server's goroutine.
 func (s *session) applyView(v view.View) {
 	if err := s.identity.check(v); err != nil {
 		s.terminate(err)
@@ -64,15 +67,17 @@
 	}
 }
 
-// sameTerm reports whether the lease's term is still the group's.
+// sameTerm reports whether the checkout's term and primary are still the group's, whether
+// or not the configuration lease is valid.
 func sameTerm(v view.View, co *checkout) bool {
 	return termHolds(view.View{State: v.State, ValidUntil: farFuture}, co)
 }
 
+// farFuture is an end of the configuration lease that is never reached.
 var farFuture = time.Unix(1<<40, 0)
 
-// withdraw ends the session at the next statement boundary and cancels a
-// transaction in progress.
+// terminate ends the session at the next statement boundary and cancels a transaction in
+// progress.
 func (s *session) terminate(reason error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -99,7 +104,7 @@
 	}
 }
 
-// kill ends the session at once.
+// kill ends the session at once and closes the caller's connection.
 func (s *session) kill() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -5,17 +5,17 @@
 	"strings"
 )
 
-// settings are the run-time settings of a session outside galenabridge's own.
-// They are applied anew to each endpoint connection that the session uses.
+// settings are the database run-time settings of a session. They are applied to each
+// endpoint connection that the session uses.
 type settings struct {
-	// statements holds the SET statement for each name.
+	// statements holds the SET statement of each setting by its name. The map is replaced,
+	// never modified.
 	statements map[string]string
-	// script is all statements in order of their names; it identifies the
-	// settings.
+	// script is all statements in order of their names. Equal settings have equal scripts.
 	script string
 }
 
-// skippedSettings are start-up parameters that stay at the entry.
+// skippedSettings are start-up parameters that are not applied to endpoint connections.
 var skippedSettings = map[string]bool{
 	"application_name": true,
 	"client_encoding":  true,
@@ -27,7 +27,7 @@
 	settingCharacteristics = "characteristics"
 )
 
-// record notes that the endpoint accepted a SET or RESET statement.
+// record applies a SET or RESET statement that the endpoint has accepted.
 func (s *settings) record(text string) {
 	cmd := parseCommand(text)
 	next := make(map[string]string, len(s.statements)+1)
@@ -45,7 +45,7 @@
 	s.replace(next)
 }
 
-// add notes a start-up parameter.
+// add applies a start-up parameter.
 func (s *settings) add(name, value string) {
 	if skippedSettings[strings.ToLower(name)] {
 		return
@@ -54,6 +54,7 @@
 	s.record("SET " + name + " = " + quoted)
 }
 
+// replace sets the statements and rebuilds the script.
 func (s *settings) replace(statements map[string]string) {
 	names := make([]string, 0, len(statements))
 	for name := range statements {
@@ -69,7 +70,7 @@
 	s.script = script.String()
 }
 
-// readOnly tells whether the settings make transactions read-only.
+// readOnly reports whether the settings make transactions read-only.
 func (s *settings) readOnly() bool {
 	if text, ok := s.statements[settingDefaultReadOnly]; ok {
 		on, _ := parseBool(parseCommand(text).value)
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -20,7 +20,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// newCertificate writes a self-signed certificate and its key.
+// newCertificate writes a self-signed certificate and its key to temporary files.
 func newCertificate(t *testing.T) *config.TLS {
 	t.Helper()
 	key, err := ecdsa.GenerateKey(elliptic.P256(), rand.Reader)
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// noStatement is a name that no statement has; closing it has no effect.
+	// absentStatement is a name that no statement has; closing it has no effect.
 	absentStatement = "gb_none"
-	// statementDigest is the part of the SHA-256 digest, in bytes, that names a
-	// statement. It resists collisions that a caller could look for.
+	// statementDigestBytes is the length of the SHA-256 prefix that names a statement. It
+	// is long enough that a caller cannot construct collisions.
 	statementDigestBytes = 16
 )
 
 // statement is a prepared statement of a caller. It is immutable.
 type statement struct {
-	// name is derived from the content, so that equal statements of different
-	// callers share one prepared statement on an endpoint connection.
+	// name is derived from the query and its parameter types, so that equal statements of
+	// different callers share one prepared statement on an endpoint connection.
 	name  string
 	query string
 	oids  []uint32
@@ -57,7 +57,7 @@
 // op is one message of the extended protocol.
 type op struct {
 	kind opKind
-	// client is the statement's name as the caller knows it.
+	// clientName is the caller's name of the statement.
 	clientName string
 	// stmt is the statement that the message refers to; nil when unknown.
 	stmt *statement
@@ -66,21 +66,22 @@
 	end   int
 }
 
-// unit is what is sent to an endpoint in one go: a simple query, or messages
-// of the extended protocol up to Sync or Flush.
+// unit is what is sent to an endpoint together: a simple query, or the messages of the
+// extended protocol up to Sync or Flush.
 type unit struct {
-	// simple is set for a simple query, whose class it is.
+	// simple: the unit is a simple query with the given text and class.
 	simple bool
 	text   string
 	class  class
-	ops    []op
-	// data holds the encoded messages.
+	// ops are the messages of the extended protocol, in order.
+	ops []op
+	// data holds the encoded messages, without Sync or Flush.
 	data []byte
-	// sync tells that the unit ends with Sync.
+	// sync: the unit ends with Sync. It is set for a simple query as well.
 	sync bool
 	// portals maps the portals bound in this unit to their statements.
 	portals map[string]*statement
-	// parsed maps the names parsed in this unit to their statements; nil marks
+	// parsed maps the caller's names parsed in this unit to their statements; nil marks
 	// closed ones.
 	parsed map[string]*statement
 }
@@ -94,11 +95,13 @@
 	return &unit{simple: true, sync: true, text: text, class: classify(text), data: data}, nil
 }
 
+// newExtendedUnit returns an empty unit of the extended protocol.
 func newExtendedUnit() *unit {
 	return &unit{portals: make(map[string]*statement), parsed: make(map[string]*statement)}
 }
 
-// lookup finds a statement by the caller's name for it.
+// lookup returns the statement with the caller's name, or nil. Statements of the unit take
+// precedence over those of the session.
 func (u *unit) lookup(name string, session map[string]*statement) *statement {
 	if stmt, ok := u.parsed[name]; ok {
 		return stmt
@@ -106,15 +109,16 @@
 	return session[name]
 }
 
-// add appends a message of the extended protocol.
+// add appends a message of the extended protocol. The caller's statement names are replaced
+// by names derived from the content; Close names no statement, because others may share it.
 func (u *unit) add(msg pgproto3.FrontendMessage, session map[string]*statement) error {
 	switch msg := msg.(type) {
 	case *pgproto3.Parse:
 		stmt := newStatement(msg.Query, msg.ParameterOIDs)
 		u.parsed[msg.Name] = stmt
-		client := msg.Name
+		clientName := msg.Name
 		msg.Name = stmt.name
-		return u.append(op{kind: opParse, clientName: client, stmt: stmt}, msg)
+		return u.append(op{kind: opParse, clientName: clientName, stmt: stmt}, msg)
 	case *pgproto3.Bind:
 		stmt := u.lookup(msg.PreparedStatement, session)
 		u.portals[msg.DestinationPortal] = stmt
@@ -133,14 +137,15 @@
 		if msg.ObjectType == 'P' {
 			return u.append(op{kind: opClosePortal}, msg)
 		}
-		client := msg.Name
-		u.parsed[client] = nil
+		clientName := msg.Name
+		u.parsed[clientName] = nil
 		msg.Name = absentStatement
-		return u.append(op{kind: opCloseStatement, clientName: client}, msg)
+		return u.append(op{kind: opCloseStatement, clientName: clientName}, msg)
 	}
 	return result.New(result.MalformedMessage, "%T is not expected here", msg)
 }
 
+// nameOf returns the name of the statement on endpoint connections.
 func nameOf(stmt *statement) string {
 	if stmt == nil {
 		return absentStatement
@@ -160,20 +165,19 @@
 	return nil
 }
 
-// plan is a unit prepared for one endpoint connection.
+// plan is a unit encoded for one endpoint connection, with the answers that it expects.
 type plan struct {
 	encoded []byte
-	// parses and closes tell, for each answer to Parse and Close in order,
-	// what it answers.
+	// parses and closes hold the expected answers to Parse and Close, each in order.
 	parses []expectedAnswer
 	closes []expectedAnswer
-	// pending is the number of answers before the one to Sync.
+	// pending is the number of answers expected before the one to Sync.
 	pending int
 }
 
-// answer is what an answer of the endpoint stands for.
+// expectedAnswer is the meaning of an expected ParseComplete or CloseComplete.
 type expectedAnswer struct {
-	// injected answers are not passed on to the caller.
+	// injected: the message was added by the entry; its answer is not relayed.
 	injected   bool
 	clientName string
 	stmt       *statement
@@ -181,7 +185,8 @@
 	name string
 }
 
-// planFor adds the messages that prepare missing statements on the connection.
+// planFor encodes the unit for a connection and adds the messages that prepare the
+// statements which the connection lacks.
 func (u *unit) planFor(state *pgback.SessionState) (plan, error) {
 	if u.simple {
 		return plan{encoded: u.data}, nil
@@ -205,17 +210,22 @@
 	return b.plan, err
 }
 
+// planBuilder builds a plan. state is the connection's; statements that the plan closes are
+// removed from it at once, those that it prepares are added when the endpoint confirms them.
 type planBuilder struct {
 	plan  plan
 	state *pgback.SessionState
-	// known holds the statements that earlier messages of the unit prepare.
+	// known holds the names of the statements that earlier messages of the unit prepare.
 	known map[string]bool
 }
 
+// has reports whether the statement is prepared when the next message is processed.
 func (b *planBuilder) has(name string) bool {
 	return b.known[name] || b.state.Has(name)
 }
 
+// add appends a message. A Parse of a statement that is already prepared is preceded by its
+// Close, and a use of a statement that is not prepared by its Parse.
 func (b *planBuilder) add(o op, encoded []byte) error {
 	switch o.kind {
 	case opParse:
@@ -240,9 +250,10 @@
 	return nil
 }
 
+// injectParse adds a Parse and closes a statement when the connection has too many.
 func (b *planBuilder) injectParse(stmt *statement) error {
-	if surplus, ok := b.state.EvictionCandidate(); ok && !b.known[surplus] {
-		if err := b.injectClose(surplus); err != nil {
+	if candidate, ok := b.state.EvictionCandidate(); ok && !b.known[candidate] {
+		if err := b.injectClose(candidate); err != nil {
 			return err
 		}
 	}
@@ -258,6 +269,7 @@
 	return nil
 }
 
+// injectClose adds a Close of a statement on the connection.
 func (b *planBuilder) injectClose(name string) error {
 	encoded, err := (&pgproto3.Close{ObjectType: 'S', Name: name}).Encode(b.plan.encoded)
 	if err != nil {
--- a/internal/entry/unit_class.go
+++ b/internal/entry/unit_class.go
@@ -1,21 +1,23 @@
 package entry
 
-// purpose sums up what a unit does, as far as routing needs it.
+// unitClass is the classification of a unit, for routing.
 type unitClass struct {
 	kind kind
-	// dirty tells that the connection must be reset afterwards.
+	// dirty: the connection must be reset before another session uses it.
 	dirty bool
-	// executes tells that the unit runs statements, not only prepares them.
+	// executes: the unit runs statements, and does not only prepare them.
 	executes bool
-	// own tells that all statements are answered at the entry.
+	// local: all statements are answered at the entry.
 	local bool
-	// why is set for unsupported statements.
+	// feature is the unsupported feature; set for kindUnsupported.
 	feature string
 }
 
-const featureMixedParams = "parameters of galenabridge together with other statements in one pipeline"
+// featureMixedParams is the feature reported for a pipeline that mixes statements answered
+// at the entry with others.
+const featureMixedParams = "galenabridge parameters together with other statements in one pipeline"
 
-// purpose classifies the unit.
+// classify returns the classification of the unit.
 func (u *unit) classify() unitClass {
 	if u.simple {
 		return unitClass{
@@ -44,10 +46,12 @@
 	return uc
 }
 
+// answeredLocally reports whether the entry answers the statement itself.
 func (c class) answeredLocally() bool { return c.kind == kindProxyParam || c.kind == kindDeallocate }
 
-// join makes the first statement decide, except that a read followed by
-// another kind counts as a write.
+// combine derives the kind from the statements: it is that of the first one, except that a
+// read or SET followed by another kind counts as a write. Empty statements after a read
+// change nothing. The unit is dirty if any statement is.
 func (uc *unitClass) combine(classes []class) {
 	uc.kind = classes[0].kind
 	for _, c := range classes {
@@ -61,7 +65,7 @@
 	}
 }
 
-// classes returns the classes of the statements that the unit mentions and of
+// statementClasses returns the classes of the statements that the unit refers to and of
 // those that it executes.
 func (u *unit) statementClasses() (mentioned, executed []class) {
 	for _, o := range u.ops {
@@ -76,8 +80,8 @@
 	return mentioned, executed
 }
 
-// onlyCloses reports whether the unit does nothing but close statements and
-// portals.
+// onlyCloses reports whether all messages of the unit close statements or portals. It is
+// true for an empty unit.
 func (u *unit) onlyCloses() bool {
 	for _, o := range u.ops {
 		if o.kind != opCloseStatement && o.kind != opClosePortal {
--- a/internal/entry/unresponsive.go
+++ b/internal/entry/unresponsive.go
@@ -7,18 +7,19 @@
 	"github.com/galenabridge/galenabridge/internal/pgback"
 )
 
-// silenceLimit is how long an endpoint may leave its monitor without an answer
-// before the requests in progress on it are given up. Only replicas are
-// concerned: a primary is replaced by a failover.
+// unresponsiveTimeout is how long an endpoint may fail to answer its monitor before the
+// requests in progress on it are interrupted. This applies to replicas only: a primary is
+// replaced by a failover.
 const unresponsiveTimeout = 3 * time.Second
 
-// silence notices endpoints that have stopped answering. It is an Observer.
+// unresponsiveDetector detects endpoints that have stopped answering their monitor. It is an
+// Observer.
 type unresponsiveDetector struct {
 	onUnresponsive func(endpoint string)
 
 	mu sync.Mutex
-	// since holds, for each endpoint without an answer, when it was first
-	// asked in vain.
+	// failingSince holds, for each endpoint that does not answer, the time of the first
+	// status request without an answer.
 	failingSince map[string]time.Time
 }
 
@@ -33,6 +34,7 @@
 	}
 }
 
+// timedOut records a status and reports whether the endpoint has exceeded the timeout.
 func (s *unresponsiveDetector) timedOut(status pgback.Status, now time.Time) bool {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -48,14 +50,15 @@
 	return now.Sub(first) >= unresponsiveTimeout
 }
 
-// giveUpOn interrupts the requests in progress on a replica. Those that had no
-// effect move to another endpoint.
+// interruptReplica interrupts the requests in progress on a replica. Those that had no
+// effect are retried on another endpoint.
 func (s *Server) interruptReplica(endpoint string) {
 	for _, session := range s.activeSessions() {
 		session.interruptReplica(endpoint)
 	}
 }
 
+// interruptReplica interrupts the session's request if it runs on the replica.
 func (s *session) interruptReplica(endpoint string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -5,11 +5,11 @@
 	"github.com/galenabridge/galenabridge/internal/limits"
 )
 
-// Usage implements limits.Pool.
+// Usage implements limits.Pool. It resets the peaks that it returns.
 func (s *Server) Usage() []limits.Usage {
 	var all []limits.Usage
 	for _, use := range s.backends.poolUsage() {
-		// The monitor has a connection of its own.
+		// The monitor's own connection is not part of the pool.
 		u := limits.Usage{
 			Service:           use.service,
 			Endpoint:          use.endpoint,
