--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -28,8 +28,10 @@
 )
 
 // relay relays the answer to one unit from the endpoint to the caller. Once a statement
-// that may have written has completed, the output from its completion on is held back: it is
-// sent only after the write is durable and the term still holds, and is dropped otherwise.
+// that may have written has completed, the output from its completion on is held back. If
+// the write has been committed, this output is sent only after the write is durable and while
+// the term still holds, and is dropped otherwise. If the transaction is still in progress,
+// the output is sent at the end of the unit.
 type relay struct {
 	s     *session
 	co    *checkout
