--- a/internal/entry/classify_test.go
+++ b/internal/entry/classify_test.go
@@ -20,8 +20,8 @@
 		"set timezone = 'UTC'":             kindSet,
 		"set session timezone to 'UTC'":    kindSet,
 		"set local timezone = 'UTC'":       kindWrite,
-		"SET galenabridge.class = 'bulk'":  kindOwn,
-		"show galenabridge.class":          kindOwn,
+		"SET galenabridge.class = 'bulk'":  kindProxyParam,
+		"show galenabridge.class":          kindProxyParam,
 		"show server_version":              kindRead,
 		"set transaction read only":        kindWrite,
 		"set role admin":                   kindUnsupported,
@@ -40,14 +40,14 @@
 	}
 }
 
-func TestDirtyStatements(t *testing.T) {
+func TestClassifyDirty(t *testing.T) {
 	for text, want := range map[string]bool{
 		"select 1":                              false,
 		"insert into entries values (1)":        false,
 		"select set_config('a.b', 'c', false)":  true,
 		"select 1; set timezone = 'UTC'":        true,
 		"do $$ begin end $$":                    true,
-		"select ';' as semicolon_in_a_literal ": true, // on the safe side
+		"select ';' as semicolon_in_a_literal ": true, // treated as a second statement
 	} {
 		if got := classify(text).dirty; got != want {
 			t.Errorf("%q: dirty %t", text, got)
--- a/internal/entry/copy.go
+++ b/internal/entry/copy.go
@@ -9,8 +9,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// copyIn passes the caller's data on until the caller ends the copy. With the
-// extended protocol the copy ends with Sync.
+// copyIn forwards the caller's COPY data until the caller ends the copy. With the extended
+// protocol the copy ends with Sync.
 func (r *relay) copyIn() error {
 	if err := r.flushNow(); err != nil {
 		return err
@@ -31,10 +31,10 @@
 		default:
 			return result.New(result.MalformedMessage, "%T is not expected during COPY", msg)
 		}
-		ended := r.copyEnds(msg)
-		if ended || len(out) > flushSize {
-			if _, err := r.l.conn.Write(out); err != nil {
-				return nil // the next read reports the loss
+		ended := r.endsCopy(msg)
+		if ended || len(out) > flushBytes {
+			if _, err := r.co.conn.Write(out); err != nil {
+				return nil // the next read reports the lost connection
 			}
 			out = out[:0]
 		}
@@ -44,7 +44,8 @@
 	}
 }
 
-func (r *relay) copyEnds(msg pgproto3.FrontendMessage) bool {
+// endsCopy reports whether the message is the last one of the copy.
+func (r *relay) endsCopy(msg pgproto3.FrontendMessage) bool {
 	switch msg.(type) {
 	case *pgproto3.CopyDone, *pgproto3.CopyFail:
 		return r.u.simple
@@ -54,16 +55,16 @@
 	return false
 }
 
-// flushNow sends what is queued to a caller that waits for it.
+// flushNow sends the queued output, which the caller needs before it sends its data.
 func (r *relay) flushNow() error {
-	if r.held {
+	if r.holding {
 		return r.releaseEarly()
 	}
 	r.request.Streamed = true
 	return r.s.conn.Flush()
 }
 
-// receiveCopy reads the next message of a copy. A shutdown does not cut it.
+// receiveCopy reads the next message of a copy. A shutdown does not interrupt a copy.
 func (s *session) receiveCopy() (pgproto3.FrontendMessage, error) {
 	for {
 		msg, err := s.conn.Receive()
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -17,13 +17,14 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
+// withdrawKey removes the key of the test callers from the catalog.
 func withdrawKey(s *agreed.State) { delete(s.Catalog.Keys, "crew-1") }
 
-func TestWithdrawnKeyClosesAnIdleCaller(t *testing.T) {
+func TestWithdrawnKeyClosesIdleSession(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	f.publish(withdrawKey)
-	// The session ends without a request of the caller.
+	// The session must end without a request from the caller.
 	front := conn.PgConn().Frontend()
 	msg, err := front.Receive()
 	if err != nil {
@@ -34,11 +35,11 @@
 		t.Fatalf("%+v", msg)
 	}
 	if _, err := pgx.Connect(testContext(t), f.url("crew", callerKey, "")); err == nil {
-		t.Error("the key still opens sessions")
+		t.Error("the withdrawn key was accepted at login")
 	}
 }
 
-func TestWithdrawnKeyCancelsATransaction(t *testing.T) {
+func TestWithdrawnKeyCancelsTransaction(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -49,7 +50,7 @@
 		_, err := conn.Exec(context.Background(), "select pg_sleep(100)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	f.publish(withdrawKey)
 	wantCode(t, <-done, result.KeyWithdrawn)
 	if n := queryInt(t, f.direct(0), "select count(*) from entries"); n != 0 {
@@ -57,13 +58,13 @@
 	}
 }
 
-// waitHeld waits until a session uses an endpoint connection.
-func (f *fixture) waitHeld() {
+// waitActive waits until a session uses an endpoint connection.
+func (f *fixture) waitActive() {
 	f.t.Helper()
 	eventually(f.t, "statement sent", func() bool {
-		for _, s := range f.server.list() {
+		for _, s := range f.server.activeSessions() {
 			s.mu.Lock()
-			held := s.held != nil
+			held := s.active != nil
 			s.mu.Unlock()
 			if held {
 				return true
@@ -73,7 +74,9 @@
 	})
 }
 
-func TestNoWorkPastTheLease(t *testing.T) {
+// Without a valid configuration lease the host may have missed a new primary or a withdrawn
+// key, so it must refuse requests and logins. After a renewal the session goes on.
+func TestExpiredConfigLeaseRefusesRequests(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -88,7 +91,8 @@
 	}
 }
 
-func TestRequestIsHeldWhileThereIsNoPrimary(t *testing.T) {
+// While the group has no active primary, a write waits until its deadline.
+func TestWriteWaitsWithoutPrimary(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -103,8 +107,8 @@
 		_, err := conn.Exec(context.Background(), "insert into entries values (1)")
 		done <- err
 	}()
-	hurried := f.connect("galenabridge.deadline=50")
-	_, err := hurried.Exec(testContext(t), "insert into entries values (2)")
+	shortDeadline := f.connect("galenabridge.deadline=50")
+	_, err := shortDeadline.Exec(testContext(t), "insert into entries values (2)")
 	wantCode(t, err, result.NoPrimary)
 	f.publish(func(s *agreed.State) {
 		g := s.Groups[testService]
@@ -112,15 +116,16 @@
 		s.Groups[testService] = g
 	})
 	if err := <-done; err != nil {
-		t.Fatalf("the held request: %v", err)
+		t.Fatalf("the waiting request: %v", err)
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 1 {
 		t.Errorf("%d rows", n)
 	}
 }
 
-// A read that cannot learn its position during a failover waits like a write.
-func TestReadIsHeldWhileItsPositionIsUnknown(t *testing.T) {
+// A read whose required position cannot be determined during a failover must wait, as a write
+// does, rather than be served without a position.
+func TestReadWaitsForUnknownPosition(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	setPhase := func(phase agreed.Phase, term uint64) {
 		f.publish(func(s *agreed.State) {
@@ -136,17 +141,19 @@
 		_, err := conn.Exec(context.Background(), "select 1")
 		done <- err
 	}()
-	hurried := f.connect("galenabridge.deadline=200")
-	if _, err := hurried.Exec(testContext(t), "select 1"); err == nil {
+	shortDeadline := f.connect("galenabridge.deadline=200")
+	if _, err := shortDeadline.Exec(testContext(t), "select 1"); err == nil {
 		t.Fatal("a read without a position was served")
 	}
 	setPhase(agreed.PhaseActive, 2)
 	if err := <-done; err != nil {
-		t.Fatalf("the held read: %v", err)
+		t.Fatalf("the waiting read: %v", err)
 	}
 }
 
-func TestOutcomeIsUnknownWhenTheAnswerIsLost(t *testing.T) {
+// The connection is lost after the commit and before the answer: the caller must learn that
+// the outcome is unknown, and the write must not be retried.
+func TestLostAnswerOutcomeUnknown(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -159,7 +166,9 @@
 	}
 }
 
-func TestNoAcknowledgementWithoutAMajority(t *testing.T) {
+// A write that the primary has committed and no replica has flushed must not be acknowledged:
+// a failover could lose it.
+func TestWriteWithoutMajorityOutcomeUnknown(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -169,7 +178,9 @@
 	wantCode(t, err, result.OutcomeUnknown)
 }
 
-func TestLateAnswerOfAReplacedPrimaryIsNotPassedOn(t *testing.T) {
+// A primary is replaced while it executes a write. Its answer must not be relayed, because the
+// write may be missing on the new primary.
+func TestReplacedPrimaryLateAnswerDropped(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -179,7 +190,7 @@
 		_, err := conn.Exec(context.Background(), "insert into entries values (1)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	f.publish(func(s *agreed.State) {
 		g := s.Groups[testService]
 		g.Term, g.Primary = g.Term+1, g.Members[1]
@@ -189,7 +200,9 @@
 	f.group.Servers[0].Faults().Stall(false)
 }
 
-func TestLostTransactionStaysFailed(t *testing.T) {
+// After the entry has rolled a transaction back, later statements of the caller must not run
+// outside the transaction: they are refused until COMMIT or ROLLBACK, which answer ROLLBACK.
+func TestLostTransactionFailedUntilEnd(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -222,7 +235,7 @@
 	_, err := conn.Exec(testContext(t), "select '"+strings.Repeat("x", 2<<20)+"'")
 	wantCode(t, err, result.MessageTooLarge)
 	if n := queryInt(t, f.connect(""), "select 1"); n != 1 {
-		t.Error("the server does not go on")
+		t.Error("the server does not serve other callers")
 	}
 }
 
@@ -249,11 +262,13 @@
 		t.Fatal(err)
 	}
 	if n := queryInt(t, f.connect(""), "select 1"); n != 1 {
-		t.Error("the server does not go on")
+		t.Error("the server does not serve other callers")
 	}
 }
 
-func TestClientThatStopsReadingIsClosed(t *testing.T) {
+// A client that does not read its answer must be disconnected after the write timeout, so that
+// it does not hold an endpoint connection.
+func TestClientNotReadingDisconnected(t *testing.T) {
 	f := newFixture(t, fixtureConfig{options: func(o *Options) { o.WriteTimeout = 50 * time.Millisecond }})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (word text)")
@@ -265,7 +280,7 @@
 	if err := front.Flush(); err != nil {
 		t.Fatal(err)
 	}
-	eventually(t, "session closed", func() bool { return len(f.server.list()) == 0 })
+	eventually(t, "session closed", func() bool { return len(f.server.activeSessions()) == 0 })
 	if n := queryInt(t, f.connect(""), "select count(*) from entries"); n != 8 {
 		t.Errorf("%d rows", n)
 	}
@@ -279,7 +294,7 @@
 		_, err := conn.Exec(context.Background(), "select pg_sleep(100)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	if err := conn.PgConn().CancelRequest(testContext(t)); err != nil {
 		t.Fatal(err)
 	}
@@ -288,11 +303,11 @@
 		t.Fatalf("%v", err)
 	}
 	if n := queryInt(t, conn, "select 1"); n != 1 {
-		t.Error("the session does not go on")
+		t.Error("the session cannot be used after the cancellation")
 	}
 }
 
-func TestDrainLetsTransactionsEnd(t *testing.T) {
+func TestDrainWaitsForTransactions(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	idle, busy := f.connect(""), f.connect("")
 	mustExec(t, busy, "create table entries (id int primary key)")
@@ -303,7 +318,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if farewell, ok := msg.(*pgproto3.ErrorResponse); !ok || farewell.Code != "57P01" {
+	if notice, ok := msg.(*pgproto3.ErrorResponse); !ok || notice.Code != "57P01" {
 		t.Errorf("%+v", msg)
 	}
 	mustExec(t, busy, "insert into entries values (1)")
@@ -316,7 +331,8 @@
 	}
 }
 
-func TestOpenWorkspaceReadsOnly(t *testing.T) {
+// Callers without a key may read, and no statement may undo the read-only setting.
+func TestOpenWorkspaceReadOnly(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	mustExec(t, f.connect(""), "create table entries (id int primary key)")
 	conn, err := pgx.Connect(testContext(t), f.url("pull", "", ""))
@@ -340,7 +356,7 @@
 	}
 }
 
-func TestWorkspaceMayBeBoundToServices(t *testing.T) {
+func TestWorkspaceRestrictedToServices(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	f.publish(func(s *agreed.State) {
 		s.Catalog.Workspaces["crew"] = note.Workspace{Name: "crew", Rate: 1, Burst: 1, Class: "bulk", Services: []string{"other"}}
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -17,18 +17,19 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// fleet is several entry hosts before one group.
+// fleet is a set of entry hosts in front of one group. The embedded fixture is the first host.
 type fleet struct {
-	// gatherTimeout replaces the default when it is set.
+	// gatherTimeout replaces the default when it is positive.
 	gatherTimeout time.Duration
 	*fixture
 	// other is the second host.
 	other *Server
 	nodes []*peer.Node
-	// stops end the nodes.
+	// stops stop the nodes, in the order of nodes.
 	stops []func()
 }
 
+// newFleet returns a fleet of two hosts with the given replay lag of the replicas.
 func newFleet(t testing.TB, lag time.Duration) *fleet { return newFleetOf(t, 2, lag) }
 
 func newFleetOf(t testing.TB, size int, lag time.Duration) *fleet {
@@ -36,9 +37,9 @@
 	return startFleet(t, &fleet{}, size, lag)
 }
 
-// newPatientFleet returns a fleet whose hosts wait for each other's positions
-// however slow the machine is, so that no read falls back to the primary.
-func newPatientFleet(t testing.TB) *fleet {
+// newFleetWithLongGather returns a fleet of two hosts that wait so long for each other's
+// positions that no read falls back to the primary on a slow machine.
+func newFleetWithLongGather(t testing.TB) *fleet {
 	t.Helper()
 	return startFleet(t, &fleet{gatherTimeout: time.Minute}, 2, 0)
 }
@@ -56,7 +57,7 @@
 	}
 	f.fixture = newFixture(t, fixtureConfig{
 		standin:     func(o *standin.Options) { o.ReplayLag = lag },
-		options:     f.link(0),
+		options:     f.peerOptions(0),
 		connections: 20 * size,
 	})
 	f.publish(func(s *agreed.State) {
@@ -68,7 +69,7 @@
 	})
 	servers := []*Server{f.server}
 	for i := 1; i < size; i++ {
-		servers = append(servers, f.startHost(hostName(i), f.link(i)))
+		servers = append(servers, f.startHost(hostName(i), f.peerOptions(i)))
 	}
 	f.other = servers[1]
 	for i, node := range f.nodes {
@@ -80,7 +81,8 @@
 
 func hostName(i int) string { return fmt.Sprintf("entry-%d", i+1) }
 
-func (f *fleet) link(i int) func(*Options) {
+// peerOptions returns the change of the options that connects host i to the others.
+func (f *fleet) peerOptions(i int) func(*Options) {
 	return func(o *Options) {
 		l := NewPeerLink(f.nodes[i], o.View)
 		o.Peers, o.CancelForwarder = l, l
@@ -88,20 +90,24 @@
 	}
 }
 
-func TestOwnWritesAreReadThroughAnotherHost(t *testing.T) {
+// A read through one host must include the writes that the other one has acknowledged, though
+// the replicas lag.
+func TestOwnWritesVisibleThroughOtherHost(t *testing.T) {
 	f := newFleet(t, 150*time.Millisecond)
 	writers := []*pgx.Conn{f.connect(""), f.connectTo(f.other, "")}
 	mustExec(t, writers[0], "create table entries (id int primary key)")
 	for i := range 30 {
 		mustExec(t, writers[i%2], "insert into entries values ($1)", i)
 		if n := queryInt(t, writers[(i+1)%2], "select count(*) from entries"); n != i+1 {
-			t.Fatalf("%d entries are read after %d were acknowledged", n, i+1)
+			t.Fatalf("read %d entries after %d were acknowledged", n, i+1)
 		}
 	}
 	f.waitReplicas(writers[0])
 }
 
-func TestReadsStaySafeWhenAHostDoesNotAnswer(t *testing.T) {
+// When the host that acknowledged the writes does not answer, reads must fall back to the
+// primary's position and still include the writes.
+func TestOwnWritesVisibleWithHostDown(t *testing.T) {
 	f := newFleet(t, 150*time.Millisecond)
 	writer, reader := f.connectTo(f.other, ""), f.connect("")
 	mustExec(t, writer, "create table entries (id int primary key)")
@@ -110,13 +116,15 @@
 	for i := range 10 {
 		mustExec(t, writer, "insert into entries values ($1)", i)
 		if n := queryInt(t, reader, "select count(*) from entries"); n != i+1 {
-			t.Fatalf("%d entries are read after %d were acknowledged", n, i+1)
+			t.Fatalf("read %d entries after %d were acknowledged", n, i+1)
 		}
 	}
 }
 
-func TestWritesOfAnotherWorkspaceDoNotHoldReadsBack(t *testing.T) {
-	f := newPatientFleet(t)
+// Writes that the workspace has not made must not raise the position that its reads require,
+// which would send them to the primary while the replicas lag.
+func TestOtherWorkspaceWritesKeepReadsOnReplicas(t *testing.T) {
+	f := newFleetWithLongGather(t)
 	conn := f.connect("")
 	f.waitReplicas(conn)
 	for _, s := range f.group.Servers {
@@ -133,7 +141,8 @@
 	}
 }
 
-func TestCancelThroughAnotherHost(t *testing.T) {
+// A cancel request that reaches another host must be forwarded to the host of the session.
+func TestCancelThroughOtherHost(t *testing.T) {
 	f := newFleet(t, 0)
 	conn := f.connect("")
 	done := make(chan error, 1)
@@ -141,7 +150,7 @@
 		_, err := conn.Exec(context.Background(), "select pg_sleep(100)")
 		done <- err
 	}()
-	f.waitHeld()
+	f.waitActive()
 	pg := conn.PgConn()
 	request := pgproto3.CancelRequest{ProcessID: pg.PID(), SecretKey: pg.SecretKey()}
 	encoded, err := request.Encode(nil)
--- a/internal/entry/local.go
+++ b/internal/entry/local.go
@@ -6,9 +6,10 @@
 	"github.com/galenabridge/galenabridge/internal/pgfront"
 )
 
+// oidText is the OID of the type text.
 const oidText = 25
 
-// answerLocal answers a unit without an endpoint.
+// answerLocal answers a unit at the entry, without an endpoint.
 func (s *session) answerLocal(u *unit) error {
 	if u.simple {
 		if err := s.runLocal(u.text, u.class, true); err != nil {
@@ -21,21 +22,22 @@
 	})
 }
 
-// localError reports an error of a statement answered at the entry.
-func (s *session) localError(err error, ends bool) error {
+// localError reports an error of a statement answered at the entry. Unless the unit is
+// final, that is, ends with ReadyForQuery, messages are skipped up to Sync.
+func (s *session) localError(err error, final bool) error {
 	s.srv.metrics.result(err)
 	if queueErr := s.conn.Queue(pgfront.ErrorMessage(err, pgfront.Error)); queueErr != nil {
 		return queueErr
 	}
-	if !ends {
-		s.skip = true
+	if !final {
+		s.skipToSync = true
 		return s.conn.Flush()
 	}
 	return s.ready(s.status())
 }
 
-// answerOps answers messages of the extended protocol; execute runs one
-// statement.
+// answerOps answers the messages of a unit of the extended protocol. execute runs one
+// statement and queues its result.
 func (s *session) answerOps(u *unit, execute func(*statement) error) error {
 	for _, o := range u.ops {
 		if err := s.answerOp(o, execute); err != nil {
@@ -51,7 +53,7 @@
 func (s *session) answerOp(o op, execute func(*statement) error) error {
 	switch o.kind {
 	case opParse:
-		s.statements[o.client] = o.stmt
+		s.statements[o.clientName] = o.stmt
 		return s.conn.Queue(&pgproto3.ParseComplete{})
 	case opBind:
 		return s.conn.Queue(&pgproto3.BindComplete{})
@@ -63,7 +65,7 @@
 	case opDescribePortal:
 		return s.describeLocal(o.stmt)
 	case opCloseStatement:
-		delete(s.statements, o.client)
+		delete(s.statements, o.clientName)
 		return s.conn.Queue(&pgproto3.CloseComplete{})
 	case opClosePortal:
 		return s.conn.Queue(&pgproto3.CloseComplete{})
@@ -83,7 +85,8 @@
 	return s.conn.Queue(showColumns(parseCommand(stmt.query).name))
 }
 
-// runLocal performs a statement and queues its result.
+// runLocal runs a statement at the entry and queues its result. describe adds the row
+// description, which the extended protocol sends separately.
 func (s *session) runLocal(text string, c class, describe bool) error {
 	cmd := parseCommand(text)
 	switch {
@@ -97,14 +100,14 @@
 	if cmd.verb == "RESET" {
 		cmd.value = ""
 	}
-	if err := s.param.set(cmd.name, cmd.value); err != nil {
+	if err := s.params.set(cmd.name, cmd.value); err != nil {
 		return err
 	}
 	return s.conn.Queue(&pgproto3.CommandComplete{CommandTag: []byte(cmd.verb)})
 }
 
 func (s *session) show(name string, describe bool) error {
-	value, err := s.param.get(name)
+	value, err := s.params.get(name)
 	if err != nil {
 		return err
 	}
@@ -125,7 +128,8 @@
 	}}}
 }
 
-// discard forgets prepared statements, and with DISCARD ALL the settings too.
+// discard removes prepared statements, and with DISCARD ALL also the settings and
+// parameters of the session. The parser reads DEALLOCATE PREPARE x as name "prepare".
 func (s *session) discard(cmd command) error {
 	tag := cmd.verb
 	name := cmd.name
@@ -137,8 +141,8 @@
 		tag += " ALL"
 		clear(s.statements)
 		if cmd.verb == "DISCARD" {
-			s.set = settings{}
-			s.param = params{}
+			s.settings = settings{}
+			s.params = params{}
 		}
 	case cmd.verb == "DEALLOCATE":
 		delete(s.statements, name)
--- a/internal/entry/login.go
+++ b/internal/entry/login.go
@@ -10,8 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// reported are the run-time parameters that callers are told of.
-var reported = []pgfront.Parameter{
+// reportedParams are the run-time parameters reported to callers after login.
+var reportedParams = []pgfront.Parameter{
 	{Name: "server_version", Value: "17.0"},
 	{Name: "server_encoding", Value: "UTF8"},
 	{Name: "client_encoding", Value: "UTF8"},
@@ -22,12 +22,13 @@
 	{Name: "standard_conforming_strings", Value: "on"},
 }
 
-// serve logs a caller in and runs its session.
+// serve logs a caller in and runs its session. At most maxHandshakes logins are in
+// progress at a time; further callers are refused.
 func (s *Server) serve(nc net.Conn) {
 	select {
 	case s.handshakes <- struct{}{}:
 	default:
-		s.turnAway(nc)
+		s.refuseOverload(nc)
 		return
 	}
 	session, err := s.login(nc)
@@ -43,11 +44,11 @@
 	s.metrics.sessions.Inc()
 	session.run()
 	s.metrics.sessions.Dec()
-	s.remove(session)
+	s.unregisterSession(session)
 }
 
-// turnAway refuses a caller while too many log in.
-func (s *Server) turnAway(nc net.Conn) {
+// refuseOverload refuses a caller because too many logins are in progress.
+func (s *Server) refuseOverload(nc net.Conn) {
 	conn, startup, err := pgfront.Accept(nc, s.front)
 	if err != nil {
 		return
@@ -61,7 +62,8 @@
 	conn.Refuse(refusal)
 }
 
-// login returns a nil session for a cancel request.
+// login performs the handshake and opens a session. It returns a nil session for a cancel
+// request.
 func (s *Server) login(nc net.Conn) (*session, error) {
 	conn, startup, err := pgfront.Accept(nc, s.front)
 	if err != nil {
@@ -71,7 +73,7 @@
 		s.routeCancel(*startup.Cancel)
 		return nil, conn.Close()
 	}
-	session, err := s.open(conn, startup)
+	session, err := s.openSession(conn, startup)
 	if err != nil {
 		conn.Refuse(err)
 		return nil, err
@@ -79,50 +81,53 @@
 	return session, nil
 }
 
-func (s *Server) open(conn *pgfront.Conn, startup *pgfront.Startup) (*session, error) {
+// openSession authenticates the caller, registers its session and reports it ready.
+func (s *Server) openSession(conn *pgfront.Conn, startup *pgfront.Startup) (*session, error) {
 	ses := &session{srv: s, conn: conn, key: newSecret(), statements: make(map[string]*statement)}
 	if err := ses.authenticate(startup); err != nil {
 		return nil, err
 	}
-	if err := ses.guard(); err != nil {
+	if err := ses.authorize(); err != nil {
 		return nil, err
 	}
-	if err := ses.parameters(startup.Parameters); err != nil {
+	if err := ses.applyStartupParams(startup.Parameters); err != nil {
 		return nil, err
 	}
-	s.backends.use(ses.who.service)
-	s.add(ses)
+	s.backends.addService(ses.identity.service)
+	s.registerSession(ses)
 	if s.draining.Load() {
 		ses.drain()
 	}
-	if err := conn.Ready(reported, pgfront.Cancel{ProcessID: ses.pid, Secret: ses.key}); err != nil {
-		s.remove(ses)
+	if err := conn.Ready(reportedParams, pgfront.Cancel{ProcessID: ses.pid, Secret: ses.key}); err != nil {
+		s.unregisterSession(ses)
 		return nil, err
 	}
 	return ses, nil
 }
 
-// authenticate checks the key against the agreed state.
+// authenticate verifies the caller's key against the agreed state. An open workspace
+// without keys needs none.
 func (s *session) authenticate(startup *pgfront.Startup) error {
 	v := s.srv.opts.View.Current()
 	if !v.Valid() {
 		return result.New(result.NoConfigLease, "the configuration lease ended")
 	}
-	s.who = identity{workspace: startup.Workspace, service: startup.Service}
+	s.identity = identity{workspace: startup.Workspace, service: startup.Service}
 	candidates := candidatesFor(v, startup.Workspace)
 	ws, known := v.State.Catalog.Workspaces[startup.Workspace]
 	if known && ws.Open && len(candidates) == 0 {
-		s.who.open = true
+		s.identity.open = true
 		return nil
 	}
 	keyID, err := s.conn.Authenticate(scramauth.NewConversation(startup.Workspace, candidates))
 	if err != nil {
 		return err
 	}
-	s.who.key = v.State.Catalog.Keys[keyID]
+	s.identity.key = v.State.Catalog.Keys[keyID]
 	return nil
 }
 
+// candidatesFor returns the workspace's keys, ordered by their ids.
 func candidatesFor(v view.View, workspace string) []scramauth.Candidate {
 	var candidates []scramauth.Candidate
 	for id, key := range v.State.Catalog.Keys {
@@ -134,27 +139,28 @@
 	return candidates
 }
 
-// parameters applies the run-time parameters of the start-up.
-func (s *session) parameters(named map[string]string) error {
+// applyStartupParams applies the run-time parameters of the start-up message. A session of
+// an open workspace ignores database settings.
+func (s *session) applyStartupParams(named map[string]string) error {
 	for name, value := range named {
-		if len(name) > len(ownPrefix) && name[:len(ownPrefix)] == ownPrefix {
-			if err := s.param.set(name, value); err != nil {
+		if len(name) > len(paramPrefix) && name[:len(paramPrefix)] == paramPrefix {
+			if err := s.params.set(name, value); err != nil {
 				return err
 			}
 			continue
 		}
-		if s.who.open {
+		if s.identity.open {
 			continue
 		}
 		if !validName(name) {
 			return result.New(result.MalformedMessage, "parameter %q", name)
 		}
-		s.set.add(name, value)
+		s.settings.add(name, value)
 	}
 	return nil
 }
 
-// validName reports whether a parameter's name may stand in a SET statement.
+// validName reports whether a parameter name can be inserted into a SET statement unquoted.
 func validName(name string) bool {
 	for i := range len(name) {
 		if !isWordByte(name[i]) {
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -11,62 +11,71 @@
 )
 
 const (
-	// flushSize is the output in bytes from which rows are passed on.
-	flushSize = 32 << 10
-	// holdSize bounds the output in bytes that is held back until a write is
-	// safe; past it the wait takes place in the middle of the answer.
-	holdSize = 4 << 20
+	// flushBytes is the size of the queued output from which it is sent to the caller.
+	flushBytes = 32 << 10
+	// maxHeldBytes bounds the output that is held back until a write is durable. A larger
+	// answer waits for durability before its end and is then streamed.
+	maxHeldBytes = 4 << 20
 )
 
-// SQLSTATEs of a replica that has provably not run a statement.
+// SQLSTATEs with which a replica reports that it has not run a statement.
 const (
-	stateReadOnly = "25006"
-	// stateRecovery: a function cannot run during recovery.
-	stateRecovery = "55000"
-	// stateConflict: the statement conflicts with the replay of the log.
-	stateConflict = "40001"
+	sqlstateReadOnly = "25006"
+	// sqlstateInRecovery: a function cannot run during recovery.
+	sqlstateInRecovery = "55000"
+	// sqlstateConflict: the statement conflicts with the replay of the log.
+	sqlstateConflict = "40001"
 )
 
-// relay passes the answer to one unit from the endpoint to the caller.
+// relay relays the answer to one unit from the endpoint to the caller. Once a statement
+// that may have written has completed, the output from its completion on is held back. If
+// the write has been committed, this output is sent only after the write is durable and while
+// the term still holds, and is dropped otherwise. If the transaction is still in progress,
+// the output is sent at the end of the unit.
 type relay struct {
-	s    *session
-	l    *lease
-	u    *unit
-	p    purpose
-	plan plan
-	// within tells that a transaction was in progress before the unit.
-	within bool
-	// marker is the row that the transaction opened for the unit holds, or nil.
+	s     *session
+	co    *checkout
+	u     *unit
+	class unitClass
+	plan  plan
+	// inTransaction: a transaction was in progress before the unit.
+	inTransaction bool
+	// marker is the marker row written by the transaction that was opened for the unit, or
+	// nil.
 	marker *marker
-	// request is what is known of the unit's fate.
+	// request tracks what is known of the unit's outcome.
 	request retry.Request
 	// sent is when the unit was sent.
-	sent   time.Time
+	sent time.Time
+	// writer receives the result of a write that runs concurrently with the answer; nil
+	// when the unit was written before.
 	writer chan error
-	// mark is the queue's length before the first answer that is held back.
-	mark int
-	held bool
-	// wrote tells that a statement completed that may have written.
-	wrote bool
+	// heldFrom is the length of the output queue before the first message that is held back.
+	heldFrom int
+	holding  bool
+	// mayHaveWritten: a statement completed that may have written.
+	mayHaveWritten bool
 	// answered counts the answers before the one to Sync.
 	answered int
-	failed   bool
-	tag      []byte
+	// failed: the endpoint reported an error.
+	failed bool
+	// tag is the tag of the last completed statement.
+	tag []byte
 }
 
-// run reads until the unit is answered.
-func (r *relay) run() (verdict, error) {
+// run relays messages until the unit is answered or must be sent to another endpoint.
+func (r *relay) run() (attemptOutcome, error) {
 	for {
-		msg, err := r.l.conn.Receive()
+		msg, err := r.co.conn.Receive()
 		if err != nil {
-			return r.lost(err)
+			return r.connectionLost(err)
 		}
 		switch msg := msg.(type) {
 		case *pgproto3.ReadyForQuery:
 			return r.ready(msg.TxStatus)
 		case *pgproto3.ErrorResponse:
-			if r.runsElsewhere(msg) {
-				return r.moveToPrimary()
+			if r.primaryMayRun(msg) {
+				return r.discardForPrimary()
 			}
 			r.failed = true
 			err = r.pass(msg)
@@ -78,15 +87,15 @@
 			err = r.relayMessage(msg)
 		}
 		if err != nil {
-			return doneHere, err
+			return outcomeAnswered, err
 		}
 		if !r.u.sync && (r.failed || r.answered >= r.plan.pending) {
-			return doneHere, r.endSegment()
+			return outcomeAnswered, r.endSegment()
 		}
 	}
 }
 
-// relayMessage passes on one message that does not end the unit.
+// relayMessage relays one message that does not end the unit.
 func (r *relay) relayMessage(msg pgproto3.BackendMessage) error {
 	switch msg := msg.(type) {
 	case *pgproto3.ParseComplete:
@@ -103,75 +112,78 @@
 		return r.pass(msg)
 	case *pgproto3.CommandComplete:
 		r.answered++
-		return r.complete(msg)
+		return r.commandComplete(msg)
 	case *pgproto3.NotificationResponse:
-		return nil // LISTEN is not served
+		return nil // LISTEN is not supported
 	}
 	return r.pass(msg)
 }
 
-// pass queues a message for the caller and sends what has gathered.
+// pass queues a message for the caller and sends the queue once it is large enough.
 func (r *relay) pass(msg pgproto3.BackendMessage) error {
 	if err := r.s.conn.Queue(msg); err != nil {
 		return err
 	}
 	queued := r.s.conn.Queued()
 	switch {
-	case r.held && queued > holdSize:
+	case r.holding && queued > maxHeldBytes:
 		return r.releaseEarly()
-	case !r.held && queued > flushSize:
+	case !r.holding && queued > flushBytes:
 		r.request.Streamed = true
 		return r.s.conn.Flush()
 	}
 	return nil
 }
 
+// parseComplete matches the answer with the next Parse of the plan and records the
+// statement. The answer to an injected Parse is not relayed.
 func (r *relay) parseComplete() error {
 	if len(r.plan.parses) == 0 {
-		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.l.endpoint)
+		return result.New(result.OutcomeUnknown, "endpoint %s sent an unexpected answer to Parse", r.co.endpoint)
 	}
 	a := r.plan.parses[0]
 	r.plan.parses = r.plan.parses[1:]
-	r.l.conn.Session.Add(a.name)
+	r.co.conn.Session.Add(a.name)
 	if a.injected {
 		return nil
 	}
-	r.s.statements[a.client] = a.stmt
+	r.s.statements[a.clientName] = a.stmt
 	return r.pass(&pgproto3.ParseComplete{})
 }
 
+// closeComplete matches the answer with the next Close of the plan, as parseComplete does.
 func (r *relay) closeComplete() error {
 	if len(r.plan.closes) == 0 {
-		return result.New(result.OutcomeUnknown, "endpoint %s sent an answer too many", r.l.endpoint)
+		return result.New(result.OutcomeUnknown, "endpoint %s sent an unexpected answer to Close", r.co.endpoint)
 	}
 	a := r.plan.closes[0]
 	r.plan.closes = r.plan.closes[1:]
 	if a.injected {
 		return nil
 	}
-	if a.client != "" {
-		delete(r.s.statements, a.client)
+	if a.clientName != "" {
+		delete(r.s.statements, a.clientName)
 	}
 	return r.pass(&pgproto3.CloseComplete{})
 }
 
-// complete handles the end of a statement, and holds it back when it may have
-// written.
-func (r *relay) complete(msg *pgproto3.CommandComplete) error {
+// commandComplete relays the end of a statement. From the first statement that may have
+// written on, the output is held back.
+func (r *relay) commandComplete(msg *pgproto3.CommandComplete) error {
 	r.tag = append(r.tag[:0], msg.CommandTag...)
-	r.s.srv.countRead(r.p, r.l)
-	if r.l.primary && !r.l.readOnly && (r.marker != nil || !harmlessTag(r.tag)) {
-		r.wrote = true
-		if !r.held {
-			r.held = true
-			r.mark = r.s.conn.Queued()
+	r.s.srv.countRead(r.class, r.co)
+	if r.co.primary && !r.co.readOnly && (r.marker != nil || !cannotHaveWritten(r.tag)) {
+		r.mayHaveWritten = true
+		if !r.holding {
+			r.holding = true
+			r.heldFrom = r.s.conn.Queued()
 		}
 	}
 	return r.pass(msg)
 }
 
-// harmlessTag reports whether the statement cannot have committed a write.
-func harmlessTag(tag []byte) bool {
+// cannotHaveWritten reports whether a statement with the tag cannot have committed a write.
+func cannotHaveWritten(tag []byte) bool {
 	for _, verb := range []string{"BEGIN", "START TRANSACTION", "ROLLBACK", "SET", "RESET", "SHOW", "SAVEPOINT"} {
 		if string(tag) == verb {
 			return true
@@ -180,120 +192,124 @@
 	return false
 }
 
-// keep is the length of the queue that may be passed on whatever happens.
-func (r *relay) keep() int {
-	if r.held {
-		return r.mark
+// safeLength returns the length of the queued output that may be sent even if the write
+// turns out not to be durable.
+func (r *relay) safeLength() int {
+	if r.holding {
+		return r.heldFrom
 	}
 	return r.s.conn.Queued()
 }
 
-// releaseEarly waits in the middle of a large answer.
+// releaseEarly waits for durability before the end of the answer and sends the output held
+// back so far.
 func (r *relay) releaseEarly() error {
 	if err := r.acknowledge(); err != nil {
 		return err
 	}
-	r.held = false
+	r.holding = false
 	r.request.Streamed = true
 	return r.s.conn.Flush()
 }
 
-// runsElsewhere reports whether the error proves that a read has not run on a
-// replica and the primary may run it.
-func (r *relay) runsElsewhere(msg *pgproto3.ErrorResponse) bool {
+// primaryMayRun reports whether the error proves that a read has not run on a replica, so
+// that the primary may run it. Nothing of the answer may have been sent yet.
+func (r *relay) primaryMayRun(msg *pgproto3.ErrorResponse) bool {
 	switch msg.Code {
-	case stateReadOnly, stateRecovery, stateConflict:
+	case sqlstateReadOnly, sqlstateInRecovery, sqlstateConflict:
 	default:
 		return false
 	}
-	declared := r.l.readOnly && msg.Code == stateReadOnly
-	return !r.l.primary && !declared && r.p.kind == kindRead && !r.request.InTransaction && !r.request.Streamed
+	declared := r.co.readOnly && msg.Code == sqlstateReadOnly
+	return !r.co.primary && !declared && r.class.kind == kindRead && !r.request.InTransaction && !r.request.Streamed
 }
 
-// moveToPrimary drops the rest of the answer.
-func (r *relay) moveToPrimary() (verdict, error) {
+// discardForPrimary discards the rest of the answer, so that the unit runs on the primary.
+func (r *relay) discardForPrimary() (attemptOutcome, error) {
 	for {
-		msg, err := r.l.conn.Receive()
+		msg, err := r.co.conn.Receive()
 		if err != nil {
 			r.s.conn.Truncate(0)
-			r.s.abandon()
-			return retryPrimary, nil
+			r.s.discardConnection()
+			return outcomeRetryPrimary, nil
 		}
 		if _, ok := msg.(*pgproto3.ReadyForQuery); ok {
 			break
 		}
 	}
 	r.s.conn.Truncate(0)
-	r.returnLease()
-	return retryPrimary, nil
+	r.returnCheckout()
+	return outcomeRetryPrimary, nil
 }
 
-// returnLease gives the connection back after the endpoint reported that it is
-// idle.
-func (r *relay) returnLease() {
-	l := r.s.lease
-	if l.latency == 0 {
-		l.latency = time.Since(r.sent)
+// returnCheckout returns the connection after the endpoint has reported that it is idle. It
+// waits for a concurrent write first.
+func (r *relay) returnCheckout() {
+	co := r.s.checkout
+	if co.latency == 0 {
+		co.latency = time.Since(r.sent)
 	}
-	r.s.lease = nil
+	r.s.checkout = nil
 	reusable := r.writer == nil || <-r.writer == nil
-	r.s.release(l, reusable)
+	r.s.release(co, reusable)
 }
 
-// endSegment ends a unit that ended with Flush; the connection stays with the
-// session until Sync.
+// endSegment ends a unit that ended with Flush. The session keeps the connection until
+// Sync.
 func (r *relay) endSegment() error {
 	if r.failed {
-		r.s.skip = true
+		r.s.skipToSync = true
 	}
-	if r.held && bytes.Equal(r.tag, []byte("COMMIT")) {
+	if r.holding && bytes.Equal(r.tag, []byte("COMMIT")) {
 		if err := r.acknowledge(); err != nil {
-			r.s.conn.Truncate(r.mark)
+			r.s.conn.Truncate(r.heldFrom)
 			return r.s.refuse(err, false)
 		}
 	}
 	return r.s.conn.Flush()
 }
 
-// ready ends the unit with the endpoint's transaction state.
-func (r *relay) ready(status byte) (verdict, error) {
+// ready ends the unit with the endpoint's transaction state. Outside a transaction the
+// connection is returned, and a unit that may have written is answered only after the write
+// is durable in a term that still holds.
+func (r *relay) ready(status byte) (attemptOutcome, error) {
 	s := r.s
 	if r.marker != nil {
-		ended, err := r.finishMarked(status)
+		ended, err := r.endMarkedTransaction(status)
 		if err != nil {
-			return r.lostCommit(err)
+			return r.commitFailed(err)
 		}
 		status = ended
 	}
 	r.request.Apply(retry.AnswerReceived)
-	s.setTransaction(r.l, status != txIdle)
+	s.setTransaction(r.co, status != txIdle)
 	r.recordSettings(status)
 	if status != txIdle {
-		r.l.conn.SetDeadline(time.Time{})
-		return doneHere, s.ready(status)
+		r.co.conn.SetDeadline(time.Time{})
+		return outcomeAnswered, s.ready(status)
 	}
-	if !r.wrote {
+	if !r.mayHaveWritten {
 		err := s.ready(txIdle)
-		r.returnLease()
-		return doneHere, err
+		r.returnCheckout()
+		return outcomeAnswered, err
 	}
-	holds := termHolds(s.srv.opts.View.Current(), r.l)
-	r.returnLease()
+	holds := termHolds(s.srv.opts.View.Current(), r.co)
+	r.returnCheckout()
 	err := r.termEnded()
 	if holds {
 		err = r.acknowledge()
 	}
 	if err != nil {
-		s.conn.Truncate(r.keep())
-		return doneHere, s.refuse(err, true)
+		s.conn.Truncate(r.safeLength())
+		return outcomeAnswered, s.refuse(err, true)
 	}
-	return doneHere, s.ready(txIdle)
+	return outcomeAnswered, s.ready(txIdle)
 }
 
-// recordSettings keeps SET statements that have taken effect.
+// recordSettings records SET statements in the session once their transaction has committed.
 func (r *relay) recordSettings(status byte) {
 	s := r.s
-	if r.p.kind == kindSet && !r.failed {
+	if r.class.kind == kindSet && !r.failed {
 		s.pendingSet = append(s.pendingSet, r.u.settingTexts()...)
 	}
 	if status != txIdle || len(s.pendingSet) == 0 {
@@ -305,9 +321,9 @@
 		return
 	}
 	for _, text := range pending {
-		s.set.record(text)
+		s.settings.record(text)
 	}
-	r.l.conn.Session.Settings = s.script()
+	r.co.conn.Session.Settings = s.script()
 }
 
 // settingTexts returns the SET and RESET statements of the unit.
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -19,7 +19,8 @@
 	"github.com/galenabridge/galenabridge/internal/retry"
 )
 
-// Server serves callers on one address.
+// Server serves callers on one address. mu guards the sessions, their numbers and the retry
+// budgets.
 type Server struct {
 	opts     Options
 	front    pgfront.Config
@@ -32,9 +33,9 @@
 	router     Router
 	positions  Positions
 	durability Durability
-	// shared is the default implementation of positions, or nil.
+	// shared is positions when it is the default implementation, or nil.
 	shared *SharedPositions
-	// number is the host's number in cancel keys.
+	// number is the host number in cancel keys.
 	number uint32
 
 	listener   net.Listener
@@ -42,13 +43,13 @@
 	tasks      sync.WaitGroup
 	draining   atomic.Bool
 
-	// markers counts the request ids that were written.
+	// markers counts the markers written.
 	markers atomic.Uint64
 
-	mu       sync.Mutex
-	sessions map[uint32]*session
-	serial   uint32
-	budgets  *retry.Budgets
+	mu                sync.Mutex
+	sessions          map[uint32]*session
+	lastSessionNumber uint32
+	budgets           *retry.Budgets
 }
 
 // NewServer checks the options and opens the listener.
@@ -75,8 +76,8 @@
 	if limit == nil {
 		limit = evenShare(opts.View, minConnections, func(svc note.Service) int { return svc.Connections })
 	}
-	s.setPorts()
-	observers := append([]Observer{newSilence(s.giveUpOn)}, opts.Observers...)
+	s.setDefaults()
+	observers := append([]Observer{newUnresponsiveDetector(s.interruptReplica)}, opts.Observers...)
 	for _, port := range []any{s.router, s.positions} {
 		if o, ok := port.(Observer); ok {
 			observers = append(observers, o)
@@ -90,8 +91,8 @@
 	return s, nil
 }
 
-// setPorts fills in ports that are not given.
-func (s *Server) setPorts() {
+// setDefaults sets the interfaces that the options leave nil.
+func (s *Server) setDefaults() {
 	s.limiter, s.gate, s.router = s.opts.Limiter, s.opts.Gate, s.opts.Router
 	s.positions, s.durability = s.opts.Positions, s.opts.Durability
 	if s.limiter == nil {
@@ -112,15 +113,15 @@
 		s.router, s.positions = NewPrimaryRouter(s.opts.View), NoPositions{}
 	}
 	if s.durability == nil {
-		s.durability = &majorityWait{view: s.opts.View, read: s.PrimaryStatus}
+		s.durability = &majorityDurability{view: s.opts.View, read: s.PrimaryStatus}
 	}
 }
 
-// Addr returns the address that callers connect to.
+// Addr returns the address that the server listens on.
 func (s *Server) Addr() net.Addr { return s.listener.Addr() }
 
-// PrimaryStatus reads the positions of an endpoint that is a primary. The
-// reading begins after the call; concurrent calls share one.
+// PrimaryStatus reads the positions of an endpoint that is a primary. The reading begins
+// after the call; concurrent calls share one reading.
 func (s *Server) PrimaryStatus(ctx context.Context, endpoint string) (pgback.Status, error) {
 	member, err := s.backends.get(endpoint)
 	if err != nil {
@@ -129,15 +130,15 @@
 	return member.monitor.Positions(ctx)
 }
 
-// Run serves callers until ctx ends, then closes their connections. Drain
-// comes first for a graceful shutdown.
+// Run serves callers until ctx ends, then closes their connections. For a graceful shutdown
+// call Drain before ctx ends.
 func (s *Server) Run(ctx context.Context) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	stop := context.AfterFunc(ctx, func() { _ = s.listener.Close() })
 	defer stop()
 	s.spawn(func() { s.backends.run(ctx) })
-	s.spawn(func() { s.watch(ctx) })
+	s.spawn(func() { s.watchView(ctx) })
 	if s.shared != nil {
 		s.spawn(func() { s.shared.run(ctx) })
 	}
@@ -155,6 +156,7 @@
 	return err
 }
 
+// spawn runs a task that Run waits for.
 func (s *Server) spawn(task func()) {
 	s.tasks.Add(1)
 	go func() {
@@ -163,6 +165,7 @@
 	}()
 }
 
+// accept accepts callers until the listener is closed.
 func (s *Server) accept(ctx context.Context) error {
 	for {
 		nc, err := s.listener.Accept()
@@ -183,17 +186,17 @@
 	}
 }
 
-// acceptPause is the wait after a failed accept, for example when the process
-// has no file descriptors left.
+// acceptPause is the wait after a failed accept, for example when the process has run out of
+// file descriptors.
 const acceptPause = 50 * time.Millisecond
 
-// watch tells the sessions about changes of the agreed state.
-func (s *Server) watch(ctx context.Context) {
+// watchView applies each change of the agreed state to all sessions.
+func (s *Server) watchView(ctx context.Context) {
 	for {
 		changed := s.opts.View.Changed()
 		v := s.opts.View.Current()
-		for _, session := range s.list() {
-			session.review(v)
+		for _, session := range s.activeSessions() {
+			session.applyView(v)
 		}
 		select {
 		case <-changed:
@@ -203,7 +206,8 @@
 	}
 }
 
-func (s *Server) list() []*session {
+// activeSessions returns the registered sessions.
+func (s *Server) activeSessions() []*session {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	all := make([]*session, 0, len(s.sessions))
@@ -213,13 +217,13 @@
 	return all
 }
 
-// Drain stops accepting callers and waits until each has ended its request or
-// transaction. Idle callers are told that the host shuts down.
+// Drain stops accepting callers and waits until each has ended its request or transaction.
+// Idle callers are disconnected with code ShuttingDown.
 func (s *Server) Drain(ctx context.Context) error {
 	s.draining.Store(true)
 	_ = s.listener.Close()
 	for {
-		all := s.list()
+		all := s.activeSessions()
 		if len(all) == 0 {
 			return nil
 		}
@@ -233,11 +237,12 @@
 }
 
 func (s *Server) closeSessions() {
-	for _, session := range s.list() {
+	for _, session := range s.activeSessions() {
 		session.kill()
 	}
 }
 
+// newSecret returns the random secret of a cancel key.
 func newSecret() []byte {
 	secret := make([]byte, 4)
 	_, _ = rand.Read(secret) // crypto/rand.Read never fails
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -12,57 +12,64 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// resetTimeout bounds the reset of an endpoint connection.
+// resetTimeout bounds the reset of an endpoint connection and the change of its settings.
 const resetTimeout = 5 * time.Second
 
-// maxStatements bounds the prepared statements of one caller.
+// maxStatements is the largest number of prepared statements of one session.
 const maxStatements = 4096
 
-// Transaction states as reported to callers.
+// Transaction states in ReadyForQuery.
 const (
 	txIdle   = 'I'
 	txActive = 'T'
 	txFailed = 'E'
 )
 
-// session serves one caller. Its goroutine owns all fields but those under mu.
+// session serves one caller. Its goroutine owns all fields but those guarded by mu, which
+// cancel requests and changes of the agreed state access from other goroutines. checkout is
+// not nil only while a unit runs, within a transaction, or between Flush and Sync.
 type session struct {
-	srv   *Server
-	conn  *pgfront.Conn
-	pid   uint32
-	key   []byte
-	who   identity
-	param params
-	set   settings
-	// pendingSet holds SET statements of a transaction in progress.
+	srv      *Server
+	conn     *pgfront.Conn
+	pid      uint32
+	key      []byte
+	identity identity
+	params   params
+	settings settings
+	// pendingSet holds the SET statements of the transaction in progress, which take effect
+	// when it commits.
 	pendingSet []string
+	// statements holds the prepared statements by the caller's names.
 	statements map[string]*statement
 
-	// lease is held within a transaction or between Flush and Sync.
-	lease *lease
-	// failed tells that a transaction was rolled back by the entry, so that
-	// statements are refused until the caller ends it.
+	// checkout is the endpoint connection in use, or nil.
+	checkout *checkout
+	// failed: the entry has rolled back the transaction; statements are refused until the
+	// caller ends it.
 	failed bool
-	// skip tells that messages are dropped until Sync.
-	skip bool
-	// batch collects messages of the extended protocol.
+	// skipToSync: messages are ignored until Sync, after an error in a pipeline.
+	skipToSync bool
+	// batch collects the messages of the extended protocol up to Flush or Sync.
 	batch *unit
 
-	mu      sync.Mutex
-	held    *lease
-	reason  error
-	stopped func()
+	mu sync.Mutex
+	// active is the checkout on which a request may be interrupted or cancelled.
+	active *checkout
+	// reason is why the session must end, or nil.
+	reason error
+	// cancelWait ends the wait of the request in progress, or is nil.
+	cancelWait func()
 }
 
-// run serves requests until the caller leaves or the session must end.
+// run serves requests until the caller disconnects or the session must end.
 func (s *session) run() {
 	err := s.loop()
-	if s.lease != nil {
-		s.abandon()
+	if s.checkout != nil {
+		s.discardConnection()
 	}
 	if result.CodeOf(err) != 0 {
 		s.srv.metrics.result(err)
-		s.srv.log.Info("session_closed", "workspace", s.who.workspace, "code", result.CodeOf(err), "reason", err)
+		s.srv.log.Info("session_closed", "workspace", s.identity.workspace, "code", result.CodeOf(err), "reason", err)
 		if result.CodeOf(err) != result.SlowClient {
 			s.conn.Refuse(err)
 		}
@@ -72,7 +79,7 @@
 
 func (s *session) loop() error {
 	for {
-		if err := s.boundary(); err != nil {
+		if err := s.checkStop(); err != nil {
 			return err
 		}
 		msg, err := s.conn.Receive()
@@ -86,8 +93,9 @@
 	}
 }
 
-// boundary ends the session between two statements when it has been told to.
-func (s *session) boundary() error {
+// checkStop returns the reason to end the session before its next message, or nil. A
+// shutdown does not end a session that is in a transaction or pipeline.
+func (s *session) checkStop() error {
 	reason := s.stopReason()
 	if reason == nil {
 		return nil
@@ -100,9 +108,11 @@
 
 // busy reports whether the caller is within a transaction or a pipeline.
 func (s *session) busy() bool {
-	return s.lease != nil || s.batch != nil || s.skip
+	return s.checkout != nil || s.batch != nil || s.skipToSync
 }
 
+// receiveError handles an error of Receive. A timeout is the sign of an interruption: the
+// session ends for its stop reason, or goes on when a shutdown has to wait.
 func (s *session) receiveError(err error) error {
 	var netErr net.Error
 	if !errors.As(err, &netErr) || !netErr.Timeout() {
@@ -119,7 +129,7 @@
 	return reason
 }
 
-// handle serves one message.
+// handle processes one message. done reports that the caller has ended the session.
 func (s *session) handle(msg pgproto3.FrontendMessage) (done bool, err error) {
 	switch msg := msg.(type) {
 	case *pgproto3.Terminate:
@@ -133,30 +143,31 @@
 	case *pgproto3.Parse, *pgproto3.Bind, *pgproto3.Describe, *pgproto3.Execute, *pgproto3.Close:
 		return false, s.collect(msg)
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		return false, nil // left over from a COPY that failed
+		return false, nil // the rest of a COPY that failed
 	case *pgproto3.FunctionCall:
 		return false, s.refuse(result.New(result.UnsupportedFeature, "function calls of the wire protocol"), true)
 	}
 	return false, result.New(result.MalformedMessage, "%T is not expected here", msg)
 }
 
+// query serves a simple query. It ends a pipeline without Sync.
 func (s *session) query(text string) error {
-	s.skip = false
+	s.skipToSync = false
 	s.batch = nil
-	u, err := newSimple(text)
+	u, err := newSimpleUnit(text)
 	if err != nil {
 		return err
 	}
 	return s.serve(u)
 }
 
-// collect appends a message to the batch.
+// collect appends a message of the extended protocol to the batch.
 func (s *session) collect(msg pgproto3.FrontendMessage) error {
-	if s.skip {
+	if s.skipToSync {
 		return nil
 	}
 	if s.batch == nil {
-		s.batch = newBatch()
+		s.batch = newExtendedUnit()
 	}
 	if err := s.batch.add(msg, s.statements); err != nil {
 		return err
@@ -172,59 +183,62 @@
 	return nil
 }
 
+// sync serves the batch up to Sync. After an error in the pipeline it is an empty unit.
 func (s *session) sync() error {
 	u := s.batch
 	s.batch = nil
-	if s.skip {
-		s.skip = false
+	if s.skipToSync {
+		s.skipToSync = false
 		u = nil
 	}
 	if u == nil {
-		u = newBatch()
+		u = newExtendedUnit()
 	}
 	u.sync = true
 	return s.serve(u)
 }
 
+// flush serves the batch up to Flush.
 func (s *session) flush() error {
 	u := s.batch
 	s.batch = nil
-	if u == nil || s.skip {
+	if u == nil || s.skipToSync {
 		return s.conn.Flush()
 	}
 	return s.serve(u)
 }
 
-// refuse answers a request that was not run. A transaction in progress is
-// rolled back, because a part of it was refused.
-func (s *session) refuse(err error, ends bool) error {
+// refuse answers a unit with an error. A transaction in progress is rolled back, because a
+// part of it was refused. Unless the unit is final, that is, ends with ReadyForQuery,
+// messages are skipped up to Sync.
+func (s *session) refuse(err error, final bool) error {
 	s.srv.metrics.result(err)
-	if s.lease != nil {
-		s.failed = s.failed || s.lease.transaction
-		s.abandon()
+	if s.checkout != nil {
+		s.failed = s.failed || s.checkout.transaction
+		s.discardConnection()
 	}
 	if queueErr := s.conn.Queue(pgfront.ErrorMessage(err, pgfront.Error)); queueErr != nil {
 		return queueErr
 	}
-	if !ends {
-		s.skip = true
+	if !final {
+		s.skipToSync = true
 		return s.conn.Flush()
 	}
 	return s.ready(s.status())
 }
 
-// status is the transaction state as the caller knows it.
+// status returns the transaction state to report to the caller.
 func (s *session) status() byte {
 	switch {
 	case s.failed:
 		return txFailed
-	case s.lease != nil && s.lease.transaction:
+	case s.checkout != nil && s.checkout.transaction:
 		return txActive
 	}
 	return txIdle
 }
 
-// ready tells the caller that the next request may come.
+// ready sends ReadyForQuery with all queued output.
 func (s *session) ready(status byte) error {
 	if err := s.conn.Queue(&pgproto3.ReadyForQuery{TxStatus: status}); err != nil {
 		return err
@@ -232,23 +246,23 @@
 	return s.conn.Flush()
 }
 
-// abandon closes the endpoint connection, which rolls back a transaction.
-func (s *session) abandon() {
-	l := s.lease
-	s.lease = nil
+// discardConnection closes the endpoint connection, which rolls back its transaction.
+func (s *session) discardConnection() {
+	co := s.checkout
+	s.checkout = nil
 	s.pendingSet = nil
-	s.release(l, false)
+	s.release(co, false)
 }
 
-// script is the settings that the session needs on an endpoint connection.
+// script returns the SET statements that the session needs on an endpoint connection.
 func (s *session) script() string {
-	if s.who.open || s.param.readOnly {
-		return "SET default_transaction_read_only = on;" + s.set.script
+	if s.identity.open || s.params.readOnly {
+		return "SET default_transaction_read_only = on;" + s.settings.script
 	}
-	return s.set.script
+	return s.settings.script
 }
 
-// readOnly reports whether the caller declared the session read-only.
+// readOnly reports whether the session is read-only.
 func (s *session) readOnly() bool {
-	return s.who.open || s.param.readOnly || s.set.readOnly()
+	return s.identity.open || s.params.readOnly || s.settings.readOnly()
 }
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -12,17 +12,17 @@
 )
 
 const (
-	// noStatement is a name that no statement has; closing it has no effect.
-	noStatement = "gb_none"
-	// statementDigest is the part of the SHA-256 digest, in bytes, that names a
-	// statement. It resists collisions that a caller could look for.
-	statementDigest = 16
+	// absentStatement is a name that no statement has; closing it has no effect.
+	absentStatement = "gb_none"
+	// statementDigestBytes is the length of the SHA-256 prefix that names a statement. It
+	// is long enough that a caller cannot construct collisions.
+	statementDigestBytes = 16
 )
 
 // statement is a prepared statement of a caller. It is immutable.
 type statement struct {
-	// name is derived from the content, so that equal statements of different
-	// callers share one prepared statement on an endpoint connection.
+	// name is derived from the query and its parameter types, so that equal statements of
+	// different callers share one prepared statement on an endpoint connection.
 	name  string
 	query string
 	oids  []uint32
@@ -37,7 +37,7 @@
 		content = binary.BigEndian.AppendUint32(content, oid)
 	}
 	digest := sha256.Sum256(content)
-	name := "gb_" + hex.EncodeToString(digest[:statementDigest])
+	name := "gb_" + hex.EncodeToString(digest[:statementDigestBytes])
 	return &statement{name: name, query: query, oids: append([]uint32(nil), oids...), class: classify(query)}
 }
 
@@ -57,8 +57,8 @@
 // op is one message of the extended protocol.
 type op struct {
 	kind opKind
-	// client is the statement's name as the caller knows it.
-	client string
+	// clientName is the caller's name of the statement.
+	clientName string
 	// stmt is the statement that the message refers to; nil when unknown.
 	stmt *statement
 	// start and end delimit the encoded message within the unit.
@@ -66,27 +66,28 @@
 	end   int
 }
 
-// unit is what is sent to an endpoint in one go: a simple query, or messages
-// of the extended protocol up to Sync or Flush.
+// unit is what is sent to an endpoint together: a simple query, or the messages of the
+// extended protocol up to Sync or Flush.
 type unit struct {
-	// simple is set for a simple query, whose class it is.
+	// simple: the unit is a simple query with the given text and class.
 	simple bool
 	text   string
 	class  class
-	ops    []op
-	// data holds the encoded messages.
+	// ops are the messages of the extended protocol, in order.
+	ops []op
+	// data holds the encoded messages, without Sync or Flush.
 	data []byte
-	// sync tells that the unit ends with Sync.
+	// sync: the unit ends with Sync. It is set for a simple query as well.
 	sync bool
 	// portals maps the portals bound in this unit to their statements.
 	portals map[string]*statement
-	// parsed maps the names parsed in this unit to their statements; nil marks
+	// parsed maps the caller's names parsed in this unit to their statements; nil marks
 	// closed ones.
 	parsed map[string]*statement
 }
 
 // newSimple returns the unit of a simple query.
-func newSimple(text string) (*unit, error) {
+func newSimpleUnit(text string) (*unit, error) {
 	data, err := (&pgproto3.Query{String: text}).Encode(nil)
 	if err != nil {
 		return nil, result.New(result.MalformedMessage, "%v", err)
@@ -94,11 +95,13 @@
 	return &unit{simple: true, sync: true, text: text, class: classify(text), data: data}, nil
 }
 
-func newBatch() *unit {
+// newExtendedUnit returns an empty unit of the extended protocol.
+func newExtendedUnit() *unit {
 	return &unit{portals: make(map[string]*statement), parsed: make(map[string]*statement)}
 }
 
-// lookup finds a statement by the caller's name for it.
+// lookup returns the statement with the caller's name, or nil. Statements of the unit take
+// precedence over those of the session.
 func (u *unit) lookup(name string, session map[string]*statement) *statement {
 	if stmt, ok := u.parsed[name]; ok {
 		return stmt
@@ -106,15 +109,16 @@
 	return session[name]
 }
 
-// add appends a message of the extended protocol.
+// add appends a message of the extended protocol. The caller's statement names are replaced
+// by names derived from the content; Close names no statement, because others may share it.
 func (u *unit) add(msg pgproto3.FrontendMessage, session map[string]*statement) error {
 	switch msg := msg.(type) {
 	case *pgproto3.Parse:
 		stmt := newStatement(msg.Query, msg.ParameterOIDs)
 		u.parsed[msg.Name] = stmt
-		client := msg.Name
+		clientName := msg.Name
 		msg.Name = stmt.name
-		return u.append(op{kind: opParse, client: client, stmt: stmt}, msg)
+		return u.append(op{kind: opParse, clientName: clientName, stmt: stmt}, msg)
 	case *pgproto3.Bind:
 		stmt := u.lookup(msg.PreparedStatement, session)
 		u.portals[msg.DestinationPortal] = stmt
@@ -133,17 +137,18 @@
 		if msg.ObjectType == 'P' {
 			return u.append(op{kind: opClosePortal}, msg)
 		}
-		client := msg.Name
-		u.parsed[client] = nil
-		msg.Name = noStatement
-		return u.append(op{kind: opCloseStatement, client: client}, msg)
+		clientName := msg.Name
+		u.parsed[clientName] = nil
+		msg.Name = absentStatement
+		return u.append(op{kind: opCloseStatement, clientName: clientName}, msg)
 	}
 	return result.New(result.MalformedMessage, "%T is not expected here", msg)
 }
 
+// nameOf returns the name of the statement on endpoint connections.
 func nameOf(stmt *statement) string {
 	if stmt == nil {
-		return noStatement
+		return absentStatement
 	}
 	return stmt.name
 }
@@ -160,28 +165,28 @@
 	return nil
 }
 
-// plan is a unit prepared for one endpoint connection.
+// plan is a unit encoded for one endpoint connection, with the answers that it expects.
 type plan struct {
 	encoded []byte
-	// parses and closes tell, for each answer to Parse and Close in order,
-	// what it answers.
-	parses []answer
-	closes []answer
-	// pending is the number of answers before the one to Sync.
+	// parses and closes hold the expected answers to Parse and Close, each in order.
+	parses []expectedAnswer
+	closes []expectedAnswer
+	// pending is the number of answers expected before the one to Sync.
 	pending int
 }
 
-// answer is what an answer of the endpoint stands for.
-type answer struct {
-	// injected answers are not passed on to the caller.
-	injected bool
-	client   string
-	stmt     *statement
+// expectedAnswer is the meaning of an expected ParseComplete or CloseComplete.
+type expectedAnswer struct {
+	// injected: the message was added by the entry; its answer is not relayed.
+	injected   bool
+	clientName string
+	stmt       *statement
 	// name is the statement's name on the endpoint connection.
 	name string
 }
 
-// planFor adds the messages that prepare missing statements on the connection.
+// planFor encodes the unit for a connection and adds the messages that prepare the
+// statements which the connection lacks.
 func (u *unit) planFor(state *pgback.SessionState) (plan, error) {
 	if u.simple {
 		return plan{encoded: u.data}, nil
@@ -205,17 +210,22 @@
 	return b.plan, err
 }
 
+// planBuilder builds a plan. state is the connection's; statements that the plan closes are
+// removed from it at once, those that it prepares are added when the endpoint confirms them.
 type planBuilder struct {
 	plan  plan
 	state *pgback.SessionState
-	// known holds the statements that earlier messages of the unit prepare.
+	// known holds the names of the statements that earlier messages of the unit prepare.
 	known map[string]bool
 }
 
+// has reports whether the statement is prepared when the next message is processed.
 func (b *planBuilder) has(name string) bool {
 	return b.known[name] || b.state.Has(name)
 }
 
+// add appends a message. A Parse of a statement that is already prepared is preceded by its
+// Close, and a use of a statement that is not prepared by its Parse.
 func (b *planBuilder) add(o op, encoded []byte) error {
 	switch o.kind {
 	case opParse:
@@ -225,7 +235,7 @@
 			}
 		}
 		b.known[o.stmt.name] = true
-		b.plan.parses = append(b.plan.parses, answer{client: o.client, stmt: o.stmt, name: o.stmt.name})
+		b.plan.parses = append(b.plan.parses, expectedAnswer{clientName: o.clientName, stmt: o.stmt, name: o.stmt.name})
 	case opBind, opDescribeStatement:
 		if o.stmt != nil && !b.has(o.stmt.name) {
 			if err := b.injectParse(o.stmt); err != nil {
@@ -233,16 +243,17 @@
 			}
 		}
 	case opCloseStatement, opClosePortal:
-		b.plan.closes = append(b.plan.closes, answer{client: o.client, stmt: o.stmt})
+		b.plan.closes = append(b.plan.closes, expectedAnswer{clientName: o.clientName, stmt: o.stmt})
 	}
 	b.plan.encoded = append(b.plan.encoded, encoded...)
 	b.plan.pending++
 	return nil
 }
 
+// injectParse adds a Parse and closes a statement when the connection has too many.
 func (b *planBuilder) injectParse(stmt *statement) error {
-	if surplus, ok := b.state.EvictionCandidate(); ok && !b.known[surplus] {
-		if err := b.injectClose(surplus); err != nil {
+	if candidate, ok := b.state.EvictionCandidate(); ok && !b.known[candidate] {
+		if err := b.injectClose(candidate); err != nil {
 			return err
 		}
 	}
@@ -253,11 +264,12 @@
 	}
 	b.plan.encoded = encoded
 	b.known[stmt.name] = true
-	b.plan.parses = append(b.plan.parses, answer{injected: true, stmt: stmt, name: stmt.name})
+	b.plan.parses = append(b.plan.parses, expectedAnswer{injected: true, stmt: stmt, name: stmt.name})
 	b.plan.pending++
 	return nil
 }
 
+// injectClose adds a Close of a statement on the connection.
 func (b *planBuilder) injectClose(name string) error {
 	encoded, err := (&pgproto3.Close{ObjectType: 'S', Name: name}).Encode(b.plan.encoded)
 	if err != nil {
@@ -265,7 +277,7 @@
 	}
 	b.plan.encoded = encoded
 	b.state.Remove(name)
-	b.plan.closes = append(b.plan.closes, answer{injected: true, name: name})
+	b.plan.closes = append(b.plan.closes, expectedAnswer{injected: true, name: name})
 	b.plan.pending++
 	return nil
 }
