--- a/bridge/host.go
+++ b/bridge/host.go
@@ -45,23 +45,23 @@
 }
 
 // goodbyeTimeout bounds the deregistration at shutdown.
-const goodbyeTimeout = 3 * time.Second
+const deregisterTimeout = 3 * time.Second
 
 // Host is one host of galenabridge. A Host runs once.
 type Host struct {
-	opts       Options
-	settings   *config.Settings
-	timing     lease.Config
-	log        *log.Logger
-	registry   *prometheus.Registry
-	peers      *peer.Node
-	view       *view.Publisher
-	subscriber *control.Subscriber
-	control    *control.Host
-	owner      *limits.Owner
-	holder     *limits.Holder
-	entry      *entry.Server
-	admin      *admin.Server
+	opts        Options
+	settings    *config.Settings
+	leaseConfig lease.Config
+	log         *log.Logger
+	registry    *prometheus.Registry
+	peers       *peer.Node
+	view        *view.Publisher
+	subscriber  *control.Subscriber
+	control     *control.Host
+	owner       *limits.Owner
+	holder      *limits.Holder
+	entry       *entry.Server
+	admin       *admin.Server
 	// accepting is the answer to the balancer's health check.
 	accepting atomic.Bool
 }
@@ -75,12 +75,12 @@
 		opts.Logger = log.New(io.Discard)
 	}
 	h := &Host{
-		opts:     opts,
-		settings: opts.Settings,
-		timing:   lease.DefaultConfig(),
-		log:      opts.Logger.With("host", opts.Settings.Host),
-		registry: prometheus.NewRegistry(),
-		view:     view.NewPublisher(),
+		opts:        opts,
+		settings:    opts.Settings,
+		leaseConfig: lease.DefaultConfig(),
+		log:         opts.Logger.With("host", opts.Settings.Host),
+		registry:    prometheus.NewRegistry(),
+		view:        view.NewPublisher(),
 	}
 	h.registry.MustRegister(
 		collectors.NewGoCollector(),
@@ -114,7 +114,7 @@
 		Secret:      h.settings.FleetSecret,
 		Incarnation: uint64(time.Now().UnixNano()),
 		Listen:      h.settings.Peer.Listen,
-		Advertise:   advertised(h.settings.Peer),
+		Advertise:   advertiseAddr(h.settings.Peer),
 		TLS:         tlsConfig,
 		Registry:    h.registry,
 		Logger:      h.log,
@@ -124,7 +124,7 @@
 
 // advertised leaves the address to the listener when none was set apart from
 // the one listened on, which may name port 0.
-func advertised(p config.Peer) string {
+func advertiseAddr(p config.Peer) string {
 	if p.Advertise == p.Listen {
 		return ""
 	}
@@ -139,7 +139,7 @@
 			Bootstrap: c.Bootstrap,
 			Controls:  h.settings.Controls,
 			Peer:      h.peers,
-			Lease:     h.timing,
+			Lease:     h.leaseConfig,
 			Logger:    h.log,
 			Databases: watch.NewProber(),
 			Registry:  h.registry,
@@ -154,7 +154,7 @@
 		Control:  h.settings.Control != nil,
 		Controls: h.settings.Controls,
 		Peer:     h.peers,
-		Lease:    h.timing,
+		Lease:    h.leaseConfig,
 		Logger:   h.log,
 		View:     h.view,
 		Registry: h.registry,
--- a/bridge/run.go
+++ b/bridge/run.go
@@ -21,9 +21,9 @@
 
 	var group run.Group
 	group.Add(func() error {
-		return h.tree().Run(taskCtx)
+		return h.supervisedTasks().Run(taskCtx)
 	}, func(error) { stopTasks() })
-	for _, task := range h.essential() {
+	for _, task := range h.essentialTasks() {
 		group.Add(func() error {
 			return task.Run(taskCtx)
 		}, func(error) { stopTasks() })
@@ -47,7 +47,7 @@
 var errShutdown = errors.New("shut down")
 
 // tree holds the tasks that are restarted when they fail.
-func (h *Host) tree() *supervise.Tree {
+func (h *Host) supervisedTasks() *supervise.Tree {
 	tree := supervise.New(h.settings.Host, h.log)
 	if h.control != nil {
 		tree.Add("control", h.control)
@@ -63,7 +63,7 @@
 
 // essential holds the tasks that own listeners. When one fails the host ends,
 // and its process is started anew by the platform.
-func (h *Host) essential() []supervise.Task {
+func (h *Host) essentialTasks() []supervise.Task {
 	tasks := []supervise.Task{h.peers, h.admin}
 	if h.entry != nil {
 		h.accepting.Store(true)
@@ -77,7 +77,7 @@
 	h.log.Info("shutdown_begin")
 	h.accepting.Store(false)
 	h.drain(ctx)
-	ctx, cancel := context.WithTimeout(ctx, goodbyeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, deregisterTimeout)
 	defer cancel()
 	if err := h.subscriber.Leave(ctx); err != nil {
 		h.log.Warn("deregister_failed", "err", err.Error())
--- a/cmd/bridgebench/commands.go
+++ b/cmd/bridgebench/commands.go
@@ -76,7 +76,7 @@
 		return checkErr
 	}
 	if res.Violations.Total() > 0 {
-		return errBroken
+		return errCheckFailed
 	}
 	return nil
 }
@@ -93,14 +93,14 @@
 		}
 		return system.Target(), system.Stop, nil
 	case !c.Direct:
-		target, err := c.running()
+		target, err := c.runningTarget()
 		return target, func() {}, err
 	}
-	return c.direct(ctx, p)
+	return c.directTarget(ctx, p)
 }
 
 // direct starts stand-in endpoints without the proxy.
-func (c *runCommand) direct(ctx context.Context, p *bench.Profile) (bench.Target, func(), error) {
+func (c *runCommand) directTarget(ctx context.Context, p *bench.Profile) (bench.Target, func(), error) {
 	direct, err := bench.NewDirect(p, c.Lag)
 	if err != nil {
 		return bench.Target{}, nil, err
@@ -117,7 +117,7 @@
 }
 
 // running returns a system that was started elsewhere.
-func (c *runCommand) running() (bench.Target, error) {
+func (c *runCommand) runningTarget() (bench.Target, error) {
 	if len(c.Addrs) == 0 {
 		return bench.Target{}, errors.New("name the system under load with --addr and --key, or use --program or --direct")
 	}
@@ -195,7 +195,7 @@
 		return err
 	}
 	if bench.Compare(os.Stdout, older, newer, bounds) > 0 {
-		return errBroken
+		return errCheckFailed
 	}
 	return nil
 }
--- a/cmd/bridgebench/main.go
+++ b/cmd/bridgebench/main.go
@@ -12,12 +12,12 @@
 
 // Exit codes.
 const (
-	exitBroken = 1
-	exitError  = 2
+	exitCheckFailed = 1
+	exitError       = 2
 )
 
 // errBroken reports violations or broken bounds.
-var errBroken = errors.New("violations or broken bounds")
+var errCheckFailed = errors.New("violations or broken bounds")
 
 func main() {
 	parser := flags.NewParser(&struct{}{}, flags.Default)
@@ -29,8 +29,8 @@
 	if err == nil || flags.WroteHelp(err) {
 		return
 	}
-	if errors.Is(err, errBroken) {
-		os.Exit(exitBroken)
+	if errors.Is(err, errCheckFailed) {
+		os.Exit(exitCheckFailed)
 	}
 	os.Exit(exitError)
 }
--- a/cmd/galenabridged/main.go
+++ b/cmd/galenabridged/main.go
@@ -71,12 +71,12 @@
 		if !errors.Is(err, daemon.ErrReplaced) || ctx.Err() != nil {
 			return 1
 		}
-		ahead += renumber
+		ahead += incarnationStep
 	}
 }
 
 // renumber is more than any step of the time of day that a platform repairs.
-const renumber = time.Hour
+const incarnationStep = time.Hour
 
 func run(ctx context.Context, opts options, logger *log.Logger, ahead time.Duration) error {
 	settings, err := platform.LoadSettings(opts.Settings)
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -28,17 +28,17 @@
 const (
 	// notReadyFor is how long a host goes on serving after it has turned not
 	// ready: the balancer asks each second and believes the second miss.
-	notReadyFor = 2200 * time.Millisecond
+	unreadyPeriod = 2200 * time.Millisecond
 	// transactionShare of the time to stop is left to open transactions.
 	transactionShare = 0.5
 	// rateFloor leaves most of each rate to the hosts that need it: callers gather
 	// unevenly, and what a host does not use of its floor is lost.
 	rateFloor = 0.1
 	// goodbyeTimeout bounds the deregistration at shutdown.
-	goodbyeTimeout = 300 * time.Millisecond
+	deregisterTimeout = 300 * time.Millisecond
 	// drainPause is the time between the last refusals and the end of the process,
 	// for answers on their way.
-	drainPause = 300 * time.Millisecond
+	replyFlushTime = 300 * time.Millisecond
 )
 
 // Options configure a Daemon.
@@ -76,7 +76,7 @@
 	holder     *limits.Holder
 	core       *core.Server
 	stopping   atomic.Bool
-	served     atomic.Bool // has held a lease
+	hadLease   atomic.Bool // has held a lease
 	replaced   chan struct{}
 }
 
@@ -103,7 +103,7 @@
 // timing returns the configuration lease. It bounds how long a host out of touch
 // delays a change of a primary, and how long a fleet that starts again waits for
 // leases that it does not know; an election takes 0.1 to 0.6 s of it.
-func timing() lease.Config {
+func leaseConfig() lease.Config {
 	cfg := lease.DefaultConfig()
 	cfg.Duration, cfg.RenewInterval = 2*time.Second, 400*time.Millisecond
 	cfg.Exclusive = true // a host is named by the address that its process listens on
@@ -112,30 +112,30 @@
 
 // shares tells how the hosts share limits: endpoints are probed only during a
 // change of their primary, by the control leader and one host that suspects.
-func (d *Daemon) shares() limits.Config {
+func (d *Daemon) limitsConfig() limits.Config {
 	cfg := limits.DefaultConfig()
-	cfg.Lease = timing()
+	cfg.Lease = leaseConfig()
 	cfg.FloorConnections, cfg.Probes, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
 	cfg.Tolerance = d.opts.Tolerance
 	return cfg
 }
 
 func (d *Daemon) buildControl() {
-	timing := timing()
+	leaseCfg := leaseConfig()
 	seeds := config.SeedHosts(d.opts.Settings.Seeds)
 	if c := d.opts.Settings.Control; c != nil {
 		d.control = control.New(control.Options{
 			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, Open: true, Controls: seeds,
-			Peer: d.peers, Lease: timing, Logger: d.log, Registry: d.registry,
+			Peer: d.peers, Lease: leaseCfg, Logger: d.log, Registry: d.registry,
 			Databases: d.opts.EndpointManager, Fenced: d.opts.Fenced,
 		})
-		d.owner = limits.NewOwner(d.peers, d.view, d.shares(), d.log)
+		d.owner = limits.NewOwner(d.peers, d.view, d.limitsConfig(), d.log)
 	}
 	control.ServeEndpointRequests(d.peers, d.view, d.opts.EndpointManager)
 	d.subscriber = control.NewSubscriber(control.SubscriberOptions{
 		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, Open: true, Controls: seeds,
 		Entry: d.opts.Settings.Entry != nil, Control: d.opts.Settings.Control != nil,
-		Peer: d.peers, Lease: timing, Logger: d.log, View: d.view, Registry: d.registry,
+		Peer: d.peers, Lease: leaseCfg, Logger: d.log, View: d.view, Registry: d.registry,
 	})
 }
 
@@ -143,22 +143,22 @@
 	if d.opts.Settings.Entry == nil {
 		return
 	}
-	d.holder = limits.NewHolder(d.peers, d.view, d.shares(), d.log)
+	d.holder = limits.NewHolder(d.peers, d.view, d.limitsConfig(), d.log)
 	d.core = core.NewServer(core.Options{
 		View: d.view, Host: d.opts.Settings.Host, Domain: d.opts.Settings.Domain, Dialer: d.opts.Dialer, Limiter: d.holder,
-		Connections: d.holder.Connections, Observe: d.observe, Log: d.log, Registerer: d.registry,
+		Connections: d.holder.Connections, Observe: d.reportEvidence, Log: d.log, Registerer: d.registry,
 	})
 	d.holder.SetPool(d.core)
 }
 
 // observe passes evidence about an endpoint on to the control leader.
-func (d *Daemon) observe(e core.Evidence) {
-	seen := failover.Condition{Reachable: !e.Lost, InRecovery: e.ReadOnly}
+func (d *Daemon) reportEvidence(e core.Evidence) {
+	observed := failover.Condition{Reachable: !e.Lost, InRecovery: e.ReadOnly}
 	if v := d.view.Current(); v.State != nil {
-		seen.Timeline = v.State.Groups[e.Service].Timeline
+		observed.Timeline = v.State.Groups[e.Service].Timeline
 	}
 	d.subscriber.Observe(control.Observation{
-		Service: e.Service, Endpoint: e.Endpoint, Domain: d.opts.Settings.Domain, Watcher: d.opts.Settings.Host, Condition: seen,
+		Service: e.Service, Endpoint: e.Endpoint, Domain: d.opts.Settings.Domain, Watcher: d.opts.Settings.Host, Condition: observed,
 	})
 }
 
@@ -179,9 +179,9 @@
 // be no better off.
 func (d *Daemon) Ready() bool {
 	if d.view.Current().Valid() {
-		d.served.Store(true)
+		d.hadLease.Store(true)
 	}
-	return d.served.Load() && !d.stopping.Load()
+	return d.hadLease.Load() && !d.stopping.Load()
 }
 
 // SetSeeds takes over changed seeds.
@@ -203,31 +203,31 @@
 	add := func(task supervise.Task) {
 		group.Add(func() error { return task.Run(taskCtx) }, func(error) { stopTasks() })
 	}
-	add(d.tree())
+	add(d.supervisedTasks())
 	add(d.peers)
 	for _, task := range adapter {
 		add(task)
 	}
-	waitCtx, skip := context.WithCancel(ctx)
+	shutdownCtx, skipShutdown := context.WithCancel(ctx)
 	group.Add(func() error {
 		select {
 		case <-d.replaced:
 			return ErrReplaced
-		case <-waitCtx.Done():
+		case <-shutdownCtx.Done():
 		}
 		if ctx.Err() == nil {
 			return nil // another task has failed
 		}
 		d.shutdown(taskCtx)
 		return errShutdown
-	}, func(error) { skip() })
+	}, func(error) { skipShutdown() })
 	if err := group.Run(); !errors.Is(err, errShutdown) {
 		return err
 	}
 	return nil
 }
 
-func (d *Daemon) tree() *supervise.Tree {
+func (d *Daemon) supervisedTasks() *supervise.Tree {
 	tree := supervise.New(d.opts.Settings.Host, d.log)
 	if d.control != nil {
 		tree.Add("control", d.control)
@@ -250,7 +250,7 @@
 		d.drain(ctx)
 		d.log.Info("drained", "sessions", d.core.Sessions())
 	}
-	ctx, cancel := context.WithTimeout(ctx, goodbyeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, deregisterTimeout)
 	defer cancel()
 	if err := d.subscriber.Leave(ctx); err != nil {
 		d.log.Warn("deregister_failed", "err", err.Error())
@@ -258,17 +258,17 @@
 }
 
 func (d *Daemon) drain(ctx context.Context) {
-	begun := time.Now()
-	sleep(ctx, notReadyFor)
-	share := time.Duration(float64(d.opts.GracePeriod) * transactionShare)
-	drainCtx, cancel := context.WithDeadline(ctx, begun.Add(share))
+	start := time.Now()
+	sleep(ctx, unreadyPeriod)
+	budget := time.Duration(float64(d.opts.GracePeriod) * transactionShare)
+	drainCtx, cancel := context.WithDeadline(ctx, start.Add(budget))
 	err := d.core.Drain(drainCtx)
 	cancel()
 	if err == nil {
 		return
 	}
 	d.core.AbortTransactions()
-	lastCtx, cancel := context.WithTimeout(ctx, max(share-2*drainPause, drainPause))
+	lastCtx, cancel := context.WithTimeout(ctx, max(budget-2*replyFlushTime, replyFlushTime))
 	defer cancel()
 	if err := d.core.Drain(lastCtx); err != nil {
 		d.log.Warn("drain_incomplete", "err", err.Error())
