--- a/bridge/admin.go
+++ b/bridge/admin.go
@@ -5,6 +5,7 @@
 	"github.com/galenabridge/galenabridge/internal/announce"
 )
 
+// buildAdmin builds the admin server.
 func (h *Host) buildAdmin() error {
 	server, err := admin.New(admin.Options{
 		Listen:    h.settings.Admin.Listen,
@@ -23,7 +24,8 @@
 	return nil
 }
 
-// healthy tells the balancer whether to send callers to this host.
+// healthy is the result of the health check of the balancer: the host accepts callers and
+// holds a valid configuration lease.
 func (h *Host) healthy() bool {
 	return h.accepting.Load() && h.view.Current().Valid()
 }
--- a/bridge/host.go
+++ b/bridge/host.go
@@ -30,8 +30,8 @@
 const (
 	// PolicyFair admits by class and workspace, and reads from replicas.
 	PolicyFair Policy = "fair"
-	// PolicyFIFO admits in order of arrival and uses the primary only. It is a
-	// baseline for measurements.
+	// PolicyFIFO admits in order of arrival and uses the primary only. It is the
+	// baseline of benchmarks.
 	PolicyFIFO Policy = "fifo"
 )
 
@@ -44,7 +44,7 @@
 	Policy Policy
 }
 
-// goodbyeTimeout bounds the deregistration at shutdown.
+// deregisterTimeout bounds the deregistration at shutdown.
 const deregisterTimeout = 3 * time.Second
 
 // Host is one host of galenabridge. A Host runs once.
@@ -62,11 +62,13 @@
 	holder      *limits.Holder
 	entry       *entry.Server
 	admin       *admin.Server
-	// accepting is the answer to the balancer's health check.
+	// accepting is set while the entry role accepts callers. It is part of the balancer's
+	// health check.
 	accepting atomic.Bool
 }
 
-// New builds a host and opens its listeners. Run must follow.
+// New builds a host and opens its listeners. Run must follow, since only Run serves and
+// closes them.
 func New(opts Options) (*Host, error) {
 	if opts.Settings == nil {
 		return nil, errors.New("bridge: settings are required")
@@ -122,8 +124,9 @@
 	return h.peers.Listen()
 }
 
-// advertised leaves the address to the listener when none was set apart from
-// the one listened on, which may name port 0.
+// advertiseAddr returns the address to advertise. It is empty when the settings give none
+// other than the listen address: the peer listener then advertises its actual address,
+// since the listen address may have port 0.
 func advertiseAddr(p config.Peer) string {
 	if p.Advertise == p.Listen {
 		return ""
--- a/bridge/run.go
+++ b/bridge/run.go
@@ -11,11 +11,11 @@
 	"github.com/galenabridge/galenabridge/internal/watch"
 )
 
-// Run serves until ctx ends, then shuts down gracefully: the balancer's health
-// check fails first, requests in progress end, the host deregisters. It returns
-// nil after a graceful shutdown.
+// Run serves until ctx ends, then shuts down gracefully: the balancer's health check fails
+// first, then requests in progress end, then the host deregisters. It returns nil after a
+// graceful shutdown, and otherwise the error of the task that ended.
 func (h *Host) Run(ctx context.Context) error {
-	// The tasks outlive ctx: a graceful shutdown needs them.
+	// The tasks outlive ctx, since a graceful shutdown needs them.
 	taskCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopTasks()
 
@@ -32,7 +32,7 @@
 	group.Add(func() error {
 		<-shutdownCtx.Done()
 		if ctx.Err() == nil {
-			return nil // another member has failed
+			return nil // another task has ended
 		}
 		return h.shutdown(taskCtx)
 	}, func(error) { skipShutdown() })
@@ -44,9 +44,10 @@
 	return err
 }
 
+// errShutdown ends the task group after a graceful shutdown.
 var errShutdown = errors.New("shut down")
 
-// tree holds the tasks that are restarted when they fail.
+// supervisedTasks returns the tree of tasks that are restarted when they fail.
 func (h *Host) supervisedTasks() *supervise.Tree {
 	tree := supervise.New(h.settings.Host, h.log)
 	if h.control != nil {
@@ -61,8 +62,8 @@
 	return tree
 }
 
-// essential holds the tasks that own listeners. When one fails the host ends,
-// and its process is started anew by the platform.
+// essentialTasks returns the tasks that own listeners. When one ends, so does the host;
+// the platform restarts the process.
 func (h *Host) essentialTasks() []supervise.Task {
 	tasks := []supervise.Task{h.peers, h.admin}
 	if h.entry != nil {
@@ -86,6 +87,7 @@
 	return errShutdown
 }
 
+// drain lets requests in progress end, up to the drain timeout of the entry role.
 func (h *Host) drain(ctx context.Context) {
 	if h.entry == nil {
 		return
--- a/cmd/bridgebench/commands.go
+++ b/cmd/bridgebench/commands.go
@@ -61,6 +61,8 @@
 	return c.save(res, err)
 }
 
+// save writes the result and its plots, and returns checkErr or else whether the run found
+// violations.
 func (c *runCommand) save(res *bench.Result, checkErr error) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return errors.Wrap(err, "output folder")
@@ -81,7 +83,7 @@
 	return nil
 }
 
-// target returns the system under load and a function that ends it.
+// target returns the system under load and a function that stops it.
 func (c *runCommand) target(ctx context.Context, p *bench.Profile) (bench.Target, func(), error) {
 	switch {
 	case c.Program != "":
@@ -99,7 +101,7 @@
 	return c.directTarget(ctx, p)
 }
 
-// direct starts stand-in endpoints without the proxy.
+// directTarget starts stand-in endpoints without the proxy.
 func (c *runCommand) directTarget(ctx context.Context, p *bench.Profile) (bench.Target, func(), error) {
 	direct, err := bench.NewDirect(p, c.Lag)
 	if err != nil {
@@ -116,10 +118,10 @@
 	return direct.Target(), func() { cancel(); <-done }, nil
 }
 
-// running returns a system that was started elsewhere.
+// runningTarget returns a system that runs already.
 func (c *runCommand) runningTarget() (bench.Target, error) {
 	if len(c.Addrs) == 0 {
-		return bench.Target{}, errors.New("name the system under load with --addr and --key, or use --program or --direct")
+		return bench.Target{}, errors.New("give the system under load with --addr and --key, or use --program or --direct")
 	}
 	keys := make(map[string]string)
 	for _, pair := range c.Keys {
@@ -141,6 +143,7 @@
 	}, nil
 }
 
+// callerURL returns the connection string of a workspace for a service.
 func callerURL(addr, workspace, key, service string) string {
 	u := url.URL{
 		Scheme: "postgres", User: url.UserPassword(workspace, key), Host: addr, Path: "/" + service,
--- a/cmd/bridgecap/main.go
+++ b/cmd/bridgecap/main.go
@@ -1,5 +1,5 @@
-// Command bridgecap measures what the parts of galenabridge cost per unit of
-// load and works out the capacity page from it.
+// Command bridgecap measures the resource use of the parts of galenabridge per unit of load
+// and computes the capacity page from it.
 package main
 
 import (
@@ -15,6 +15,7 @@
 	"github.com/galenabridge/galenabridge/internal/capacity"
 )
 
+// measureCommand is "bridgecap measure".
 type measureCommand struct {
 	LeaderAdmin string        `long:"leader-admin" required:"yes" value-name:"IP:PORT" description:"admin address of the voter"`
 	RelayHost   string        `long:"relay-host" required:"yes" value-name:"NAME" description:"control host that subscribers follow"`
@@ -51,6 +52,7 @@
 	})
 }
 
+// renderCommand is "bridgecap render".
 type renderCommand struct {
 	Target string `long:"target" required:"yes" value-name:"FILE" description:"size of the fleet and bounds"`
 	Slopes string `long:"slopes" required:"yes" value-name:"FILE" description:"measurements"`
@@ -104,7 +106,7 @@
 		data        any
 	}{
 		{"measure", "measure slopes on running processes", &measureCommand{}},
-		{"render", "work out the capacity page", &renderCommand{}},
+		{"render", "compute the capacity page", &renderCommand{}},
 	}
 	for _, c := range commands {
 		if _, err := parser.AddCommand(c.name, c.short, c.short, c.data); err != nil {
--- a/cmd/galenabridge/main.go
+++ b/cmd/galenabridge/main.go
@@ -1,4 +1,4 @@
-// Command galenabridge is the daemon and the operators' command line.
+// Command galenabridge is the daemon and the command line for operators.
 package main
 
 import (
--- a/cmd/galenabridged/main.go
+++ b/cmd/galenabridged/main.go
@@ -1,5 +1,5 @@
-// Command galenabridged is the thin daemon that runs galenabridge on the users'
-// platform. Its argument names the role of the host, for logs.
+// Command galenabridged runs a host of galenabridge on the users' platform. Its argument is
+// the name of the host's role in logs; the settings file determines the actual roles.
 package main
 
 import (
@@ -18,6 +18,7 @@
 	"github.com/galenabridge/galenabridge/platform"
 )
 
+// options are the command line of the daemon.
 type options struct {
 	Settings string `long:"settings" description:"path of the settings file; the platform names it in the environment"`
 	Level    string `long:"log-level" description:"least level that is logged" choice:"debug" choice:"info" choice:"warn" choice:"error" default:"info"`
@@ -37,7 +38,8 @@
 	os.Exit(serve(opts))
 }
 
-// serve runs the host and returns the exit code of the process.
+// serve runs the host and returns the exit code of the process. A host that ends with
+// daemon.ErrReplaced is started again with a greater incarnation offset.
 func serve(opts options) int {
 	out := eventlog.New(os.Stdout)
 	logCtx, cancel := context.WithCancel(context.Background())
@@ -75,9 +77,11 @@
 	}
 }
 
-// renumber is more than any step of the time of day that a platform repairs.
+// incarnationStep is how much further ahead a restarted host sets its incarnation. It exceeds
+// any step by which a platform corrects the time of day.
 const incarnationStep = time.Hour
 
+// run builds a host from its settings and runs it until ctx ends.
 func run(ctx context.Context, opts options, logger *log.Logger, ahead time.Duration) error {
 	settings, err := platform.LoadSettings(opts.Settings)
 	if err != nil {
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -1,7 +1,7 @@
-// Package daemon builds a host from its roles for dialects other than
-// PostgreSQL: it connects the peers, the control role, the shares of limits and
-// the session core, and runs them under a supervisor tree. The adapter that
-// speaks with callers, endpoints and operators is given by the program.
+// Package daemon builds a host for protocols other than PostgreSQL. It connects the peers,
+// the control role, the shared limits and the session core, and runs them under a
+// supervisor tree. The program supplies the adapter that communicates with callers,
+// endpoints and operators.
 package daemon
 
 import (
@@ -26,18 +26,21 @@
 )
 
 const (
-	// notReadyFor is how long a host goes on serving after it has turned not
-	// ready: the balancer asks each second and believes the second miss.
+	// unreadyPeriod is how long a host continues to accept callers after its readiness
+	// probe has started to fail. The balancer probes every second and removes a host
+	// after the second failure.
 	unreadyPeriod = 2200 * time.Millisecond
-	// transactionShare of the time to stop is left to open transactions.
+	// transactionShare is the fraction of the grace period after which open
+	// transactions are aborted.
 	transactionShare = 0.5
-	// rateFloor leaves most of each rate to the hosts that need it: callers gather
-	// unevenly, and what a host does not use of its floor is lost.
+	// rateFloor is the limits.Config.RateFloor. It is low, so that most of each rate goes
+	// to the hosts that need it: callers are spread unevenly, and the unused part of a
+	// host's floor is lost.
 	rateFloor = 0.1
-	// goodbyeTimeout bounds the deregistration at shutdown.
+	// deregisterTimeout bounds the deregistration at shutdown.
 	deregisterTimeout = 300 * time.Millisecond
-	// drainPause is the time between the last refusals and the end of the process,
-	// for answers on their way.
+	// replyFlushTime is the time kept free between the last refusals and the end of the
+	// process, in which replies can still reach callers.
 	replyFlushTime = 300 * time.Millisecond
 )
 
@@ -46,24 +49,25 @@
 	Settings        *config.Settings
 	Dialer          core.Dialer
 	EndpointManager control.EndpointManager
-	// Fenced: orders to promote are checked by their fences.
+	// Fenced is set if outdated orders to promote are rejected by their fence.
 	Fenced bool
-	// GracePeriod is the time that a stop may take.
+	// GracePeriod is the time that a graceful shutdown may take.
 	GracePeriod time.Duration
-	// Tolerance is how far a workspace may pass its rate; all hosts have the same.
+	// Tolerance is how far a workspace may exceed its rate. It is the same on all hosts.
 	Tolerance limits.Tolerance
 	Logger    *log.Logger
-	// IncarnationOffset is added to the time of day that numbers the process; see ErrReplaced.
+	// IncarnationOffset is added to the time of day, which gives the incarnation of the
+	// process; see ErrReplaced.
 	IncarnationOffset time.Duration
 }
 
-// ErrReplaced ends a host whose identity belongs to a process with a higher
-// number. An address has one process at a time, so that a process which holds it
-// was only numbered by a clock that has stepped back since: it may start again
-// with a number that is further ahead.
-var ErrReplaced = errors.New("the identity of the host belongs to a process with a higher number")
+// ErrReplaced is returned by Run when the identity of the host belongs to a process with a
+// higher incarnation. Only one process at a time can listen on the address that is the
+// identity, so the higher incarnation came from a clock that has stepped back since. The
+// host may be started again with a greater IncarnationOffset.
+var ErrReplaced = errors.New("the identity of the host belongs to a process with a higher incarnation")
 
-// Daemon is one host. It runs once.
+// Daemon is one host. Run must be called at most once.
 type Daemon struct {
 	opts       Options
 	log        *log.Logger
@@ -76,11 +80,12 @@
 	holder     *limits.Holder
 	core       *core.Server
 	stopping   atomic.Bool
-	hadLease   atomic.Bool // has held a lease
-	replaced   chan struct{}
+	hadLease   atomic.Bool // has held a configuration lease
+	// replaced is closed when a higher incarnation of this host was seen.
+	replaced chan struct{}
 }
 
-// New builds a host and opens its peer listener.
+// New builds a host and opens its peer listener. Run must follow.
 func New(opts Options) (*Daemon, error) {
 	d := &Daemon{
 		opts: opts, log: opts.Logger, registry: prometheus.NewRegistry(), view: view.NewPublisher(),
@@ -100,18 +105,19 @@
 	return d, nil
 }
 
-// timing returns the configuration lease. It bounds how long a host out of touch
-// delays a change of a primary, and how long a fleet that starts again waits for
-// leases that it does not know; an election takes 0.1 to 0.6 s of it.
+// leaseConfig returns the times of the configuration lease. Its duration bounds how long an
+// unreachable host delays a change of a primary, and how long a restarted fleet waits for
+// leases that it has no record of. An election takes 0.1 to 0.6 s of the duration.
 func leaseConfig() lease.Config {
 	cfg := lease.DefaultConfig()
 	cfg.Duration, cfg.RenewInterval = 2*time.Second, 400*time.Millisecond
-	cfg.Exclusive = true // a host is named by the address that its process listens on
+	cfg.Exclusive = true // the identity of a host is the address that its process listens on
 	return cfg
 }
 
-// shares tells how the hosts share limits: endpoints are probed only during a
-// change of their primary, by the control leader and one host that suspects.
+// limitsConfig returns how the hosts share limits. Two connections of each endpoint are
+// reserved for probes: endpoints are probed only during a change of their primary, by the
+// control leader and by one host that suspects the primary.
 func (d *Daemon) limitsConfig() limits.Config {
 	cfg := limits.DefaultConfig()
 	cfg.Lease = leaseConfig()
@@ -151,7 +157,7 @@
 	d.holder.SetPool(d.core)
 }
 
-// observe passes evidence about an endpoint on to the control leader.
+// reportEvidence reports evidence about an endpoint to the control leader.
 func (d *Daemon) reportEvidence(e core.Evidence) {
 	observed := failover.Condition{Reachable: !e.Lost, InRecovery: e.ReadOnly}
 	if v := d.view.Current(); v.State != nil {
@@ -168,15 +174,15 @@
 // Control returns the control role, or nil.
 func (d *Daemon) Control() *control.Host { return d.control }
 
-// View returns the agreed state that the host follows.
+// View returns the source of the agreed state that the host follows.
 func (d *Daemon) View() view.Source { return d.view }
 
 // Gatherer returns the metrics of the host.
 func (d *Daemon) Gatherer() prometheus.Gatherer { return d.registry }
 
-// Ready reports whether the host takes callers: it has held a lease and is not
-// stopping. A lost lease alone does not make it unready, since the others would
-// be no better off.
+// Ready reports whether the host accepts callers: it has held a configuration lease and is
+// not stopping. A lost lease alone does not make it unready: the other hosts would be no
+// better off.
 func (d *Daemon) Ready() bool {
 	if d.view.Current().Valid() {
 		d.hadLease.Store(true)
@@ -184,7 +190,7 @@
 	return d.hadLease.Load() && !d.stopping.Load()
 }
 
-// SetSeeds takes over changed seeds.
+// SetSeeds replaces the seeds, which are addresses of control hosts.
 func (d *Daemon) SetSeeds(seeds []string) {
 	d.subscriber.SetSeeds(config.SeedHosts(seeds))
 	if d.control != nil {
@@ -192,10 +198,11 @@
 	}
 }
 
+// errShutdown ends the task group after a graceful shutdown.
 var errShutdown = errors.New("shut down")
 
-// Run serves until ctx ends, then stops gracefully. The adapter's tasks run as
-// long as the host does; when one ends, so does the host.
+// Run serves until ctx ends, then shuts down gracefully and returns nil. The adapter's tasks
+// run as long as the host does; when one ends, so does the host.
 func (d *Daemon) Run(ctx context.Context, adapter ...supervise.Task) error {
 	taskCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopTasks()
@@ -227,6 +234,7 @@
 	return nil
 }
 
+// supervisedTasks returns the tree of tasks that are restarted when they fail.
 func (d *Daemon) supervisedTasks() *supervise.Tree {
 	tree := supervise.New(d.opts.Settings.Host, d.log)
 	if d.control != nil {
@@ -241,8 +249,7 @@
 	return tree
 }
 
-// shutdown turns the balancer away, then ends sessions between operations, and
-// gives open transactions their share of the time.
+// shutdown makes the host unready, drains the sessions and deregisters the host.
 func (d *Daemon) shutdown(ctx context.Context) {
 	d.stopping.Store(true)
 	d.log.Info("stop", "grace_ms", d.opts.GracePeriod.Milliseconds())
@@ -257,6 +264,9 @@
 	}
 }
 
+// drain accepts callers for the unreadyPeriod, then closes each session once it has no
+// transaction and no statement in progress. Transactions still open after transactionShare
+// of the grace period are aborted; their sessions get the time that remains to close.
 func (d *Daemon) drain(ctx context.Context) {
 	start := time.Now()
 	sleep(ctx, unreadyPeriod)
@@ -275,6 +285,7 @@
 	}
 }
 
+// sleep waits for d or until ctx ends.
 func sleep(ctx context.Context, d time.Duration) {
 	select {
 	case <-ctx.Done():
