--- a/bridge/host.go
+++ b/bridge/host.go
@@ -30,8 +30,8 @@
 const (
 	// PolicyFair admits by class and workspace, and reads from replicas.
 	PolicyFair Policy = "fair"
-	// PolicyFIFO admits in order of arrival and uses the primary only. It is a
-	// baseline for measurements.
+	// PolicyFIFO admits in order of arrival and uses the primary only. It is the
+	// baseline of benchmarks.
 	PolicyFIFO Policy = "fifo"
 )
 
@@ -44,29 +44,31 @@
 	Policy Policy
 }
 
-// goodbyeTimeout bounds the deregistration at shutdown.
-const goodbyeTimeout = 3 * time.Second
+// deregisterTimeout bounds the deregistration at shutdown.
+const deregisterTimeout = 3 * time.Second
 
 // Host is one host of galenabridge. A Host runs once.
 type Host struct {
-	opts       Options
-	settings   *config.Settings
-	timing     lease.Config
-	log        *log.Logger
-	registry   *prometheus.Registry
-	peers      *peer.Node
-	view       *view.Publisher
-	subscriber *control.Subscriber
-	control    *control.Host
-	owner      *limits.Owner
-	holder     *limits.Holder
-	entry      *entry.Server
-	admin      *admin.Server
-	// accepting is the answer to the balancer's health check.
+	opts        Options
+	settings    *config.Settings
+	leaseConfig lease.Config
+	log         *log.Logger
+	registry    *prometheus.Registry
+	peers       *peer.Node
+	view        *view.Publisher
+	subscriber  *control.Subscriber
+	control     *control.Host
+	owner       *limits.Owner
+	holder      *limits.Holder
+	entry       *entry.Server
+	admin       *admin.Server
+	// accepting is set while the entry role accepts callers. It is part of the balancer's
+	// health check.
 	accepting atomic.Bool
 }
 
-// New builds a host and opens its listeners. Run must follow.
+// New builds a host and opens its listeners. Run must follow, since only Run serves and
+// closes them.
 func New(opts Options) (*Host, error) {
 	if opts.Settings == nil {
 		return nil, errors.New("bridge: settings are required")
@@ -75,12 +77,12 @@
 		opts.Logger = log.New(io.Discard)
 	}
 	h := &Host{
-		opts:     opts,
-		settings: opts.Settings,
-		timing:   lease.DefaultConfig(),
-		log:      opts.Logger.With("host", opts.Settings.Host),
-		registry: prometheus.NewRegistry(),
-		view:     view.NewPublisher(),
+		opts:        opts,
+		settings:    opts.Settings,
+		leaseConfig: lease.DefaultConfig(),
+		log:         opts.Logger.With("host", opts.Settings.Host),
+		registry:    prometheus.NewRegistry(),
+		view:        view.NewPublisher(),
 	}
 	h.registry.MustRegister(
 		collectors.NewGoCollector(),
@@ -114,7 +116,7 @@
 		Secret:      h.settings.FleetSecret,
 		Incarnation: uint64(time.Now().UnixNano()),
 		Listen:      h.settings.Peer.Listen,
-		Advertise:   advertised(h.settings.Peer),
+		Advertise:   advertiseAddr(h.settings.Peer),
 		TLS:         tlsConfig,
 		Registry:    h.registry,
 		Logger:      h.log,
@@ -122,9 +124,10 @@
 	return h.peers.Listen()
 }
 
-// advertised leaves the address to the listener when none was set apart from
-// the one listened on, which may name port 0.
-func advertised(p config.Peer) string {
+// advertiseAddr returns the address to advertise. It is empty when the settings give none
+// other than the listen address: the peer listener then advertises its actual address,
+// since the listen address may have port 0.
+func advertiseAddr(p config.Peer) string {
 	if p.Advertise == p.Listen {
 		return ""
 	}
@@ -139,7 +142,7 @@
 			Bootstrap: c.Bootstrap,
 			Controls:  h.settings.Controls,
 			Peer:      h.peers,
-			Lease:     h.timing,
+			Lease:     h.leaseConfig,
 			Logger:    h.log,
 			Databases: watch.NewProber(),
 			Registry:  h.registry,
@@ -154,7 +157,7 @@
 		Control:  h.settings.Control != nil,
 		Controls: h.settings.Controls,
 		Peer:     h.peers,
-		Lease:    h.timing,
+		Lease:    h.leaseConfig,
 		Logger:   h.log,
 		View:     h.view,
 		Registry: h.registry,
--- a/bridge/run.go
+++ b/bridge/run.go
@@ -11,19 +11,19 @@
 	"github.com/galenabridge/galenabridge/internal/watch"
 )
 
-// Run serves until ctx ends, then shuts down gracefully: the balancer's health
-// check fails first, requests in progress end, the host deregisters. It returns
-// nil after a graceful shutdown.
+// Run serves until ctx ends, then shuts down gracefully: the balancer's health check fails
+// first, then requests in progress end, then the host deregisters. It returns nil after a
+// graceful shutdown, and otherwise the error of the task that ended.
 func (h *Host) Run(ctx context.Context) error {
-	// The tasks outlive ctx: a graceful shutdown needs them.
+	// The tasks outlive ctx, since a graceful shutdown needs them.
 	taskCtx, stopTasks := context.WithCancel(context.WithoutCancel(ctx))
 	defer stopTasks()
 
 	var group run.Group
 	group.Add(func() error {
-		return h.tree().Run(taskCtx)
+		return h.supervisedTasks().Run(taskCtx)
 	}, func(error) { stopTasks() })
-	for _, task := range h.essential() {
+	for _, task := range h.essentialTasks() {
 		group.Add(func() error {
 			return task.Run(taskCtx)
 		}, func(error) { stopTasks() })
@@ -32,7 +32,7 @@
 	group.Add(func() error {
 		<-shutdownCtx.Done()
 		if ctx.Err() == nil {
-			return nil // another member has failed
+			return nil // another task has ended
 		}
 		return h.shutdown(taskCtx)
 	}, func(error) { skipShutdown() })
@@ -44,10 +44,11 @@
 	return err
 }
 
+// errShutdown ends the task group after a graceful shutdown.
 var errShutdown = errors.New("shut down")
 
-// tree holds the tasks that are restarted when they fail.
-func (h *Host) tree() *supervise.Tree {
+// supervisedTasks returns the tree of tasks that are restarted when they fail.
+func (h *Host) supervisedTasks() *supervise.Tree {
 	tree := supervise.New(h.settings.Host, h.log)
 	if h.control != nil {
 		tree.Add("control", h.control)
@@ -61,9 +62,9 @@
 	return tree
 }
 
-// essential holds the tasks that own listeners. When one fails the host ends,
-// and its process is started anew by the platform.
-func (h *Host) essential() []supervise.Task {
+// essentialTasks returns the tasks that own listeners. When one ends, so does the host;
+// the platform restarts the process.
+func (h *Host) essentialTasks() []supervise.Task {
 	tasks := []supervise.Task{h.peers, h.admin}
 	if h.entry != nil {
 		h.accepting.Store(true)
@@ -77,7 +78,7 @@
 	h.log.Info("shutdown_begin")
 	h.accepting.Store(false)
 	h.drain(ctx)
-	ctx, cancel := context.WithTimeout(ctx, goodbyeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, deregisterTimeout)
 	defer cancel()
 	if err := h.subscriber.Leave(ctx); err != nil {
 		h.log.Warn("deregister_failed", "err", err.Error())
@@ -86,6 +87,7 @@
 	return errShutdown
 }
 
+// drain lets requests in progress end, up to the drain timeout of the entry role.
 func (h *Host) drain(ctx context.Context) {
 	if h.entry == nil {
 		return
