--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -50,7 +50,7 @@
 	r.add(SlopeRelayMemory, "subscribers", "B", relay.memory)
 	r.add(SlopeLeaderCPU, "subscribers", "CPU s/s", leader.cpu)
 	r.add(SlopeLeaderBytes, "subscribers", "B/s", leader.bytes)
-	r.add(SlopeHostCPU, "subscribers", "CPU s/s", host)
+	r.add(SlopeSubscriptionCPU, "subscribers", "CPU s/s", host)
 	if err := r.measureNotes(len(swarm.members)); err != nil {
 		return err
 	}
@@ -89,8 +89,8 @@
 	}
 	perSecond := float64(r.plan.Notes) / r.plan.Window.Seconds()
 	x := perSecond * float64(subscribers)
-	r.add(SlopeNoteCPU, "deltas/s x subscribers", "CPU s/s", []Point{{0, quiet.cpu}, {x, busy.cpu}})
-	r.add(SlopeNoteBytes, "deltas/s x subscribers", "B/s", []Point{{0, quiet.bytes}, {x, busy.bytes}})
+	r.add(SlopeDeltaCPU, "deltas/s x subscribers", "CPU s/s", []Point{{0, quiet.cpu}, {x, busy.cpu}})
+	r.add(SlopeDeltaBytes, "deltas/s x subscribers", "B/s", []Point{{0, quiet.bytes}, {x, busy.bytes}})
 	return nil
 }
 
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -96,7 +96,7 @@
 		}
 	}()
 	var cost series
-	for _, rate := range r.plan.Statements {
+	for _, rate := range r.plan.StatementRates {
 		atEntry, err := r.statementsAt(conns, rate)
 		if err != nil {
 			return err
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -36,62 +36,62 @@
 	// subscribers.
 	Notes int
 	// EventRates are events per second of announcements and observations.
-	EventRates []int
-	ProbeRates []int
-	Callers    []int
-	Statements []int
-	Workspaces []int
-	QuotaPairs []int
+	EventRates     []int
+	ProbeRates     []int
+	Callers        []int
+	StatementRates []int
+	Workspaces     []int
+	QuotaPairs     []int
 }
 
 // DefaultPlan reaches the sizes of the target where one machine allows it.
 func DefaultPlan() Plan {
 	return Plan{
-		Window:      10 * time.Second,
-		Subscribers: []int{0, 100, 200, 400, 800},
-		Notes:       100,
-		EventRates:  []int{0, 500, 1000, 2000},
-		ProbeRates:  []int{0, 50, 100, 200},
-		Callers:     []int{0, 1000, 2000, 3300},
-		Statements:  []int{0, 100, 340, 700},
-		Workspaces:  []int{1000, 5000, 20000},
-		QuotaPairs:  []int{100, 300, 1000},
+		Window:         10 * time.Second,
+		Subscribers:    []int{0, 100, 200, 400, 800},
+		Notes:          100,
+		EventRates:     []int{0, 500, 1000, 2000},
+		ProbeRates:     []int{0, 50, 100, 200},
+		Callers:        []int{0, 1000, 2000, 3300},
+		StatementRates: []int{0, 100, 340, 700},
+		Workspaces:     []int{1000, 5000, 20000},
+		QuotaPairs:     []int{100, 300, 1000},
 	}
 }
 
 // Names of the slopes.
 const (
-	SlopeRelayCPU       = "relay_cpu_per_subscriber"
-	SlopeRelayBytes     = "relay_bytes_per_subscriber"
-	SlopeRelayMessages  = "relay_messages_per_subscriber"
-	SlopeRelayMemory    = "relay_memory_per_subscriber"
-	SlopeLeaderCPU      = "leader_cpu_per_subscriber"
-	SlopeLeaderBytes    = "leader_bytes_per_subscriber"
-	SlopeHostCPU        = "host_cpu_of_subscription"
-	SlopeNoteCPU        = "relay_cpu_per_delta_and_subscriber"
-	SlopeNoteBytes      = "relay_bytes_per_delta_and_subscriber"
-	SlopeAnnounceCPU    = "leader_cpu_per_announcement"
-	SlopeAnnounceBytes  = "leader_bytes_per_announcement"
-	SlopeObserveCPU     = "leader_cpu_per_observation"
-	SlopeObserveBytes   = "leader_bytes_per_observation"
-	SlopeProbeCPU       = "host_cpu_per_probe"
-	SlopeProbeBytes     = "host_bytes_per_probe"
-	SlopePositionCPU    = "host_cpu_per_position_poll"
-	SlopePositionBytes  = "host_bytes_per_position_poll"
-	SlopeCallerMemory   = "entry_memory_per_idle_caller"
-	SlopeLoginCPU       = "entry_cpu_per_login"
-	SlopeStatementCPU   = "entry_cpu_per_statement"
-	SlopeStatementBytes = "entry_peer_bytes_per_statement"
-	SlopeStateMemory    = "state_memory_per_workspace"
-	SlopeStateBytes     = "snapshot_bytes_per_workspace"
-	SlopeApplyCPU       = "delta_apply_seconds_per_workspace"
-	SlopeAssignCPU      = "assign_seconds_per_endpoint"
-	SlopeHostMemory     = "state_memory_per_host"
-	SlopeDBMemory       = "state_memory_per_database"
-	SlopeQuotaHolderCPU = "holder_cpu_per_pair"
-	SlopeQuotaOwnerCPU  = "owner_cpu_per_pair"
-	SlopeQuotaBytes     = "quota_bytes_per_pair"
-	SlopeQuotaMemory    = "owner_memory_per_pair"
+	SlopeRelayCPU        = "relay_cpu_per_subscriber"
+	SlopeRelayBytes      = "relay_bytes_per_subscriber"
+	SlopeRelayMessages   = "relay_messages_per_subscriber"
+	SlopeRelayMemory     = "relay_memory_per_subscriber"
+	SlopeLeaderCPU       = "leader_cpu_per_subscriber"
+	SlopeLeaderBytes     = "leader_bytes_per_subscriber"
+	SlopeSubscriptionCPU = "host_cpu_of_subscription"
+	SlopeDeltaCPU        = "relay_cpu_per_delta_and_subscriber"
+	SlopeDeltaBytes      = "relay_bytes_per_delta_and_subscriber"
+	SlopeAnnounceCPU     = "leader_cpu_per_announcement"
+	SlopeAnnounceBytes   = "leader_bytes_per_announcement"
+	SlopeObserveCPU      = "leader_cpu_per_observation"
+	SlopeObserveBytes    = "leader_bytes_per_observation"
+	SlopeProbeCPU        = "host_cpu_per_probe"
+	SlopeProbeBytes      = "host_bytes_per_probe"
+	SlopePositionCPU     = "host_cpu_per_position_poll"
+	SlopePositionBytes   = "host_bytes_per_position_poll"
+	SlopeCallerMemory    = "entry_memory_per_idle_caller"
+	SlopeLoginCPU        = "entry_cpu_per_login"
+	SlopeStatementCPU    = "entry_cpu_per_statement"
+	SlopeStatementBytes  = "entry_peer_bytes_per_statement"
+	SlopeStateMemory     = "state_memory_per_workspace"
+	SlopeStateBytes      = "snapshot_bytes_per_workspace"
+	SlopeApplyCPU        = "delta_apply_seconds_per_workspace"
+	SlopeAssignCPU       = "assign_seconds_per_endpoint"
+	SlopeHostMemory      = "state_memory_per_host"
+	SlopeDBMemory        = "state_memory_per_database"
+	SlopeQuotaHolderCPU  = "holder_cpu_per_pair"
+	SlopeQuotaOwnerCPU   = "owner_cpu_per_pair"
+	SlopeQuotaBytes      = "quota_bytes_per_pair"
+	SlopeQuotaMemory     = "owner_memory_per_pair"
 )
 
 // run collects the slopes of one measurement.
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -115,14 +115,14 @@
 		{
 			Name: "configuration lease", Mechanism: "one lease per host, renewed through a relay (003)",
 			Basis:   "one renewal every 700 ms",
-			CPU:     c.per(SlopeHostCPU),
+			CPU:     c.per(SlopeSubscriptionCPU),
 			Traffic: c.per(SlopeRelayBytes), Messages: 2 * renews,
 		},
 		{
 			Name: "agreed state", Mechanism: "numbered deltas pushed by a relay, immutable state patched (004)",
 			Basis:    "notes, registrations and failovers of the day",
 			CPU:      t.DeltasPerSecond() * float64(t.Workspaces) * c.per(SlopeApplyCPU),
-			Traffic:  t.DeltasPerSecond() * c.per(SlopeNoteBytes),
+			Traffic:  t.DeltasPerSecond() * c.per(SlopeDeltaBytes),
 			Messages: t.DeltasPerSecond(),
 			Memory:   c.stateMemory(),
 		},
@@ -167,8 +167,8 @@
 		{
 			Name: "deltas to subscribers", Mechanism: "encoded once per revision, pushed (004)",
 			Basis:    "changes of the day",
-			CPU:      t.DeltasPerSecond() * subscribers * c.per(SlopeNoteCPU),
-			Traffic:  t.DeltasPerSecond() * subscribers * c.per(SlopeNoteBytes),
+			CPU:      t.DeltasPerSecond() * subscribers * c.per(SlopeDeltaCPU),
+			Traffic:  t.DeltasPerSecond() * subscribers * c.per(SlopeDeltaBytes),
 			Messages: t.DeltasPerSecond() * subscribers,
 			Memory:   c.stateMemory(),
 		},
@@ -202,8 +202,8 @@
 		{
 			Name: "log and deltas", Mechanism: "consensus log, synced; learners get the log (001, 002)",
 			Basis:    "changes of the day to voters and relays",
-			CPU:      t.DeltasPerSecond() * float64(t.ControlHosts()) * c.per(SlopeNoteCPU),
-			Traffic:  t.DeltasPerSecond() * float64(t.ControlHosts()) * c.per(SlopeNoteBytes),
+			CPU:      t.DeltasPerSecond() * float64(t.ControlHosts()) * c.per(SlopeDeltaCPU),
+			Traffic:  t.DeltasPerSecond() * float64(t.ControlHosts()) * c.per(SlopeDeltaBytes),
 			Messages: t.DeltasPerSecond() * float64(t.ControlHosts()),
 			Memory:   c.stateMemory(),
 		},
