--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -16,86 +16,88 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// measureSubscribers grows a swarm behind the relay, then applies release notes
-// and sends soft state at the greatest size.
+// measureSubscribers measures relay, leader and subscribers with a growing number
+// of subscribers at the relay. With the largest number it also measures the cost
+// of deltas and of soft state.
 func (r *run) measureSubscribers() error {
-	swarm := newSwarm(r.system)
-	defer swarm.close()
+	subscribers := newSimulatedHosts(r.system)
+	defer subscribers.close()
 	var relay, leader series
-	var host []Point
+	var subscription []Point
 	for _, n := range r.plan.Subscribers {
-		if err := swarm.grow(n); err != nil {
+		if err := subscribers.grow(n); err != nil {
 			return err
 		}
-		own, err := ownCPU()
+		before, err := ownCPUSeconds()
 		if err != nil {
 			return err
 		}
 		x := float64(n)
-		atRelay, atLeader, err := r.observeControl()
+		atRelay, atLeader, err := r.measureControlHosts()
 		if err != nil {
 			return err
 		}
 		relay.add(x, atRelay)
 		leader.add(x, atLeader)
-		after, err := ownCPU()
+		after, err := ownCPUSeconds()
 		if err != nil {
 			return err
 		}
-		host = append(host, Point{x, (after - own) / r.plan.Window.Seconds()})
-	}
-	r.add(SlopeRelayCPU, "subscribers", "CPU s/s", relay.cpu)
-	r.add(SlopeRelayBytes, "subscribers", "B/s", relay.bytes)
-	r.add(SlopeRelayMessages, "subscribers", "messages/s", relay.messages)
-	r.add(SlopeRelayMemory, "subscribers", "B", relay.memory)
-	r.add(SlopeLeaderCPU, "subscribers", "CPU s/s", leader.cpu)
-	r.add(SlopeLeaderBytes, "subscribers", "B/s", leader.bytes)
-	r.add(SlopeSubscriptionCPU, "subscribers", "CPU s/s", host)
-	if err := r.measureNotes(len(swarm.members)); err != nil {
+		subscription = append(subscription, Point{x, (after - before) / r.plan.Window.Seconds()})
+	}
+	r.addSlope(SlopeRelayCPU, "subscribers", "CPU s/s", relay.cpu)
+	r.addSlope(SlopeRelayBytes, "subscribers", "B/s", relay.bytes)
+	r.addSlope(SlopeRelayMessages, "subscribers", "messages/s", relay.messages)
+	r.addSlope(SlopeRelayMemory, "subscribers", "B", relay.memory)
+	r.addSlope(SlopeLeaderCPU, "subscribers", "CPU s/s", leader.cpu)
+	r.addSlope(SlopeLeaderBytes, "subscribers", "B/s", leader.bytes)
+	r.addSlope(SlopeSubscriptionCPU, "subscribers", "CPU s/s", subscription)
+	if err := r.measureDeltas(len(subscribers.hosts)); err != nil {
 		return err
 	}
-	return r.measureSoftState(swarm)
+	return r.measureSoftState(subscribers)
 }
 
-// observeControl measures relay and leader over the same window.
-func (r *run) observeControl() (relay, leader rates, err error) {
-	done := make(chan error, 1)
+// measureControlHosts measures relay and leader over the same window.
+func (r *run) measureControlHosts() (relay, leader rates, err error) {
+	leaderDone := make(chan error, 1)
 	go func() {
 		var err error
-		leader, err = observe(r.system.LeaderAdmin, r.plan.Window)
-		done <- err
+		leader, err = measureRates(r.system.LeaderAdmin, r.plan.Window)
+		leaderDone <- err
 	}()
-	relay, err = observe(r.system.RelayAdmin, r.plan.Window)
-	if leaderErr := <-done; err == nil {
+	relay, err = measureRates(r.system.RelayAdmin, r.plan.Window)
+	if leaderErr := <-leaderDone; err == nil {
 		err = leaderErr
 	}
 	return relay, leader, err
 }
 
-// measureNotes compares a window without and one with release notes.
-func (r *run) measureNotes(subscribers int) error {
-	quiet, err := observe(r.system.RelayAdmin, r.plan.Window)
+// measureDeltas compares a window without release notes to one with them. Each
+// note results in one delta to every subscriber.
+func (r *run) measureDeltas(subscribers int) error {
+	idle, err := measureRates(r.system.RelayAdmin, r.plan.Window)
 	if err != nil {
 		return err
 	}
-	failed := make(chan error, 1)
-	go func() { failed <- r.applyNotes() }()
-	busy, err := observe(r.system.RelayAdmin, r.plan.Window)
+	applied := make(chan error, 1)
+	go func() { applied <- r.applyNotes() }()
+	loaded, err := measureRates(r.system.RelayAdmin, r.plan.Window)
 	if err != nil {
 		return err
 	}
-	if err := <-failed; err != nil {
+	if err := <-applied; err != nil {
 		return err
 	}
 	perSecond := float64(r.plan.Notes) / r.plan.Window.Seconds()
 	x := perSecond * float64(subscribers)
-	r.add(SlopeDeltaCPU, "deltas/s x subscribers", "CPU s/s", []Point{{0, quiet.cpu}, {x, busy.cpu}})
-	r.add(SlopeDeltaBytes, "deltas/s x subscribers", "B/s", []Point{{0, quiet.bytes}, {x, busy.bytes}})
+	r.addSlope(SlopeDeltaCPU, "deltas/s x subscribers", "CPU s/s", []Point{{0, idle.cpu}, {x, loaded.cpu}})
+	r.addSlope(SlopeDeltaBytes, "deltas/s x subscribers", "B/s", []Point{{0, idle.bytes}, {x, loaded.bytes}})
 	return nil
 }
 
-// applyNotes changes one workspace by the planned number of notes, spread over
-// most of the window.
+// applyNotes submits the planned number of release notes, each of which changes
+// the rate of one workspace, over 80% of the window.
 func (r *run) applyNotes() error {
 	var current note.Catalog
 	if err := r.getJSON("/v1/notes/current", &current); err != nil {
@@ -117,6 +119,7 @@
 	return nil
 }
 
+// getJSON decodes the reply of the leader's admin endpoint at path into out.
 func (r *run) getJSON(path string, out any) error {
 	resp, err := http.Get("http://" + r.system.LeaderAdmin + path)
 	if err != nil {
@@ -126,6 +129,7 @@
 	return json.NewDecoder(resp.Body).Decode(out)
 }
 
+// postNote submits a release note to the leader.
 func (r *run) postNote(n note.Note) error {
 	body, err := json.Marshal(n)
 	if err != nil {
@@ -143,36 +147,37 @@
 	return nil
 }
 
-// measureSoftState sends announcements and observations through the relay.
-func (r *run) measureSoftState(s *swarm) error {
-	var announce, watch series
+// measureSoftState measures the leader while subscribers send announcements, then
+// observations, through the relay.
+func (r *run) measureSoftState(s *simulatedHosts) error {
+	var announcements, observations series
 	for _, rate := range r.plan.EventRates {
-		cost, err := r.underLoad(rate, func(i int) {
-			s.members[i%len(s.members)].subscriber.Announce(announcement(i))
+		cost, err := r.measureLeaderAtRate(rate, func(i int) {
+			s.hosts[i%len(s.hosts)].subscriber.Announce(announcement(i))
 		})
 		if err != nil {
 			return err
 		}
-		announce.add(float64(rate), cost)
+		announcements.add(float64(rate), cost)
 	}
 	for _, rate := range r.plan.EventRates {
-		cost, err := r.underLoad(rate, func(i int) {
-			s.members[i%len(s.members)].subscriber.Observe(observation(i))
+		cost, err := r.measureLeaderAtRate(rate, func(i int) {
+			s.hosts[i%len(s.hosts)].subscriber.Observe(observation(i))
 		})
 		if err != nil {
 			return err
 		}
-		watch.add(float64(rate), cost)
+		observations.add(float64(rate), cost)
 	}
-	r.add(SlopeAnnounceCPU, "announcements/s", "CPU s/s", announce.cpu)
-	r.add(SlopeAnnounceBytes, "announcements/s", "B/s", announce.bytes)
-	r.add(SlopeObserveCPU, "observations/s", "CPU s/s", watch.cpu)
-	r.add(SlopeObserveBytes, "observations/s", "B/s", watch.bytes)
+	r.addSlope(SlopeAnnounceCPU, "announcements/s", "CPU s/s", announcements.cpu)
+	r.addSlope(SlopeAnnounceBytes, "announcements/s", "B/s", announcements.bytes)
+	r.addSlope(SlopeObserveCPU, "observations/s", "CPU s/s", observations.cpu)
+	r.addSlope(SlopeObserveBytes, "observations/s", "B/s", observations.bytes)
 	return nil
 }
 
-// spareEndpoints is the number of endpoints that are announced without being
-// members of a group.
+// spareEndpoints is the number of endpoints that are announced and observed
+// without being members of a group.
 const spareEndpoints = 6600
 
 func announcement(i int) control.Announcement {
@@ -196,36 +201,38 @@
 	}
 }
 
-// underLoad measures the leader while send is called at a rate.
-func (r *run) underLoad(rate int, send func(i int)) (rates, error) {
+// measureLeaderAtRate measures the leader while send is called rate times per
+// second.
+func (r *run) measureLeaderAtRate(rate int, send func(i int)) (rates, error) {
 	stop := make(chan struct{})
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		pace(rate, stop, send)
+		callAtRate(rate, stop, send)
 	}()
-	cost, err := observe(r.system.LeaderAdmin, r.plan.Window)
+	cost, err := measureRates(r.system.LeaderAdmin, r.plan.Window)
 	close(stop)
 	<-done
 	return cost, err
 }
 
-// paceInterval is the time between two batches of events.
+// paceInterval is the time between two batches of calls.
 const paceInterval = 10 * time.Millisecond
 
-// pace calls do at a rate per second until stop is closed.
-func pace(rate int, stop <-chan struct{}, do func(i int)) {
+// callAtRate calls call rate times per second, with consecutive numbers from 0,
+// until stop is closed. After a slow call it catches up.
+func callAtRate(rate int, stop <-chan struct{}, call func(i int)) {
 	ticker := time.NewTicker(paceInterval)
 	defer ticker.Stop()
-	begin := time.Now()
-	sent := 0
+	start := time.Now()
+	calls := 0
 	for {
 		select {
 		case <-stop:
 			return
 		case now := <-ticker.C:
-			for due := int(now.Sub(begin).Seconds() * float64(rate)); sent < due; sent++ {
-				do(sent)
+			for due := int(now.Sub(start).Seconds() * float64(rate)); calls < due; calls++ {
+				call(calls)
 			}
 		}
 	}
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -16,11 +16,12 @@
 	"github.com/galenabridge/galenabridge/internal/watch"
 )
 
-// loginParallel is the number of logins in progress at once.
-const loginParallel = 32
+// loginConcurrency is the maximum number of concurrent logins.
+const loginConcurrency = 32
 
-// measureCallers opens idle connections through the entry host.
-func (r *run) measureCallers() error {
+// measureIdleCallers measures the entry host's CPU time per login and its resident
+// memory with a growing number of idle connections.
+func (r *run) measureIdleCallers() error {
 	var conns []*pgx.Conn
 	defer func() {
 		for _, c := range conns {
@@ -33,8 +34,8 @@
 		if err != nil {
 			return err
 		}
-		fresh, err := r.connect(n - len(conns))
-		conns = append(conns, fresh...)
+		opened, err := r.openConnections(n - len(conns))
+		conns = append(conns, opened...)
 		if err != nil {
 			return err
 		}
@@ -42,30 +43,32 @@
 		if err != nil {
 			return err
 		}
-		if len(fresh) > 0 {
-			login = append(login, Point{float64(len(fresh)), after.cpu - before.cpu})
+		if len(opened) > 0 {
+			login = append(login, Point{float64(len(opened)), after.cpu - before.cpu})
 		}
-		idle, err := observe(r.system.EntryAdmin, r.plan.Window/2)
+		idle, err := measureRates(r.system.EntryAdmin, r.plan.Window/2)
 		if err != nil {
 			return err
 		}
 		memory = append(memory, Point{float64(n), idle.memory})
 	}
-	r.add(SlopeCallerMemory, "idle callers", "B", memory)
-	r.add(SlopeLoginCPU, "logins", "CPU s", append(login, Point{0, 0}))
+	r.addSlope(SlopeCallerMemory, "idle callers", "B", memory)
+	r.addSlope(SlopeLoginCPU, "logins", "CPU s", append(login, Point{0, 0}))
 	return nil
 }
 
-func (r *run) connect(n int) ([]*pgx.Conn, error) {
+// openConnections opens n connections to the entry host. On an error it returns
+// the connections that were opened, too.
+func (r *run) openConnections(n int) ([]*pgx.Conn, error) {
 	var mu sync.Mutex
 	var conns []*pgx.Conn
 	var failed error
 	var tasks sync.WaitGroup
-	var left atomic.Int64
-	left.Store(int64(n))
-	for range loginParallel {
+	var remaining atomic.Int64
+	remaining.Store(int64(n))
+	for range loginConcurrency {
 		tasks.Go(func() {
-			for left.Add(-1) >= 0 {
+			for remaining.Add(-1) >= 0 {
 				c, err := pgx.Connect(context.Background(), r.system.CallerURL)
 				mu.Lock()
 				if err != nil {
@@ -81,12 +84,12 @@
 	return conns, failed
 }
 
-// statementCallers is the number of callers that share the load.
+// statementCallers is the number of connections that share the statements.
 const statementCallers = 20
 
-// measureStatements reads through the entry host at several rates.
+// measureStatements measures the entry host at several rates of reads.
 func (r *run) measureStatements() error {
-	conns, err := r.connect(statementCallers)
+	conns, err := r.openConnections(statementCallers)
 	if err != nil {
 		return err
 	}
@@ -97,26 +100,28 @@
 	}()
 	var cost series
 	for _, rate := range r.plan.StatementRates {
-		atEntry, err := r.statementsAt(conns, rate)
+		atEntry, err := r.measureStatementRate(conns, rate)
 		if err != nil {
 			return err
 		}
 		cost.add(float64(rate), atEntry)
 	}
-	r.add(SlopeStatementCPU, "statements/s", "CPU s/s", cost.cpu)
-	r.add(SlopeStatementBytes, "statements/s", "B/s", cost.bytes)
+	r.addSlope(SlopeStatementCPU, "statements/s", "CPU s/s", cost.cpu)
+	r.addSlope(SlopeStatementBytes, "statements/s", "B/s", cost.bytes)
 	return nil
 }
 
-func (r *run) statementsAt(conns []*pgx.Conn, rate int) (rates, error) {
+// measureStatementRate measures the entry host while the connections execute rate
+// reads per second.
+func (r *run) measureStatementRate(conns []*pgx.Conn, rate int) (rates, error) {
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
-	work := make(chan struct{}, 10*statementCallers)
+	statements := make(chan struct{}, 10*statementCallers)
 	var failed atomic.Pointer[error]
 	var tasks sync.WaitGroup
 	for _, c := range conns {
 		tasks.Go(func() {
-			for range work {
+			for range statements {
 				var n int
 				if err := c.QueryRow(ctx, "select count(*) from records where id = $1", "none").Scan(&n); err != nil && ctx.Err() == nil {
 					failed.Store(&err)
@@ -126,25 +131,25 @@
 	}
 	stop := make(chan struct{})
 	tasks.Go(func() {
-		defer close(work)
-		pace(rate, stop, func(int) {
+		defer close(statements)
+		callAtRate(rate, stop, func(int) {
 			select {
-			case work <- struct{}{}:
+			case statements <- struct{}{}:
 			case <-stop:
 			}
 		})
 	})
-	cost, err := observe(r.system.EntryAdmin, r.plan.Window)
+	cost, err := measureRates(r.system.EntryAdmin, r.plan.Window)
 	close(stop)
 	tasks.Wait()
-	if failure := failed.Load(); failure != nil && err == nil {
-		err = errors.Wrap(*failure, "statement")
+	if statementErr := failed.Load(); statementErr != nil && err == nil {
+		err = errors.Wrap(*statementErr, "statement")
 	}
 	return cost, err
 }
 
-// measureProbes probes a stand-in endpoint at several rates and counts this
-// process's processor time and the bytes on the wire.
+// measureProbes measures the CPU time of this process and the bytes on the wire
+// for role probes and position polls of a stand-in endpoint.
 func (r *run) measureProbes() error {
 	proxy, err := newCountingProxy(r.system.StandinAddr)
 	if err != nil {
@@ -153,84 +158,86 @@
 	defer proxy.close()
 	prober := watch.NewProber()
 	defer prober.CloseExcept(func(string) bool { return false })
-	if err := r.measureQuestion(proxy, SlopeProbeCPU, SlopeProbeBytes, "probes/s", r.glance(prober)); err != nil {
+	if err := r.measureRequest(proxy, SlopeProbeCPU, SlopeProbeBytes, "probes/s", r.roleProbe(prober)); err != nil {
 		return err
 	}
-	ask, done := r.position()
-	defer done()
-	return r.measureQuestion(proxy, SlopePositionCPU, SlopePositionBytes, "polls/s", ask)
+	poll, closeConns := r.positionPoll()
+	defer closeConns()
+	return r.measureRequest(proxy, SlopePositionCPU, SlopePositionBytes, "polls/s", poll)
 }
 
-// question asks the endpoint at addr once.
-type question func(addr string) error
+// requestFunc sends one request to the endpoint at addr and waits for the reply.
+type requestFunc func(addr string) error
 
-// measureQuestion asks at several rates, directly for the processor time and
-// through the proxy for the bytes.
-func (r *run) measureQuestion(proxy *countingProxy, cpuName, bytesName, variable string, ask question) error {
+// measureRequest sends requests at several rates: directly to measure the CPU
+// time, then through the proxy to count the bytes.
+func (r *run) measureRequest(proxy *countingProxy, cpuName, bytesName, variable string, send requestFunc) error {
 	var cpu, bytes []Point
 	for _, rate := range r.plan.ProbeRates {
-		before, err := ownCPU()
+		before, err := ownCPUSeconds()
 		if err != nil {
 			return err
 		}
-		if err := r.askAt(r.system.StandinAddr, rate, ask); err != nil {
+		if err := r.requestAtRate(r.system.StandinAddr, rate, send); err != nil {
 			return err
 		}
-		after, err := ownCPU()
+		after, err := ownCPUSeconds()
 		if err != nil {
 			return err
 		}
 		cpu = append(cpu, Point{float64(rate), (after - before) / r.plan.Window.Seconds()})
-		counted := proxy.bytes.Load()
-		if err := r.askAt(proxy.addr(), rate, ask); err != nil {
+		bytesBefore := proxy.bytes.Load()
+		if err := r.requestAtRate(proxy.addr(), rate, send); err != nil {
 			return err
 		}
-		bytes = append(bytes, Point{float64(rate), float64(proxy.bytes.Load()-counted) / r.plan.Window.Seconds()})
+		bytes = append(bytes, Point{float64(rate), float64(proxy.bytes.Load()-bytesBefore) / r.plan.Window.Seconds()})
 	}
-	r.add(cpuName, variable, "CPU s/s", cpu)
-	r.add(bytesName, variable, "B/s", bytes)
+	r.addSlope(cpuName, variable, "CPU s/s", cpu)
+	r.addSlope(bytesName, variable, "B/s", bytes)
 	return nil
 }
 
-// askAt asks at a rate for the length of a window.
-func (r *run) askAt(addr string, rate int, ask question) error {
+// requestAtRate sends rate requests per second for one window. It returns the
+// last error of a request.
+func (r *run) requestAtRate(addr string, rate int, send requestFunc) error {
 	stop := make(chan struct{})
 	time.AfterFunc(r.plan.Window, func() { close(stop) })
 	var failed error
-	pace(rate, stop, func(int) {
-		if err := ask(addr); err != nil {
+	callAtRate(rate, stop, func(int) {
+		if err := send(addr); err != nil {
 			failed = err
 		}
 	})
 	return failed
 }
 
-func (r *run) service() note.Service {
+// probeService returns a service with the credentials of the stand-in endpoint.
+func (r *run) probeService() note.Service {
 	return note.Service{
 		Name: "probe", Database: r.system.StandinDatabase,
 		User: r.system.StandinUser, Password: r.system.StandinPassword,
 	}
 }
 
-// glance probes as a watcher does.
-func (r *run) glance(prober *watch.Prober) question {
+// roleProbe returns a request for the role of an endpoint, as watchers send it.
+func (r *run) roleProbe(prober *watch.Prober) requestFunc {
 	return func(addr string) error {
 		endpoint := agreed.Endpoint{ID: addr, Service: "probe", Addr: addr}
-		if !prober.ProbeRole(context.Background(), r.service(), endpoint).Reachable {
-			return errors.New("a probe was not answered")
+		if !prober.ProbeRole(context.Background(), r.probeService(), endpoint).Reachable {
+			return errors.New("probe failed: endpoint not reachable")
 		}
 		return nil
 	}
 }
 
-// position asks for the replayed position as a monitor does between two
-// questions for the role.
-func (r *run) position() (ask question, done func()) {
+// positionPoll returns a request for the replay position, as monitors send it
+// between two role polls, and a function that closes its connections.
+func (r *run) positionPoll() (poll requestFunc, closeConns func()) {
 	conns := make(map[string]*pgback.Conn)
-	ask = func(addr string) error {
+	poll = func(addr string) error {
 		conn, ok := conns[addr]
 		if !ok {
-			s := r.service()
+			s := r.probeService()
 			var err error
 			conn, err = pgback.Dial(context.Background(), pgback.Target{
 				Endpoint: addr, Addr: addr, Database: s.Database, User: s.User, Password: s.Password,
@@ -243,15 +250,15 @@
 		_, err := conn.Query(context.Background(), pgback.QueryReplayed)
 		return err
 	}
-	done = func() {
+	closeConns = func() {
 		for _, conn := range conns {
 			conn.Close()
 		}
 	}
-	return ask, done
+	return poll, closeConns
 }
 
-// countingProxy passes connections on and counts their bytes.
+// countingProxy is a TCP proxy that counts the bytes of both directions.
 type countingProxy struct {
 	listener net.Listener
 	target   string
@@ -288,11 +295,13 @@
 	}
 }
 
-const copyBuffer = 16 << 10
+// copyBufferBytes is the size of the buffer of each direction of a connection.
+const copyBufferBytes = 16 << 10
 
+// copy forwards from one connection to the other until either fails.
 func (p *countingProxy) copy(to, from net.Conn) {
 	defer to.Close()
-	buf := make([]byte, copyBuffer)
+	buf := make([]byte, copyBufferBytes)
 	for {
 		n, err := from.Read(buf)
 		p.bytes.Add(int64(n))
--- a/internal/capacity/pure.go
+++ b/internal/capacity/inprocess.go
@@ -13,7 +13,7 @@
 	"github.com/galenabridge/galenabridge/internal/quota"
 )
 
-// heapBytes returns the live heap after a collection.
+// heapBytes returns the size of the heap after two garbage collections.
 func heapBytes() float64 {
 	runtime.GC()
 	runtime.GC()
@@ -22,8 +22,9 @@
 	return float64(m.HeapAlloc)
 }
 
-// measureState builds agreed states of several sizes. The memory is that of a
-// host which has decoded a snapshot.
+// measureState measures agreed states with several numbers of workspaces: the
+// memory that a host needs for the decoded snapshot, the size of the snapshot and
+// the time to apply a delta.
 func (r *run) measureState() error {
 	var memory, encoded, apply []Point
 	for _, n := range r.plan.Workspaces {
@@ -32,27 +33,28 @@
 		if err != nil {
 			return err
 		}
-		x := float64(n)
-		bytes, err := decodedSize(data)
+		workspaces := float64(n)
+		memoryBytes, err := decodedMemoryBytes(data)
 		if err != nil {
 			return err
 		}
-		memory = append(memory, Point{x, bytes})
-		encoded = append(encoded, Point{x, float64(len(data))})
+		memory = append(memory, Point{workspaces, memoryBytes})
+		encoded = append(encoded, Point{workspaces, float64(len(data))})
 		seconds, err := patchSeconds(state)
 		if err != nil {
 			return err
 		}
-		apply = append(apply, Point{x, seconds})
+		apply = append(apply, Point{workspaces, seconds})
 	}
-	r.add(SlopeStateMemory, "workspaces with 2 keys", "B", memory)
-	r.add(SlopeStateBytes, "workspaces with 2 keys", "B", encoded)
-	r.add(SlopeApplyCPU, "workspaces with 2 keys", "s", apply)
-	return r.measureRecords()
+	r.addSlope(SlopeStateMemory, "workspaces with 2 keys", "B", memory)
+	r.addSlope(SlopeStateBytes, "workspaces with 2 keys", "B", encoded)
+	r.addSlope(SlopeApplyCPU, "workspaces with 2 keys", "s", apply)
+	return r.measureHostsAndDatabases()
 }
 
-// measureRecords measures the memory of hosts and databases in the state.
-func (r *run) measureRecords() error {
+// measureHostsAndDatabases measures the memory of the hosts and databases of an
+// agreed state.
+func (r *run) measureHostsAndDatabases() error {
 	var hosts, databases []Point
 	for _, n := range []int{500, 1000, 2000} {
 		state := agreed.New()
@@ -61,30 +63,30 @@
 			id := fmt.Sprintf("host-%d", i)
 			state.Hosts[id] = agreed.Host{ID: id, PeerAddr: "10.0.0.1:7070", Domain: "domain-1", Incarnation: uint64(i) + 1, Entry: true}
 		}
-		bytes, err := stateSize(state)
+		memoryBytes, err := stateMemoryBytes(state)
 		if err != nil {
 			return err
 		}
-		hosts = append(hosts, Point{float64(n), bytes})
-		if bytes, err = stateSize(databaseState(n)); err != nil {
+		hosts = append(hosts, Point{float64(n), memoryBytes})
+		if memoryBytes, err = stateMemoryBytes(databaseState(n)); err != nil {
 			return err
 		}
-		databases = append(databases, Point{float64(n), bytes})
+		databases = append(databases, Point{float64(n), memoryBytes})
 	}
-	r.add(SlopeHostMemory, "hosts", "B", hosts)
-	r.add(SlopeDBMemory, "databases with 3 endpoints", "B", databases)
+	r.addSlope(SlopeHostMemory, "hosts", "B", hosts)
+	r.addSlope(SlopeDBMemory, "databases with 3 endpoints", "B", databases)
 	r.measureAssignment()
 	return nil
 }
 
-// Size of the fleet in which the assignment of watchers is measured.
+// Size of the fleet for which the assignment of watchers is measured.
 const (
 	assignHosts   = 2000
 	assignDomains = 11
 	assignRegions = 4
 )
 
-// measureAssignment times how long a host takes to find the endpoints that it
+// measureAssignment measures how long a host takes to compute which endpoints it
 // watches, which it does after each change of the agreed state.
 func (r *run) measureAssignment() {
 	var watchers []failover.Watcher
@@ -105,18 +107,21 @@
 		}
 		points = append(points, Point{float64(n), time.Since(begin).Seconds()})
 	}
-	r.add(SlopeAssignCPU, "endpoints at 2,000 hosts", "s", points)
+	r.addSlope(SlopeAssignCPU, "endpoints at 2,000 hosts", "s", points)
 }
 
-func stateSize(state *agreed.State) (float64, error) {
+// stateMemoryBytes returns the heap that a host needs for the state after it has
+// decoded a snapshot.
+func stateMemoryBytes(state *agreed.State) (float64, error) {
 	data, err := state.Encode()
 	if err != nil {
 		return 0, err
 	}
-	return decodedSize(data)
+	return decodedMemoryBytes(data)
 }
 
-func decodedSize(data []byte) (float64, error) {
+// decodedMemoryBytes returns the heap that the state encoded in data needs.
+func decodedMemoryBytes(data []byte) (float64, error) {
 	before := heapBytes()
 	state, err := agreed.Decode(data)
 	if err != nil {
@@ -128,10 +133,11 @@
 	return size, nil
 }
 
-// verifier has the length of a real one.
+// verifier has the length of a verifier of a real key.
 const verifier = "SCRAM-SHA-256$4096:c2FsdHNhbHRzYWx0c2FsdA==$" +
 	"AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=:AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8="
 
+// workspaceState returns a state of n workspaces with two keys each.
 func workspaceState(n int) *agreed.State {
 	state := agreed.New()
 	state.Revision = 1
@@ -148,6 +154,7 @@
 	return state
 }
 
+// databaseState returns a state of n databases with three endpoints each.
 func databaseState(n int) *agreed.State {
 	state := agreed.New()
 	state.Catalog.Services = make(map[string]note.Service, n)
@@ -168,10 +175,10 @@
 	return state
 }
 
-// patchRuns is the number of deltas over which one is timed.
+// patchRuns is the number of applications over which patchSeconds averages.
 const patchRuns = 20
 
-// patchSeconds times the application of a delta that changes one workspace.
+// patchSeconds returns the time to apply a delta that changes one workspace.
 func patchSeconds(state *agreed.State) (float64, error) {
 	changed := *state
 	changed.Revision++
@@ -192,51 +199,54 @@
 	return time.Since(begin).Seconds() / patchRuns, nil
 }
 
-// Load of a measured (host, key) pair and length of the measurement.
+// Load of each (host, key) pair and simulated times of the quota measurement.
 const (
-	pairDemand   = 10 // requests per second
-	quotaTick    = 100 * time.Millisecond
-	quotaSettle  = 5 * time.Second
-	quotaMeasure = 10 * time.Second
-	quotaHolders = 10
+	pairRequestsPerSecond = 10
+	quotaTick             = 100 * time.Millisecond
+	quotaWarmUp           = 5 * time.Second
+	quotaWindow           = 10 * time.Second
+	quotaHolders          = 10
 )
 
-// quotaCost is the cost of one number of pairs.
+// quotaCost is the cost of all pairs over a simulated time.
 type quotaCost struct {
-	holder, owner time.Duration // processor time, codec included
-	bytes         int
+	holder, owner time.Duration // time spent in the calls, including encoding and decoding
+	bytes         int           // encoded requests and replies
 }
 
-// measureQuota runs ten holders and one owner over encoded messages.
+// measureQuota measures ten holders and one owner that exchange encoded messages
+// in this process.
 func (r *run) measureQuota() error {
 	var holder, owner, bytes, memory []Point
 	for _, keys := range r.plan.QuotaPairs {
 		before := heapBytes()
 		q := newQuotaFleet(keys)
-		if _, err := q.advance(quotaSettle); err != nil {
+		if _, err := q.advance(quotaWarmUp); err != nil {
 			return err
 		}
-		cost, err := q.advance(quotaMeasure)
+		cost, err := q.advance(quotaWindow)
 		if err != nil {
 			return err
 		}
-		// Holders and owner share the heap; the page counts all of it for both.
+		// The heap holds the state of the holders and the owner together. The model
+		// attributes all of it to each of them, which is an upper bound.
 		size := heapBytes() - before
-		x := float64(keys * quotaHolders)
-		seconds := quotaMeasure.Seconds()
-		holder = append(holder, Point{x, cost.holder.Seconds() / seconds})
-		owner = append(owner, Point{x, cost.owner.Seconds() / seconds})
-		bytes = append(bytes, Point{x, float64(cost.bytes) / seconds})
-		memory = append(memory, Point{x, size})
+		pairs := float64(keys * quotaHolders)
+		seconds := quotaWindow.Seconds()
+		holder = append(holder, Point{pairs, cost.holder.Seconds() / seconds})
+		owner = append(owner, Point{pairs, cost.owner.Seconds() / seconds})
+		bytes = append(bytes, Point{pairs, float64(cost.bytes) / seconds})
+		memory = append(memory, Point{pairs, size})
 		runtime.KeepAlive(q)
 	}
-	r.add(SlopeQuotaHolderCPU, "active pairs", "CPU s/s", holder)
-	r.add(SlopeQuotaOwnerCPU, "active pairs", "CPU s/s", owner)
-	r.add(SlopeQuotaBytes, "active pairs", "B/s", bytes)
-	r.add(SlopeQuotaMemory, "active pairs", "B", memory)
+	r.addSlope(SlopeQuotaHolderCPU, "active pairs", "CPU s/s", holder)
+	r.addSlope(SlopeQuotaOwnerCPU, "active pairs", "CPU s/s", owner)
+	r.addSlope(SlopeQuotaBytes, "active pairs", "B/s", bytes)
+	r.addSlope(SlopeQuotaMemory, "active pairs", "B", memory)
 	return nil
 }
 
+// quotaFleet is one quota owner and its holders under a simulated clock.
 type quotaFleet struct {
 	owner   *quota.Owner
 	holders []*quota.Holder
@@ -244,6 +254,8 @@
 	now     time.Time
 }
 
+// newQuotaFleet returns a fleet of quotaHolders holders that share the given
+// number of keys. The limits are twice the demand.
 func newQuotaFleet(keys int) *quotaFleet {
 	q := &quotaFleet{now: time.Now()}
 	q.owner = quota.NewOwner(quota.Config{}, "control-1", 1, q.now)
@@ -251,7 +263,7 @@
 	for i := range keys {
 		key := fmt.Sprintf("rate:workspace-%d", i)
 		q.keys = append(q.keys, key)
-		rate := float64(2 * pairDemand * quotaHolders)
+		rate := float64(2 * pairRequestsPerSecond * quotaHolders)
 		q.owner.SetLimit(q.now, key, quota.Limit{Rate: rate, Burst: rate / 2}, true)
 	}
 	for i := range quotaHolders {
@@ -262,7 +274,7 @@
 	return q
 }
 
-// advance runs the fleet for a simulated time.
+// advance runs the fleet for a simulated time and returns its cost.
 func (q *quotaFleet) advance(d time.Duration) (quotaCost, error) {
 	var cost quotaCost
 	for end := q.now.Add(d); q.now.Before(end); {
@@ -281,6 +293,8 @@
 	return cost, nil
 }
 
+// exchange sends the due requests of a holder to the owner, delivers the replies
+// and adds the cost of both sides.
 func (q *quotaFleet) exchange(h *quota.Holder, cost *quotaCost) error {
 	begin := time.Now()
 	batches := h.Requests(q.now)
@@ -291,7 +305,7 @@
 		}
 		cost.holder += time.Since(begin)
 		begin = time.Now()
-		reply, err := q.answer(request)
+		reply, err := q.handle(request)
 		if err != nil {
 			return err
 		}
@@ -308,7 +322,8 @@
 	return nil
 }
 
-func (q *quotaFleet) answer(request []byte) ([]byte, error) {
+// handle decodes a request, passes it to the owner and returns the encoded reply.
+func (q *quotaFleet) handle(request []byte) ([]byte, error) {
 	var decoded quota.Request
 	if err := cbor.Unmarshal(request, &decoded); err != nil {
 		return nil, err
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -6,14 +6,15 @@
 	"time"
 )
 
-// System names the processes that are measured.
+// System holds the addresses and credentials of the processes that are measured.
 type System struct {
 	Fleet  string
 	Secret string
 	Domain string
 	// LeaderAdmin is the admin address of the only voter.
 	LeaderAdmin string
-	// RelayHost, RelayPeer and RelayAdmin are a control host without a vote.
+	// RelayHost, RelayPeer and RelayAdmin are the name, peer address and admin
+	// address of a control host without a vote.
 	RelayHost  string
 	RelayPeer  string
 	RelayAdmin string
@@ -21,30 +22,39 @@
 	// connection string for it.
 	EntryAdmin string
 	CallerURL  string
-	// Standin is the address of a stand-in endpoint with its credentials.
+	// StandinAddr is the address of a stand-in endpoint. The fields below it are the
+	// credentials for it.
 	StandinAddr     string
 	StandinDatabase string
 	StandinUser     string
 	StandinPassword string
 }
 
-// Plan sets how long and up to which sizes is measured.
+// Plan sets the length of a measurement and the values of each variable.
 type Plan struct {
-	Window      time.Duration
+	// Window is the length of one measurement.
+	Window time.Duration
+	// Subscribers are numbers of hosts subscribed at the relay.
 	Subscribers []int
-	// Notes is the number of release notes applied at the greatest number of
+	// Notes is the number of release notes applied with the largest number of
 	// subscribers.
 	Notes int
-	// EventRates are events per second of announcements and observations.
-	EventRates     []int
-	ProbeRates     []int
-	Callers        []int
+	// EventRates are events per second of announcements and of observations.
+	EventRates []int
+	// ProbeRates are requests per second of role probes and of position polls.
+	ProbeRates []int
+	// Callers are numbers of idle connections.
+	Callers []int
+	// StatementRates are statements per second.
 	StatementRates []int
-	Workspaces     []int
-	QuotaPairs     []int
+	// Workspaces are numbers of workspaces in the agreed state.
+	Workspaces []int
+	// QuotaPairs are numbers of keys that each quota holder uses.
+	QuotaPairs []int
 }
 
-// DefaultPlan reaches the sizes of the target where one machine allows it.
+// DefaultPlan returns a plan that reaches the sizes of the target where one machine
+// allows it.
 func DefaultPlan() Plan {
 	return Plan{
 		Window:         10 * time.Second,
@@ -59,7 +69,7 @@
 	}
 }
 
-// Names of the slopes.
+// Names of the slopes, as in the file of measurements.
 const (
 	SlopeRelayCPU        = "relay_cpu_per_subscriber"
 	SlopeRelayBytes      = "relay_bytes_per_subscriber"
@@ -94,17 +104,18 @@
 	SlopeQuotaMemory     = "owner_memory_per_pair"
 )
 
-// run collects the slopes of one measurement.
+// run is one execution of a plan. It collects the slopes.
 type run struct {
-	system System
-	plan   Plan
-	out    io.Writer
-	slopes []Slope
+	system   System
+	plan     Plan
+	progress io.Writer
+	slopes   []Slope
 }
 
-// Measure takes all measurements, with a line of progress for each.
+// Measure executes the plan and writes a line to progress for each step and each
+// slope. On an error it returns the slopes measured so far, too.
 func Measure(system System, plan Plan, progress io.Writer) ([]Slope, error) {
-	r := &run{system: system, plan: plan, out: progress}
+	r := &run{system: system, plan: plan, progress: progress}
 	steps := []struct {
 		name string
 		do   func() error
@@ -112,7 +123,7 @@
 		{"state", r.measureState},
 		{"quota", r.measureQuota},
 		{"probes", r.measureProbes},
-		{"callers", r.measureCallers},
+		{"callers", r.measureIdleCallers},
 		{"statements", r.measureStatements},
 		{"subscribers", r.measureSubscribers},
 	}
@@ -121,19 +132,19 @@
 		if err := step.do(); err != nil {
 			return r.slopes, fmt.Errorf("measure %s: %w", step.name, err)
 		}
-		fmt.Fprintf(r.out, "measured step=%s took=%s\n", step.name, time.Since(start).Round(time.Second))
+		fmt.Fprintf(r.progress, "measured step=%s took=%s\n", step.name, time.Since(start).Round(time.Second))
 	}
 	return r.slopes, nil
 }
 
-// add fits and keeps a slope.
-func (r *run) add(name, variable, unit string, points []Point) {
+// addSlope fits a line to the points and appends it to the slopes.
+func (r *run) addSlope(name, variable, unit string, points []Point) {
 	s := Fit(name, variable, unit, points)
 	r.slopes = append(r.slopes, s)
-	fmt.Fprintf(r.out, "slope name=%s per_unit=%.4g base=%.4g r2=%.3f\n", name, s.PerUnit, s.Base, s.R2)
+	fmt.Fprintf(r.progress, "slope name=%s per_unit=%.4g base=%.4g r2=%.3f\n", name, s.PerUnit, s.Base, s.R2)
 }
 
-// series collects the points of several slopes over one variable.
+// series collects the points of the four slopes over one variable.
 type series struct {
 	cpu, bytes, messages, memory []Point
 }
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -8,11 +8,11 @@
 	"github.com/galenabridge/galenabridge/internal/pgback"
 )
 
-// Item is the worked cost of one mechanism on one host of a role.
+// Item is the computed cost of one mechanism on one host of a role.
 type Item struct {
 	Name      string
 	Mechanism string
-	// Basis tells how the load follows from the target.
+	// Basis describes how the load follows from the target.
 	Basis    string
 	CPU      float64 // share of one core
 	Traffic  float64 // bytes per second, both directions
@@ -20,14 +20,14 @@
 	Memory   float64 // bytes
 }
 
-// Role is the worked cost of one host of a role.
+// Role is the computed cost of one of the Count hosts of a role.
 type Role struct {
 	Name  string
 	Count int
 	Items []Item
 }
 
-// Total adds up the items of a role.
+// Total returns the sum of the items.
 func (r Role) Total() Item {
 	total := Item{Name: "total"}
 	for _, i := range r.Items {
@@ -39,136 +39,141 @@
 	return total
 }
 
-// modeller works out items from slopes. It keeps the first missing slope as its
-// error.
-type modeller struct {
-	t   Target
-	m   Measurements
-	err error
+// costModel computes the cost of a target from measured slopes. err reports the
+// first slope that is missing; the results are valid only if it is nil.
+type costModel struct {
+	target       Target
+	measurements Measurements
+	err          error
 }
 
-// per returns the cost of one unit. Small negative fits of costs that do not
-// depend on the variable count as zero.
-func (c *modeller) per(name string) float64 {
-	s, ok := c.m.Get(name)
+// perUnit returns the cost of one unit of a slope's variable. The fit of a cost
+// that does not depend on the variable may be slightly negative; it counts as zero.
+func (c *costModel) perUnit(name string) float64 {
+	s, ok := c.measurements.Get(name)
 	if !ok && c.err == nil {
 		c.err = errors.Errorf("no measurement of %s", name)
 	}
 	return max(s.PerUnit, 0)
 }
 
-// stateMemory is the memory of the agreed state on every host.
-func (c *modeller) stateMemory() float64 {
-	t := c.t
-	return float64(t.Workspaces)*c.per(SlopeStateMemory) +
-		float64(t.Hosts+t.ControlHosts())*c.per(SlopeHostMemory) +
-		float64(t.Databases)*c.per(SlopeDBMemory)
+// stateMemory returns the memory of the agreed state on every host, in bytes.
+func (c *costModel) stateMemory() float64 {
+	t := c.target
+	return float64(t.Workspaces)*c.perUnit(SlopeStateMemory) +
+		float64(t.Hosts+t.ControlHosts())*c.perUnit(SlopeHostMemory) +
+		float64(t.Databases)*c.perUnit(SlopeDBMemory)
 }
 
-// snapshotBytes is the size of the agreed state on the wire. Hosts and
-// databases count with their memory, which is more.
-func (c *modeller) snapshotBytes() float64 {
-	t := c.t
-	return float64(t.Workspaces)*c.per(SlopeStateBytes) +
-		float64(t.Hosts+t.ControlHosts())*c.per(SlopeHostMemory) +
-		float64(t.Databases)*c.per(SlopeDBMemory)
+// snapshotBytes returns the size of the agreed state on the wire. Hosts and
+// databases count with their size in memory, which is larger.
+func (c *costModel) snapshotBytes() float64 {
+	t := c.target
+	return float64(t.Workspaces)*c.perUnit(SlopeStateBytes) +
+		float64(t.Hosts+t.ControlHosts())*c.perUnit(SlopeHostMemory) +
+		float64(t.Databases)*c.perUnit(SlopeDBMemory)
 }
 
-// homeDatabases is the number of databases that a host serves.
-func (c *modeller) homeDatabases() float64 {
-	return float64(c.t.Databases*c.t.HomeHosts) / float64(c.t.Hosts)
+// homeDatabases returns the number of databases that an entry host serves.
+func (c *costModel) homeDatabases() float64 {
+	return float64(c.target.Databases*c.target.HomeHosts) / float64(c.target.Hosts)
 }
 
-// probesPerHost is the number of probes per second of one entry host.
-func (c *modeller) probesPerHost() float64 {
-	watchers := min(c.t.Domains, failover.MaxWatcherDomains)
-	primaries := float64(c.t.Databases*watchers) / failover.ProbeInterval.Seconds()
-	replicas := float64((c.t.Endpoints()-c.t.Databases)*watchers) / failover.ReplicaProbeInterval.Seconds()
-	return (primaries + replicas) / float64(c.t.Hosts)
+// probesPerHost returns the number of probes that one entry host sends per second.
+func (c *costModel) probesPerHost() float64 {
+	watchers := min(c.target.Domains, failover.MaxWatcherDomains)
+	primaries := float64(c.target.Databases*watchers) / failover.ProbeInterval.Seconds()
+	replicas := float64((c.target.Endpoints()-c.target.Databases)*watchers) / failover.ReplicaProbeInterval.Seconds()
+	return (primaries + replicas) / float64(c.target.Hosts)
 }
 
-// observationsPerHost is the number of reports per second while all endpoints
-// are well.
-func (c *modeller) observationsPerHost() float64 {
-	watchers := min(c.t.Domains, failover.MaxWatcherDomains)
-	return float64(c.t.Endpoints()*watchers) / failover.ReportInterval.Seconds() / float64(c.t.Hosts)
+// observationsPerHost returns the number of observations that one entry host
+// reports per second while all endpoints are healthy.
+func (c *costModel) observationsPerHost() float64 {
+	watchers := min(c.target.Domains, failover.MaxWatcherDomains)
+	return float64(c.target.Endpoints()*watchers) / failover.ReportInterval.Seconds() / float64(c.target.Hosts)
 }
 
-// hostChanges is the number of registrations and removals per second.
-func (c *modeller) hostChanges() float64 {
-	return perSecond(2 * (c.t.RestartsPerDay + c.t.HostFailuresDay))
+// hostChangesPerSecond returns the number of registrations and removals of hosts
+// per second.
+func (c *costModel) hostChangesPerSecond() float64 {
+	return perSecond(2 * (c.target.RestartsPerDay + c.target.HostFailuresDay))
 }
 
-// pairsPerHost is the number of quota keys that one entry host uses: the rates
-// of its active workspaces, connections and slots of its endpoints.
-func (c *modeller) pairsPerHost() float64 {
-	return float64(c.t.ActiveWorkspaces) + 2*c.homeDatabases()*float64(c.t.EndpointsPerDatabase)
+// pairsPerHost returns the number of quota keys that one entry host uses: one for
+// the rate of each active workspace, and two for the connections and the slots of
+// each endpoint.
+func (c *costModel) pairsPerHost() float64 {
+	return float64(c.target.ActiveWorkspaces) + 2*c.homeDatabases()*float64(c.target.EndpointsPerDatabase)
 }
 
-func (c *modeller) entryRole() Role {
-	t := c.t
-	renews := 1 / lease.DefaultConfig().RenewInterval.Seconds()
+// entryRole returns the control work of an ordinary entry host, for which the
+// bounds hold.
+func (c *costModel) entryRole() Role {
+	t := c.target
+	renewals := 1 / lease.DefaultConfig().RenewInterval.Seconds()
 	replicas := c.homeDatabases() * float64(t.EndpointsPerDatabase-1)
-	positions := replicas/pgback.ReplicaPollInterval.Seconds() + c.homeDatabases()/pgback.PrimaryPollInterval.Seconds()
-	roles := c.homeDatabases() * float64(t.EndpointsPerDatabase) / pgback.RolePollInterval.Seconds()
+	positionPolls := replicas/pgback.ReplicaPollInterval.Seconds() + c.homeDatabases()/pgback.PrimaryPollInterval.Seconds()
+	rolePolls := c.homeDatabases() * float64(t.EndpointsPerDatabase) / pgback.RolePollInterval.Seconds()
 	return Role{Name: "entry host", Count: t.Hosts, Items: []Item{
 		{
 			Name: "configuration lease", Mechanism: "one lease per host, renewed through a relay (003)",
 			Basis:   "one renewal every 700 ms",
-			CPU:     c.per(SlopeSubscriptionCPU),
-			Traffic: c.per(SlopeRelayBytes), Messages: 2 * renews,
+			CPU:     c.perUnit(SlopeSubscriptionCPU),
+			Traffic: c.perUnit(SlopeRelayBytes), Messages: 2 * renewals,
 		},
 		{
 			Name: "agreed state", Mechanism: "numbered deltas pushed by a relay, immutable state patched (004)",
 			Basis:    "notes, registrations and failovers of the day",
-			CPU:      t.DeltasPerSecond() * float64(t.Workspaces) * c.per(SlopeApplyCPU),
-			Traffic:  t.DeltasPerSecond() * c.per(SlopeDeltaBytes),
+			CPU:      t.DeltasPerSecond() * float64(t.Workspaces) * c.perUnit(SlopeApplyCPU),
+			Traffic:  t.DeltasPerSecond() * c.perUnit(SlopeDeltaBytes),
 			Messages: t.DeltasPerSecond(),
 			Memory:   c.stateMemory(),
 		},
 		{
 			Name: "watching endpoints", Mechanism: "rendezvous-chosen watchers per failure domain (008)",
 			Basis:    "probes of primaries and replicas, spread over all hosts; assignment anew when hosts change",
-			CPU:      c.probesPerHost()*c.per(SlopeProbeCPU) + c.hostChanges()*float64(t.Endpoints())*c.per(SlopeAssignCPU),
-			Traffic:  c.probesPerHost()*c.per(SlopeProbeBytes) + c.observationsPerHost()*c.per(SlopeObserveBytes)/2,
+			CPU:      c.probesPerHost()*c.perUnit(SlopeProbeCPU) + c.hostChangesPerSecond()*float64(t.Endpoints())*c.perUnit(SlopeAssignCPU),
+			Traffic:  c.probesPerHost()*c.perUnit(SlopeProbeBytes) + c.observationsPerHost()*c.perUnit(SlopeObserveBytes)/2,
 			Messages: c.probesPerHost() + c.observationsPerHost(),
 		},
 		{
 			Name: "positions of endpoints in use", Mechanism: "monitor per endpoint of the home set (007, 010)",
 			Basis:    "databases at home here, each endpoint polled",
-			CPU:      positions*c.per(SlopePositionCPU) + roles*c.per(SlopeProbeCPU),
-			Traffic:  positions*c.per(SlopePositionBytes) + roles*c.per(SlopeProbeBytes),
-			Messages: positions + roles,
+			CPU:      positionPolls*c.perUnit(SlopePositionCPU) + rolePolls*c.perUnit(SlopeProbeCPU),
+			Traffic:  positionPolls*c.perUnit(SlopePositionBytes) + rolePolls*c.perUnit(SlopeProbeBytes),
+			Messages: positionPolls + rolePolls,
 		},
 		{
 			Name: "quota leases", Mechanism: "holder, one request per owner with all keys that are due (005)",
 			Basis:   "active workspaces, connections and slots of the endpoints in use",
-			CPU:     c.pairsPerHost() * c.per(SlopeQuotaHolderCPU),
-			Traffic: c.pairsPerHost() * c.per(SlopeQuotaBytes),
-			Memory:  c.pairsPerHost() * c.per(SlopeQuotaMemory),
+			CPU:     c.pairsPerHost() * c.perUnit(SlopeQuotaHolderCPU),
+			Traffic: c.pairsPerHost() * c.perUnit(SlopeQuotaBytes),
+			Memory:  c.pairsPerHost() * c.perUnit(SlopeQuotaMemory),
 		},
 	}}
 }
 
-func (c *modeller) relayRole() Role {
-	t := c.t
+// relayRole returns the control work of a control host without a vote.
+func (c *costModel) relayRole() Role {
+	t := c.target
 	subscribers := t.SubscribersPerRelay()
 	restarts := perSecond(t.RestartsPerDay+t.HostFailuresDay) / float64(max(t.Relays, 1))
-	owned := c.pairsPerHost() * float64(t.Hosts) / float64(t.ControlHosts())
+	ownedPairs := c.pairsPerHost() * float64(t.Hosts) / float64(t.ControlHosts())
 	return Role{Name: "relay", Count: t.Relays, Items: []Item{
 		{
 			Name: "leases of subscribers", Mechanism: "broker; one upstream round for all waiting renewals (003)",
 			Basis:    "hosts spread over the relays",
-			CPU:      subscribers * c.per(SlopeRelayCPU),
-			Traffic:  subscribers * c.per(SlopeRelayBytes),
-			Messages: subscribers * c.per(SlopeRelayMessages),
-			Memory:   subscribers * c.per(SlopeRelayMemory),
+			CPU:      subscribers * c.perUnit(SlopeRelayCPU),
+			Traffic:  subscribers * c.perUnit(SlopeRelayBytes),
+			Messages: subscribers * c.perUnit(SlopeRelayMessages),
+			Memory:   subscribers * c.perUnit(SlopeRelayMemory),
 		},
 		{
 			Name: "deltas to subscribers", Mechanism: "encoded once per revision, pushed (004)",
 			Basis:    "changes of the day",
-			CPU:      t.DeltasPerSecond() * subscribers * c.per(SlopeDeltaCPU),
-			Traffic:  t.DeltasPerSecond() * subscribers * c.per(SlopeDeltaBytes),
+			CPU:      t.DeltasPerSecond() * subscribers * c.perUnit(SlopeDeltaCPU),
+			Traffic:  t.DeltasPerSecond() * subscribers * c.perUnit(SlopeDeltaBytes),
 			Messages: t.DeltasPerSecond() * subscribers,
 			Memory:   c.stateMemory(),
 		},
@@ -180,82 +185,84 @@
 		{
 			Name: "quota owner", Mechanism: "owners by rendezvous hashing over control hosts (005)",
 			Basis:   "pairs of the fleet over all control hosts",
-			CPU:     owned * c.per(SlopeQuotaOwnerCPU),
-			Traffic: owned * c.per(SlopeQuotaBytes),
-			Memory:  owned * c.per(SlopeQuotaMemory),
+			CPU:     ownedPairs * c.perUnit(SlopeQuotaOwnerCPU),
+			Traffic: ownedPairs * c.perUnit(SlopeQuotaBytes),
+			Memory:  ownedPairs * c.perUnit(SlopeQuotaMemory),
 		},
 	}}
 }
 
-func (c *modeller) leaderRole() Role {
-	t := c.t
+// leaderRole returns the work of the control leader.
+func (c *costModel) leaderRole() Role {
+	t := c.target
 	announcements := float64(t.Endpoints()) / t.AnnounceInterval
 	observations := c.observationsPerHost() * float64(t.Hosts)
-	owned := c.pairsPerHost() * float64(t.Hosts) / float64(t.ControlHosts())
+	ownedPairs := c.pairsPerHost() * float64(t.Hosts) / float64(t.ControlHosts())
 	return Role{Name: "control leader", Count: 1, Items: []Item{
 		{
 			Name: "leases of relays", Mechanism: "broker; quorum confirmed once per round (003)",
 			Basis:   "all hosts, behind relays",
-			CPU:     float64(t.Hosts) * c.per(SlopeLeaderCPU),
-			Traffic: float64(t.Hosts) * c.per(SlopeLeaderBytes),
+			CPU:     float64(t.Hosts) * c.perUnit(SlopeLeaderCPU),
+			Traffic: float64(t.Hosts) * c.perUnit(SlopeLeaderBytes),
 		},
 		{
 			Name: "log and deltas", Mechanism: "consensus log, synced; learners get the log (001, 002)",
 			Basis:    "changes of the day to voters and relays",
-			CPU:      t.DeltasPerSecond() * float64(t.ControlHosts()) * c.per(SlopeDeltaCPU),
-			Traffic:  t.DeltasPerSecond() * float64(t.ControlHosts()) * c.per(SlopeDeltaBytes),
+			CPU:      t.DeltasPerSecond() * float64(t.ControlHosts()) * c.perUnit(SlopeDeltaCPU),
+			Traffic:  t.DeltasPerSecond() * float64(t.ControlHosts()) * c.perUnit(SlopeDeltaBytes),
 			Messages: t.DeltasPerSecond() * float64(t.ControlHosts()),
 			Memory:   c.stateMemory(),
 		},
 		{
 			Name: "announcements", Mechanism: "soft state at the leader, never in the log (004)",
 			Basis:    "every endpoint at its interval",
-			CPU:      announcements * c.per(SlopeAnnounceCPU),
-			Traffic:  announcements * c.per(SlopeAnnounceBytes),
+			CPU:      announcements * c.perUnit(SlopeAnnounceCPU),
+			Traffic:  announcements * c.perUnit(SlopeAnnounceBytes),
 			Messages: announcements,
 		},
 		{
 			Name: "observations and failover", Mechanism: "one machine per group at the leader (008)",
 			Basis:    "reports of all watchers while the endpoints are well",
-			CPU:      observations * c.per(SlopeObserveCPU),
-			Traffic:  observations * c.per(SlopeObserveBytes),
+			CPU:      observations * c.perUnit(SlopeObserveCPU),
+			Traffic:  observations * c.perUnit(SlopeObserveBytes),
 			Messages: observations,
 		},
 		{
 			Name: "quota owner", Mechanism: "as on relays (005)", Basis: "pairs of the fleet over all control hosts",
-			CPU:     owned * c.per(SlopeQuotaOwnerCPU),
-			Traffic: owned * c.per(SlopeQuotaBytes),
-			Memory:  owned * c.per(SlopeQuotaMemory),
+			CPU:     ownedPairs * c.perUnit(SlopeQuotaOwnerCPU),
+			Traffic: ownedPairs * c.perUnit(SlopeQuotaBytes),
+			Memory:  ownedPairs * c.perUnit(SlopeQuotaMemory),
 		},
 	}}
 }
 
-// callersRole is the work for callers, which the bounds do not cover.
-func (c *modeller) callersRole() Role {
-	t := c.t
+// callersRole returns the work of an entry host for callers, to which the bounds
+// do not apply.
+func (c *costModel) callersRole() Role {
+	t := c.target
 	callers := float64(t.CallerConnections) / float64(t.Hosts)
 	statements := t.Statements / float64(t.Hosts)
 	return Role{Name: "entry host, work for callers", Count: t.Hosts, Items: []Item{
 		{
 			Name: "caller connections", Mechanism: "one session task each (007)", Basis: "connections spread over all hosts",
-			Memory: callers * c.per(SlopeCallerMemory),
+			Memory: callers * c.perUnit(SlopeCallerMemory),
 		},
 		{
 			Name: "statements", Mechanism: "pooled endpoint connections (007)", Basis: "statements spread over all hosts",
-			CPU:      statements * c.per(SlopeStatementCPU),
-			Traffic:  statements * c.per(SlopeStatementBytes),
+			CPU:      statements * c.perUnit(SlopeStatementCPU),
+			Traffic:  statements * c.perUnit(SlopeStatementBytes),
 			Messages: statements,
 		},
 		{
 			Name: "logins", Mechanism: "SCRAM-SHA-256, bounded number at once", Basis: "one login an hour per connection",
-			CPU: callers / 3600 * c.per(SlopeLoginCPU),
+			CPU: callers / 3600 * c.perUnit(SlopeLoginCPU),
 		},
 	}}
 }
 
-// roles works out all roles.
-func roles(t Target, m Measurements) ([]Role, error) {
-	c := &modeller{t: t, m: m}
-	all := []Role{c.entryRole(), c.relayRole(), c.leaderRole(), c.callersRole()}
-	return all, c.err
+// modelRoles returns all roles. The entry host is the first.
+func modelRoles(t Target, m Measurements) ([]Role, error) {
+	model := &costModel{target: t, measurements: m}
+	all := []Role{model.entryRole(), model.relayRole(), model.leaderRole(), model.callersRole()}
+	return all, model.err
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -14,40 +14,42 @@
 	"github.com/galenabridge/galenabridge/internal/quota"
 )
 
-// pageData is what the template sees.
+// pageData is the input of the template.
 type pageData struct {
 	Goal     Goal
 	Measured Measurements
 	Roles    []roleData
 	Timing   []timingRow
-	Storms   []stormRow
+	Storms   []rareEventRow
 }
 
+// roleData is a role with its total. Bound is nil for roles without a bound.
 type roleData struct {
 	Role
 	Sum   Item
 	Bound *Bounds
 }
 
-// timingRow compares a time that follows from the protocol with its bound.
+// timingRow compares the worst case of a reaction with its bound, both in seconds.
 type timingRow struct {
 	What, Steps string
 	Seconds     float64
 	Bound       float64
 }
 
-// stormRow is the load of a rare event.
-type stormRow struct {
+// rareEventRow describes the load of a rare event.
+type rareEventRow struct {
 	Event, Load, Mechanism string
 }
 
-// Page renders the capacity page.
+// Page renders the capacity page. It returns an error if a slope that the model
+// needs is missing.
 func Page(goal Goal, m Measurements) ([]byte, error) {
-	all, err := roles(goal.Target, m)
+	all, err := modelRoles(goal.Target, m)
 	if err != nil {
 		return nil, err
 	}
-	data := pageData{Goal: goal, Measured: m, Timing: timings(goal.Bounds), Storms: storms(goal.Target, m)}
+	data := pageData{Goal: goal, Measured: m, Timing: timings(goal.Bounds), Storms: rareEvents(goal.Target, m)}
 	for i, r := range all {
 		d := roleData{Role: r, Sum: r.Total()}
 		if i == 0 {
@@ -62,52 +64,55 @@
 	return out.Bytes(), nil
 }
 
-// timings adds up the worst case of the two bounded reactions.
+// timings computes the worst cases of the bounded reactions from the time limits of
+// the protocol.
 func timings(b Bounds) []timingRow {
-	l := lease.DefaultConfig()
-	counted := l.Duration.Seconds() * (1 + l.Drift)
-	const election = 1.2 // two randomised election timeouts, in seconds
-	cfg := failover.DefaultConfig()
+	leaseConfig := lease.DefaultConfig()
+	leaseSeconds := leaseConfig.Duration.Seconds() * (1 + leaseConfig.Drift)
+	const electionSeconds = 1.2 // two randomized election timeouts
+	failoverConfig := failover.DefaultConfig()
 	return []timingRow{
 		{
 			What:    "a release note in force on every host that may act",
 			Steps:   "control leader cut off: election, then the end of the leases of hosts that did not hear of it",
-			Seconds: election + counted, Bound: b.Dissemination,
+			Seconds: electionSeconds + leaseSeconds, Bound: b.Dissemination,
 		},
 		{
 			What:    "shares of a changed rate in force everywhere",
 			Steps:   "as above, then the end of the longest quota lease",
-			Seconds: election + counted + quota.DefaultLease.Seconds(), Bound: b.Dissemination,
+			Seconds: electionSeconds + leaseSeconds + quota.DefaultLease.Seconds(), Bound: b.Dissemination,
 		},
 		{
 			What:    "a change of primary, primary and control leader isolated together",
 			Steps:   "election, suspicion, seal, end of all leases, choice and promotion with one candidate lost on the way",
-			Seconds: election + cfg.SuspectAfter.Seconds() + counted + 2*cfg.CandidateTimeout.Seconds(), Bound: b.Failover,
+			Seconds: electionSeconds + failoverConfig.SuspectAfter.Seconds() + leaseSeconds + 2*failoverConfig.CandidateTimeout.Seconds(), Bound: b.Failover,
 		},
 	}
 }
 
-func storms(t Target, m Measurements) []stormRow {
-	c := &modeller{t: t, m: m}
-	snapshot := c.snapshotBytes()
-	perDomain := float64(t.Hosts) / float64(t.Domains)
-	perRelay := perDomain / float64(max(t.Relays, 1))
-	callers := float64(t.CallerConnections) / float64(t.Hosts)
-	login := c.per(SlopeLoginCPU)
-	return []stormRow{
+// rareEvents computes the load of rare events. A missing slope counts as zero here;
+// modelRoles reports it.
+func rareEvents(t Target, m Measurements) []rareEventRow {
+	model := &costModel{target: t, measurements: m}
+	snapshotBytes := model.snapshotBytes()
+	hostsPerDomain := float64(t.Hosts) / float64(t.Domains)
+	joinsPerRelay := hostsPerDomain / float64(max(t.Relays, 1))
+	callersPerHost := float64(t.CallerConnections) / float64(t.Hosts)
+	cpuPerLogin := model.perUnit(SlopeLoginCPU)
+	return []rareEventRow{
 		{
 			Event:     "a failure domain returns",
-			Load:      fmt.Sprintf("%.0f hosts join at once, %.0f on a relay: %s of snapshots each relay", perDomain, perRelay, size(perRelay*snapshot)),
+			Load:      fmt.Sprintf("%.0f hosts join at once, %.0f on a relay: %s of snapshots each relay", hostsPerDomain, joinsPerRelay, formatBytes(joinsPerRelay*snapshotBytes)),
 			Mechanism: "snapshot encoded once per revision; a host asks another relay after 1 s of silence",
 		},
 		{
 			Event:     "a host is lost",
-			Load:      fmt.Sprintf("%.0f callers reconnect to the others: %.1f CPU s of logins over the fleet", callers, callers*login),
+			Load:      fmt.Sprintf("%.0f callers reconnect to the others: %.1f CPU s of logins over the fleet", callersPerHost, callersPerHost*cpuPerLogin),
 			Mechanism: "bounded verifications at once, GB1007 beyond them",
 		},
 		{
 			Event:     "a failure domain is lost",
-			Load:      fmt.Sprintf("%.0f callers reconnect: %.2f CPU s of logins on each host left", callers*perDomain, callers*perDomain*login/(float64(t.Hosts)-perDomain)),
+			Load:      fmt.Sprintf("%.0f callers reconnect: %.2f CPU s of logins on each host left", callersPerHost*hostsPerDomain, callersPerHost*hostsPerDomain*cpuPerLogin/(float64(t.Hosts)-hostsPerDomain)),
 			Mechanism: "as above; groups whose primary stood there fail over, one seal each",
 		},
 		{
@@ -119,7 +124,7 @@
 }
 
 // size formats bytes with a decimal prefix.
-func size(bytes float64) string {
+func formatBytes(bytes float64) string {
 	switch {
 	case bytes >= 1e9:
 		return fmt.Sprintf("%.1f GB", bytes/1e9)
@@ -131,18 +136,20 @@
 	return fmt.Sprintf("%.0f B", bytes)
 }
 
-// verdict compares a worked figure with its bound.
-func verdict(worked, bound float64) string {
+// verdict compares a computed value with its bound.
+func verdict(value, bound float64) string {
 	switch {
-	case worked > bound:
+	case value > bound:
 		return "**misses**"
-	case worked > bound/2:
+	case value > bound/2:
 		return "within the bound, above half of it"
 	}
 	return "within half of the bound"
 }
 
-func number(x float64) string {
+// formatNumber formats x with three significant digits, whole from 100 up, and zero
+// as a dash.
+func formatNumber(x float64) string {
 	switch {
 	case x == 0:
 		return "-"
@@ -153,7 +160,7 @@
 }
 
 var pageTemplate = template.Must(template.New("capacity").Funcs(template.FuncMap{
-	"size": size, "verdict": verdict, "number": number,
+	"size": formatBytes, "verdict": verdict, "number": formatNumber,
 	"percent": func(x float64) string { return fmt.Sprintf("%.3f%%", 100*x) },
 	"seconds": func(x float64) string { return fmt.Sprintf("%.1f s", x) },
 	"days":    func(x float64) string { return (time.Duration(x) * time.Second).String() },
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -7,7 +7,7 @@
 	"testing"
 )
 
-func load[T any](t *testing.T, path string) T {
+func loadJSON[T any](t *testing.T, path string) T {
 	t.Helper()
 	var v T
 	data, err := os.ReadFile(path)
@@ -20,11 +20,11 @@
 	return v
 }
 
-// TestPageMatchesItsSources keeps docs/CAPACITY.md equal to what the model
-// works out from the committed measurements.
-func TestPageMatchesItsSources(t *testing.T) {
-	goal := load[Goal](t, "../../docs/capacity/target.json")
-	measured := load[Measurements](t, "../../docs/capacity/slopes.json")
+// TestPageMatchesCommittedPage guards against a docs/CAPACITY.md that was not
+// rendered anew after a change of the model, the target or the measurements.
+func TestPageMatchesCommittedPage(t *testing.T) {
+	goal := loadJSON[Goal](t, "../../docs/capacity/target.json")
+	measured := loadJSON[Measurements](t, "../../docs/capacity/slopes.json")
 	page, err := Page(goal, measured)
 	if err != nil {
 		t.Fatal(err)
@@ -38,15 +38,17 @@
 	}
 }
 
-func TestFitFindsTheLine(t *testing.T) {
+func TestFitCollinearPointsIsExact(t *testing.T) {
 	s := Fit("x", "n", "B", []Point{{0, 5}, {10, 25}, {20, 45}})
 	if s.PerUnit != 2 || s.Base != 5 || s.R2 != 1 {
 		t.Errorf("got %+v", s)
 	}
 }
 
-func TestAMissingSlopeIsAnError(t *testing.T) {
-	goal := load[Goal](t, "../../docs/capacity/target.json")
+// TestPageMissingSlopeReturnsError guards against a page that counts the cost of a
+// missing slope as zero.
+func TestPageMissingSlopeReturnsError(t *testing.T) {
+	goal := loadJSON[Goal](t, "../../docs/capacity/target.json")
 	if _, err := Page(goal, Measurements{}); err == nil || !strings.Contains(err.Error(), "no measurement") {
 		t.Errorf("got %v", err)
 	}
--- a/internal/capacity/plot.go
+++ b/internal/capacity/plot.go
@@ -9,14 +9,14 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// Size of a plot.
+// Size of a plot on the page.
 const (
 	plotWidth  = 14 * vg.Centimeter
 	plotHeight = 9 * vg.Centimeter
 )
 
-// Plot writes one PNG file for each slope into dir: the measured points and the
-// fitted line.
+// Plot writes one PNG file per slope into dir, named after the slope. It shows the
+// measured points and the fitted line.
 func Plot(dir string, m Measurements) error {
 	for _, s := range m.Slopes {
 		if err := plotSlope(filepath.Join(dir, s.Name+".png"), s); err != nil {
--- a/internal/capacity/scrape.go
+++ b/internal/capacity/scrape.go
@@ -13,7 +13,7 @@
 	"github.com/pkg/errors"
 )
 
-// Metrics that are read from a process.
+// Names of the metrics that are read from a process.
 const (
 	metricCPU      = "process_cpu_seconds_total"
 	metricMemory   = "process_resident_memory_bytes"
@@ -23,16 +23,17 @@
 
 const scrapeTimeout = 10 * time.Second
 
-// sample is the state of a process at one time.
+// sample holds the metrics of a process at one time. All but memory are totals since
+// its start.
 type sample struct {
 	at       time.Time
-	cpu      float64 // seconds of processor time
+	cpu      float64 // CPU seconds
 	memory   float64 // resident bytes
-	bytes    float64 // sent and received between hosts
-	messages float64
+	bytes    float64 // sent to and received from other hosts
+	messages float64 // sent to and received from other hosts
 }
 
-// scrape reads the metrics of the process with the given admin address.
+// scrape reads the metrics of the process with the given admin address (IP:PORT).
 func scrape(admin string) (sample, error) {
 	client := http.Client{Timeout: scrapeTimeout}
 	resp, err := client.Get("http://" + admin + "/metrics")
@@ -40,25 +41,28 @@
 		return sample{}, err
 	}
 	defer resp.Body.Close()
-	families, err := parse(resp.Body)
+	families, err := parseMetrics(resp.Body)
 	if err != nil {
 		return sample{}, errors.Wrapf(err, "metrics of %s", admin)
 	}
 	return sample{
 		at:       time.Now(),
-		cpu:      sum(families[metricCPU]),
-		memory:   sum(families[metricMemory]),
-		bytes:    sum(families[metricBytes]),
-		messages: sum(families[metricMessages]),
+		cpu:      sumFamily(families[metricCPU]),
+		memory:   sumFamily(families[metricMemory]),
+		bytes:    sumFamily(families[metricBytes]),
+		messages: sumFamily(families[metricMessages]),
 	}, nil
 }
 
-func parse(r io.Reader) (map[string]*dto.MetricFamily, error) {
+// parseMetrics parses the Prometheus text format.
+func parseMetrics(r io.Reader) (map[string]*dto.MetricFamily, error) {
 	parser := expfmt.NewTextParser(model.UTF8Validation)
 	return parser.TextToMetricFamilies(r)
 }
 
-func sum(family *dto.MetricFamily) float64 {
+// sumFamily returns the sum of the counters and gauges over all labels of a metric.
+// The sum of a missing metric is 0.
+func sumFamily(family *dto.MetricFamily) float64 {
 	total := 0.0
 	for _, m := range family.GetMetric() {
 		total += m.GetCounter().GetValue() + m.GetGauge().GetValue()
@@ -66,7 +70,7 @@
 	return total
 }
 
-// rates are the costs of a process per second over a window.
+// rates are the averages per second of a process's metrics over a window.
 type rates struct {
 	cpu      float64 // share of one core
 	bytes    float64
@@ -74,8 +78,8 @@
 	memory   float64 // resident bytes at the end of the window
 }
 
-// observe measures a process over a window.
-func observe(admin string, window time.Duration) (rates, error) {
+// measureRates scrapes a process before and after a window.
+func measureRates(admin string, window time.Duration) (rates, error) {
 	before, err := scrape(admin)
 	if err != nil {
 		return rates{}, err
@@ -94,11 +98,11 @@
 	}, nil
 }
 
-// ownCPU returns the processor time of this process, in seconds.
-func ownCPU() (float64, error) {
+// ownCPUSeconds returns the CPU time of this process, in user and system mode.
+func ownCPUSeconds() (float64, error) {
 	var usage syscall.Rusage
 	if err := syscall.Getrusage(syscall.RUSAGE_SELF, &usage); err != nil {
-		return 0, errors.Wrap(err, "processor time")
+		return 0, errors.Wrap(err, "read CPU time")
 	}
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano()).Seconds(), nil
 }
--- a/internal/capacity/slope.go
+++ b/internal/capacity/slope.go
@@ -12,9 +12,9 @@
 
 // Slope is the cost of one more unit, fitted to measured points.
 type Slope struct {
-	// Name identifies the slope in the model.
+	// Name identifies the slope in the model and in the file of measurements.
 	Name string `json:"name"`
-	// Variable and Unit name the axes, such as "subscribers" and "CPU s/s".
+	// Variable and Unit label the axes, such as "subscribers" and "CPU s/s".
 	Variable string `json:"variable"`
 	Unit     string `json:"unit"`
 	// PerUnit is the cost of one unit of the variable, Base the cost at zero.
@@ -25,7 +25,7 @@
 	Points []Point `json:"points"`
 }
 
-// Fit returns the least-squares line through the points.
+// Fit returns the line through the points by linear least squares.
 func Fit(name, variable, unit string, points []Point) Slope {
 	xs := make([]float64, len(points))
 	ys := make([]float64, len(points))
@@ -41,7 +41,8 @@
 	}
 }
 
-// Measurements are all slopes of one run, with the machine they come from.
+// Measurements are the slopes of one run with the machine, date and command that
+// produced them.
 type Measurements struct {
 	Machine string  `json:"machine"`
 	Date    string  `json:"date"`
@@ -49,7 +50,7 @@
 	Slopes  []Slope `json:"slopes"`
 }
 
-// Get returns the slope of a name, and whether it was measured.
+// Get returns the slope with the given name and whether it was measured.
 func (m Measurements) Get(name string) (Slope, bool) {
 	for _, s := range m.Slopes {
 		if s.Name == name {
--- a/internal/capacity/subscribers.go
+++ b/internal/capacity/subscribers.go
@@ -18,55 +18,58 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// swarm is a growing set of light entry hosts in this process: they follow the
-// agreed state through one control host and renew their leases, but serve no
-// callers.
-type swarm struct {
-	system  System
-	ctx     context.Context
-	stop    context.CancelFunc
-	tasks   sync.WaitGroup
-	members []*swarmMember
+// simulatedHosts is a growing set of entry hosts in this process. They subscribe
+// to the agreed state at the relay and renew their configuration leases, but serve
+// no callers.
+type simulatedHosts struct {
+	system System
+	ctx    context.Context
+	stop   context.CancelFunc
+	tasks  sync.WaitGroup
+	hosts  []*simulatedHost
 }
 
-type swarmMember struct {
+// simulatedHost is one of simulatedHosts.
+type simulatedHost struct {
 	subscriber *control.Subscriber
-	view       *view.Publisher
+	publisher  *view.Publisher
 }
 
-func newSwarm(system System) *swarm {
+func newSimulatedHosts(system System) *simulatedHosts {
 	ctx, stop := context.WithCancel(context.Background())
-	return &swarm{system: system, ctx: ctx, stop: stop}
+	return &simulatedHosts{system: system, ctx: ctx, stop: stop}
 }
 
-// grow adds subscribers until there are n, and waits until all hold a lease.
-func (s *swarm) grow(n int) error {
-	for len(s.members) < n {
+// grow adds hosts until there are n, and waits until all of them hold a lease.
+func (s *simulatedHosts) grow(n int) error {
+	for len(s.hosts) < n {
 		if err := s.add(); err != nil {
 			return err
 		}
 	}
-	deadline := time.Now().Add(settleTimeout)
-	for _, m := range s.members {
-		for !m.view.Current().Valid() {
+	deadline := time.Now().Add(leaseWaitTimeout)
+	for _, h := range s.hosts {
+		for !h.publisher.Current().Valid() {
 			if time.Now().After(deadline) {
-				return errors.Errorf("%d subscribers did not all get a lease in %s", n, settleTimeout)
+				return errors.Errorf("not all of %d subscribers obtained a lease within %s", n, leaseWaitTimeout)
 			}
-			time.Sleep(settlePoll)
+			time.Sleep(leasePollInterval)
 		}
 	}
 	return nil
 }
 
+// Wait for the leases of new hosts.
 const (
-	settleTimeout = 2 * time.Minute
-	settlePoll    = 20 * time.Millisecond
+	leaseWaitTimeout  = 2 * time.Minute
+	leasePollInterval = 20 * time.Millisecond
 )
 
-func (s *swarm) add() error {
+// add starts one more host.
+func (s *simulatedHosts) add() error {
 	logger := log.New(io.Discard)
 	node := peer.NewNode(peer.Options{
-		Host:  fmt.Sprintf("light-%d", len(s.members)),
+		Host:  fmt.Sprintf("light-%d", len(s.hosts)),
 		Fleet: s.system.Fleet, Secret: s.system.Secret,
 		Incarnation: uint64(time.Now().UnixNano()),
 		Listen:      "127.0.0.1:0",
@@ -75,19 +78,20 @@
 	if err := node.Listen(); err != nil {
 		return err
 	}
-	m := &swarmMember{view: view.NewPublisher()}
-	m.subscriber = control.NewSubscriber(control.SubscriberOptions{
+	h := &simulatedHost{publisher: view.NewPublisher()}
+	h.subscriber = control.NewSubscriber(control.SubscriberOptions{
 		Fleet: s.system.Fleet, Domain: s.system.Domain, Entry: true,
 		Controls: []config.ControlHost{{Host: s.system.RelayHost, Addr: s.system.RelayPeer}},
-		Peer:     node, Lease: lease.DefaultConfig(), Logger: logger, View: m.view,
+		Peer:     node, Lease: lease.DefaultConfig(), Logger: logger, View: h.publisher,
 	})
 	s.tasks.Go(func() { _ = node.Run(s.ctx) })
-	s.tasks.Go(func() { _ = m.subscriber.Run(s.ctx) })
-	s.members = append(s.members, m)
+	s.tasks.Go(func() { _ = h.subscriber.Run(s.ctx) })
+	s.hosts = append(s.hosts, h)
 	return nil
 }
 
-func (s *swarm) close() {
+// close stops all hosts and waits for their tasks.
+func (s *simulatedHosts) close() {
 	s.stop()
 	s.tasks.Wait()
 }
