--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -129,7 +129,7 @@
 		return errors.Errorf("service %s has no primary", service)
 	}
 	links := []standin.Link{standin.LinkCallers, standin.LinkReplication, standin.LinkAnnouncements}
-	return e.SetFaults(ctx, standin.FaultRequest{Cut: &links})
+	return e.SetFaults(ctx, standin.FaultRequest{PartitionedLinks: &links})
 }
 
 func (s *System) healEndpoints(ctx context.Context, service string) error {
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -11,14 +11,14 @@
 
 // FaultRequest sets fault switches over HTTP. Fields left out keep their state.
 type FaultRequest struct {
-	Clear           bool    `json:"clear,omitempty"`
-	Stall           *bool   `json:"stall,omitempty"`
-	LateMS          *int    `json:"late_ms,omitempty"`
-	DropAfterCommit *int    `json:"drop_after_commit,omitempty"`
-	Cut             *[]Link `json:"cut,omitempty"`
-	ReplayLagMS     *int    `json:"replay_lag_ms,omitempty"`
-	ReplicationMS   *int    `json:"replication_delay_ms,omitempty"`
-	Kill            bool    `json:"kill,omitempty"`
+	Clear              bool    `json:"clear,omitempty"`
+	Stall              *bool   `json:"stall,omitempty"`
+	ResponseDelayMS    *int    `json:"late_ms,omitempty"`
+	DropAfterCommit    *int    `json:"drop_after_commit,omitempty"`
+	PartitionedLinks   *[]Link `json:"cut,omitempty"`
+	ReplayLagMS        *int    `json:"replay_lag_ms,omitempty"`
+	ReplicationDelayMS *int    `json:"replication_delay_ms,omitempty"`
+	Kill               bool    `json:"kill,omitempty"`
 }
 
 // Status is the endpoint's state as its control address reports it.
@@ -57,32 +57,32 @@
 		http.Error(w, err.Error(), http.StatusBadRequest)
 		return
 	}
-	s.Apply(request)
+	s.ApplyFaults(request)
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// Apply sets the switches that the request names.
-func (s *Server) Apply(r FaultRequest) {
+// ApplyFaults sets the switches that the request names.
+func (s *Server) ApplyFaults(r FaultRequest) {
 	if r.Clear {
 		s.faults.Clear()
 	}
 	if r.Stall != nil {
 		s.faults.Stall(*r.Stall)
 	}
-	if r.LateMS != nil {
-		s.faults.Late(milliseconds(*r.LateMS))
+	if r.ResponseDelayMS != nil {
+		s.faults.DelayResponses(milliseconds(*r.ResponseDelayMS))
 	}
 	if r.DropAfterCommit != nil {
 		s.faults.DropAfterCommit(*r.DropAfterCommit)
 	}
-	if r.Cut != nil {
-		s.faults.cutOnly(*r.Cut)
+	if r.PartitionedLinks != nil {
+		s.faults.cutOnly(*r.PartitionedLinks)
 	}
 	if r.ReplayLagMS != nil {
 		s.SetReplayLag(milliseconds(*r.ReplayLagMS))
 	}
-	if r.ReplicationMS != nil {
-		s.SetReplicationDelay(milliseconds(*r.ReplicationMS))
+	if r.ReplicationDelayMS != nil {
+		s.SetReplicationDelay(milliseconds(*r.ReplicationDelayMS))
 	}
 	if r.Kill {
 		s.Kill()
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -45,8 +45,8 @@
 	f.update(func() { f.stalled = on })
 }
 
-// Late delays each answer by d.
-func (f *Faults) Late(d time.Duration) {
+// DelayResponses delays each response by d. Zero means no delay.
+func (f *Faults) DelayResponses(d time.Duration) {
 	f.update(func() { f.late = d })
 }
 
--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -271,7 +271,7 @@
 func testWholeOwnAnswers(t *testing.T, f *fleet) {
 	late := 50
 	for _, e := range f.Endpoints {
-		f.faults(e, standin.FaultRequest{LateMS: &late})
+		f.faults(e, standin.FaultRequest{ResponseDelayMS: &late})
 	}
 	r := newRecorder()
 	var work errgroup.Group
--- a/test/integration/soak_test.go
+++ b/test/integration/soak_test.go
@@ -205,7 +205,7 @@
 	case faultDropAnswers:
 		request.DropAfterCommit = &drops
 	case faultLateAnswers:
-		request.LateMS = &late
+		request.ResponseDelayMS = &late
 	case faultLag:
 		request.ReplayLagMS = &lag
 	}
