--- a/cmd/bridgebench/commands.go
+++ b/cmd/bridgebench/commands.go
@@ -88,7 +88,7 @@
 	switch {
 	case c.Program != "":
 		system, err := bench.StartSystem(ctx, bench.SystemOptions{
-			Profile: p, Program: c.Program, Policy: c.Policy, Lag: c.Lag,
+			Profile: p, Program: c.Program, Policy: c.Policy, ReplayLag: c.Lag,
 		})
 		if err != nil {
 			return bench.Target{}, nil, err
@@ -139,7 +139,7 @@
 		CheckURL: func(workspace, service string) string {
 			return callerURL(c.Addrs[0], workspace, keys[workspace], service)
 		},
-		Actuator: bench.NoFaults{},
+		FaultInjector: bench.NoFaults{},
 	}, nil
 }
 
--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -97,16 +97,16 @@
 func TestCompareBreaksOnWorseResults(t *testing.T) {
 	base := func() *Result {
 		return &Result{
-			Classes:      map[note.Class]Figures{note.ClassInteractive: {P50: 1, P99: 10}},
-			ReplicaShare: 0.95, Worst: 1, Gaps: map[string]float64{"ledger": 1}, Checked: true,
+			Classes:      map[note.Class]Stats{note.ClassInteractive: {P50: 1, P99: 10}},
+			ReplicaShare: 0.95, WorstShare: 1, LongestWriteGaps: map[string]float64{"ledger": 1}, Checked: true,
 		}
 	}
 	worse := map[string]func(*Result){
-		"p50":      func(r *Result) { r.Classes[note.ClassInteractive] = Figures{P50: 2, P99: 10} },
-		"p99":      func(r *Result) { r.Classes[note.ClassInteractive] = Figures{P50: 1, P99: 20} },
+		"p50":      func(r *Result) { r.Classes[note.ClassInteractive] = Stats{P50: 2, P99: 10} },
+		"p99":      func(r *Result) { r.Classes[note.ClassInteractive] = Stats{P50: 1, P99: 20} },
 		"replicas": func(r *Result) { r.ReplicaShare = 0.5 },
-		"worst":    func(r *Result) { r.Worst = 0.5 },
-		"gap":      func(r *Result) { r.Gaps["ledger"] = 3 },
+		"worst":    func(r *Result) { r.WorstShare = 0.5 },
+		"gap":      func(r *Result) { r.LongestWriteGaps["ledger"] = 3 },
 		"lost":     func(r *Result) { r.Violations.Lost = 1 },
 		"check":    func(r *Result) { r.Checked = false },
 	}
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -62,9 +62,9 @@
 		}
 	}
 	c.drop("replica share", older.ReplicaShare, newer.ReplicaShare, b.ReplicaShareDrop)
-	c.drop("worst share", older.Worst, newer.Worst, b.WorstShareDrop)
-	for _, service := range sortedKeys(older.Gaps) {
-		c.ratio("write gap of "+service+" (s)", older.Gaps[service], newer.Gaps[service], b.GapRatio)
+	c.drop("worst share", older.WorstShare, newer.WorstShare, b.WorstShareDrop)
+	for _, service := range sortedKeys(older.LongestWriteGaps) {
+		c.ratio("write gap of "+service+" (s)", older.LongestWriteGaps[service], newer.LongestWriteGaps[service], b.GapRatio)
 	}
 	c.line("violations", float64(older.Violations.Total()), float64(newer.Violations.Total()),
 		newer.Violations.Total() > 0 || !newer.Checked)
--- a/internal/bench/direct.go
+++ b/internal/bench/direct.go
@@ -57,15 +57,15 @@
 		return fmt.Sprintf("postgres://%s@%s/%s?sslmode=disable", standin.DefaultUser, addr, standin.DefaultDatabase)
 	}
 	return Target{
-		Addrs:    []string{"direct"},
-		URL:      func(_, _, service string) string { return url(service) },
-		CheckURL: func(_, service string) string { return url(service) },
-		Actuator: d,
+		Addrs:         []string{"direct"},
+		URL:           func(_, _, service string) string { return url(service) },
+		CheckURL:      func(_, service string) string { return url(service) },
+		FaultInjector: d,
 	}
 }
 
-// Cause implements Actuator: without a proxy there is nobody to recover from a
+// Inject implements FaultInjector: without a proxy there is nobody to recover from a
 // fault.
-func (d *Direct) Cause(context.Context, Action, string) error {
+func (d *Direct) Inject(context.Context, Action, string) error {
 	return errors.New("faults need the proxy")
 }
--- a/internal/bench/fault.go
+++ b/internal/bench/fault.go
@@ -57,10 +57,10 @@
 	return f, nil
 }
 
-// Actuator causes faults in the system under load.
-type Actuator interface {
-	// Cause performs the action. It returns an error when it cannot.
-	Cause(ctx context.Context, action Action, target string) error
+// FaultInjector causes faults in the system under load.
+type FaultInjector interface {
+	// Inject performs the action. It returns an error when it cannot.
+	Inject(ctx context.Context, action Action, target string) error
 }
 
 // surges holds the present load factor of each workspace.
@@ -104,7 +104,7 @@
 		}
 		event := FaultEvent{At: time.Since(r.start).Seconds(), Action: f.Action, Target: f.Target}
 		if !r.surges.set(f.Action, f.Target) {
-			if err := r.target.Actuator.Cause(ctx, f.Action, f.Target); err != nil {
+			if err := r.target.FaultInjector.Inject(ctx, f.Action, f.Target); err != nil {
 				event.Error = err.Error()
 			}
 		}
--- a/internal/bench/profile.go
+++ b/internal/bench/profile.go
@@ -38,8 +38,8 @@
 
 // Profile describes a deployment and its load.
 type Profile struct {
-	Name    string `json:"name" validate:"required"`
-	Domains []Area `json:"domains" validate:"required,min=1,dive"`
+	Name    string   `json:"name" validate:"required"`
+	Domains []Domain `json:"domains" validate:"required,min=1,dive"`
 	// Hosts is the number of entry hosts.
 	Hosts      int         `json:"hosts" validate:"gte=1"`
 	Services   []Service   `json:"services" validate:"required,min=1,dive"`
@@ -47,8 +47,8 @@
 	Faults     []Fault     `json:"faults,omitempty" validate:"dive"`
 }
 
-// Area is a failure domain.
-type Area struct {
+// Domain is a failure domain.
+type Domain struct {
 	Name   string `json:"name" validate:"required"`
 	Region string `json:"region" validate:"required"`
 }
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -9,8 +9,8 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// Figures are the measurements of a group of requests.
-type Figures struct {
+// Stats are the measurements of a group of requests.
+type Stats struct {
 	Offered  int            `json:"offered"`
 	Served   int            `json:"served"`
 	Refusals map[string]int `json:"refusals,omitempty"`
@@ -23,10 +23,10 @@
 	Share float64 `json:"share,omitempty"`
 }
 
-// Point holds the figures of one second.
-type Point struct {
-	Classes  map[note.Class]Figures `json:"classes"`
-	Refusals map[string]int         `json:"refusals,omitempty"`
+// SecondStats holds the figures of one second.
+type SecondStats struct {
+	Classes  map[note.Class]Stats `json:"classes"`
+	Refusals map[string]int       `json:"refusals,omitempty"`
 }
 
 // FaultEvent is a fault as it was caused.
@@ -39,37 +39,37 @@
 
 // Result is the outcome of a run.
 type Result struct {
-	Profile      string                 `json:"profile"`
-	Policy       string                 `json:"policy"`
-	Version      string                 `json:"version"`
-	Seed         uint64                 `json:"seed"`
-	Duration     float64                `json:"duration_s"`
-	Workspaces   map[string]Figures     `json:"workspaces"`
-	Classes      map[note.Class]Figures `json:"classes"`
-	Operations   map[Operation]Figures  `json:"operations"`
-	ReplicaShare float64                `json:"replica_share"`
-	// Worst is the lowest share of a workspace.
-	Worst      float64            `json:"worst_share"`
-	Gaps       map[string]float64 `json:"longest_write_gap_s"`
-	Violations Violations         `json:"violations"`
-	Faults     []FaultEvent       `json:"faults,omitempty"`
-	Seconds    []Point            `json:"seconds"`
+	Profile      string               `json:"profile"`
+	Policy       string               `json:"policy"`
+	Version      string               `json:"version"`
+	Seed         uint64               `json:"seed"`
+	Duration     float64              `json:"duration_s"`
+	Workspaces   map[string]Stats     `json:"workspaces"`
+	Classes      map[note.Class]Stats `json:"classes"`
+	Operations   map[Operation]Stats  `json:"operations"`
+	ReplicaShare float64              `json:"replica_share"`
+	// WorstShare is the lowest share of a workspace.
+	WorstShare       float64            `json:"worst_share"`
+	LongestWriteGaps map[string]float64 `json:"longest_write_gap_s"`
+	Violations       Violations         `json:"violations"`
+	Faults           []FaultEvent       `json:"faults,omitempty"`
+	Seconds          []SecondStats      `json:"seconds"`
 	// Checked reports that the final comparison with the stored records ran.
 	Checked bool `json:"checked"`
 }
 
 const microsecondsPerMillisecond = 1000
 
-func (t *tally) figures() Figures {
+func (t *tally) figures() Stats {
 	ms := func(us int64) float64 { return float64(us) / microsecondsPerMillisecond }
-	return Figures{
+	return Stats{
 		Offered: t.offered, Served: t.served, Refusals: t.refusals,
 		P50: ms(t.latency.ValueAtQuantile(50)), P99: ms(t.latency.ValueAtQuantile(99)), Max: ms(t.latency.Max()),
 	}
 }
 
-func figuresOf[K comparable](m map[K]*tally) map[K]Figures {
-	out := make(map[K]Figures, len(m))
+func figuresOf[K comparable](m map[K]*tally) map[K]Stats {
+	out := make(map[K]Stats, len(m))
 	for key, t := range m {
 		out[key] = t.figures()
 	}
@@ -82,8 +82,8 @@
 	defer r.mu.Unlock()
 	res := &Result{
 		Profile: p.Name, Duration: duration, Workspaces: figuresOf(r.workspaces), Classes: figuresOf(r.classes),
-		Operations: figuresOf(r.ops), Gaps: make(map[string]float64), Violations: r.violations, Faults: r.faults,
-		Worst: 1,
+		Operations: figuresOf(r.ops), LongestWriteGaps: make(map[string]float64), Violations: r.violations, Faults: r.faults,
+		WorstShare: 1,
 	}
 	for _, w := range p.Workspaces {
 		f, ok := res.Workspaces[w.Name]
@@ -92,23 +92,23 @@
 		}
 		f.Share = share(w, f, duration)
 		res.Workspaces[w.Name] = f
-		res.Worst = min(res.Worst, f.Share)
+		res.WorstShare = min(res.WorstShare, f.Share)
 	}
 	if r.reads > 0 {
 		res.ReplicaShare = float64(r.replicas) / float64(r.reads)
 	}
 	for service, gap := range r.gaps {
-		res.Gaps[service] = gap.Seconds()
+		res.LongestWriteGaps[service] = gap.Seconds()
 	}
 	for _, s := range r.seconds {
-		res.Seconds = append(res.Seconds, Point{Classes: figuresOf(s.classes), Refusals: s.refusals})
+		res.Seconds = append(res.Seconds, SecondStats{Classes: figuresOf(s.classes), Refusals: s.refusals})
 	}
 	return res
 }
 
 // share returns the part of the requests within the workspace's rate and burst
 // that were served.
-func share(w Workspace, f Figures, duration float64) float64 {
+func share(w Workspace, f Stats, duration float64) float64 {
 	allowed := min(float64(f.Offered), w.Rate*duration+w.Burst)
 	if allowed <= 0 {
 		return 1
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -22,8 +22,8 @@
 	URL func(addr, workspace, service string) string
 	// CheckURL returns the URL over which the stored records are read at the
 	// end.
-	CheckURL func(workspace, service string) string
-	Actuator Actuator
+	CheckURL      func(workspace, service string) string
+	FaultInjector FaultInjector
 }
 
 // Options configure a run.
--- a/internal/bench/summary.go
+++ b/internal/bench/summary.go
@@ -11,11 +11,11 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// NoFaults is the Actuator of a system that cannot be disturbed.
+// NoFaults is the FaultInjector of a system that cannot be disturbed.
 type NoFaults struct{}
 
-// Cause implements Actuator.
-func (NoFaults) Cause(context.Context, Action, string) error {
+// Inject implements FaultInjector.
+func (NoFaults) Inject(context.Context, Action, string) error {
 	return errors.New("this target has no fault switches")
 }
 
@@ -35,6 +35,6 @@
 		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.2f\t%.2f\t%v\n", name, f.Offered, f.Served, f.Share, f.P50, f.P99, f.Refusals)
 	}
 	t.Flush()
-	fmt.Fprintf(w, "\nreplica share %.3f, worst share %.3f, longest write gap %v s\n", r.ReplicaShare, r.Worst, r.Gaps)
+	fmt.Fprintf(w, "\nreplica share %.3f, worst share %.3f, longest write gap %v s\n", r.ReplicaShare, r.WorstShare, r.LongestWriteGaps)
 	fmt.Fprintf(w, "violations %+v, stored records checked: %v\n", r.Violations, r.Checked)
 }
--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -26,8 +26,8 @@
 	Program string
 	// Policy is passed to the hosts; empty means the default.
 	Policy string
-	// Lag is the replay lag of the replicas.
-	Lag time.Duration
+	// ReplayLag is the replay lag of the replicas.
+	ReplayLag time.Duration
 }
 
 const (
@@ -55,9 +55,9 @@
 	p := opts.Profile
 	var err error
 	s.fleet, err = localfleet.New(localfleet.Options{
-		Program: opts.Program, Dir: s.dir, Hosts: p.Hosts, Controls: min(systemControls, p.Hosts),
+		Program: opts.Program, Dir: s.dir, Hosts: p.Hosts, ControlHosts: min(systemControls, p.Hosts),
 		Domains: p.noteDomains(), Services: p.noteServices(), Workspaces: p.noteWorkspaces(),
-		Lag: opts.Lag, Policy: opts.Policy, LogLevel: "warn",
+		ReplayLag: opts.ReplayLag, Policy: opts.Policy, LogLevel: "warn",
 	})
 	if err != nil {
 		return err
@@ -78,7 +78,7 @@
 // Target returns the target of a run.
 func (s *System) Target() Target {
 	t := Target{
-		Actuator: s,
+		FaultInjector: s,
 		URL: func(addr, workspace, service string) string {
 			return s.fleet.URL(s.hostAt(addr), workspace, service)
 		},
@@ -106,8 +106,8 @@
 	return s.fleet.Hosts[0]
 }
 
-// Cause implements Actuator.
-func (s *System) Cause(ctx context.Context, action Action, target string) error {
+// Inject implements FaultInjector.
+func (s *System) Inject(ctx context.Context, action Action, target string) error {
 	ctx, cancel := context.WithTimeout(ctx, causeTimeout)
 	defer cancel()
 	switch action {
--- a/internal/localfleet/plan.go
+++ b/internal/localfleet/plan.go
@@ -37,31 +37,31 @@
 	Program string
 	// Dir is the folder for settings and data.
 	Dir string
-	// Hosts is the number of hosts; the first Controls of them vote.
-	Hosts    int
-	Controls int
-	Domains  []note.Domain
+	// Hosts is the number of hosts; the first ControlHosts of them vote.
+	Hosts        int
+	ControlHosts int
+	Domains      []note.Domain
 	// Services need Name, Endpoints, Slots and Connections.
 	Services   []note.Service
 	Workspaces []note.Workspace
-	// Lag is the replay lag of the endpoints.
-	Lag time.Duration
+	// ReplayLag is the replay lag of the endpoints.
+	ReplayLag time.Duration
 	// Policy is passed to the hosts; empty means the default.
 	Policy   string
 	LogLevel string
-	// Front returns the address under which others reach a node's address. Nil
+	// AdvertiseAddr returns the address under which others reach a node's address. Nil
 	// means the address itself.
-	Front func(node, addr string) string
-	// Started is told of each process. Nil means nobody.
-	Started func(node string, p *Process)
+	AdvertiseAddr func(node, addr string) string
+	// OnStart is told of each process. Nil means nobody.
+	OnStart func(node string, p *Process)
 }
 
 // Host is a host of the fleet.
 type Host struct {
-	Name     string
-	Settings config.Settings
-	File     string
-	Proc     *Process
+	Name         string
+	Settings     config.Settings
+	SettingsFile string
+	Proc         *Process
 	// admin is the front of the admin address.
 	admin string
 }
@@ -83,17 +83,17 @@
 	// Keys holds the secret of each key by its id. The first key of a workspace
 	// is "WORKSPACE-1".
 	Keys map[string]string
-	// Last is the number of the last note that Apply has brought into force.
-	Last uint64
+	// LastNote is the number of the last note that Apply has brought into force.
+	LastNote uint64
 }
 
 // New plans a fleet and writes its settings.
 func New(opts Options) (*Fleet, error) {
-	if opts.Front == nil {
-		opts.Front = func(_, addr string) string { return addr }
+	if opts.AdvertiseAddr == nil {
+		opts.AdvertiseAddr = func(_, addr string) string { return addr }
 	}
-	if opts.Started == nil {
-		opts.Started = func(string, *Process) {}
+	if opts.OnStart == nil {
+		opts.OnStart = func(string, *Process) {}
 	}
 	if opts.LogLevel == "" {
 		opts.LogLevel = "info"
@@ -123,8 +123,8 @@
 		if err != nil {
 			return errors.Wrap(err, "encode settings")
 		}
-		h.File = filepath.Join(f.opts.Dir, h.Name+".json")
-		if err := os.WriteFile(h.File, data, 0o600); err != nil {
+		h.SettingsFile = filepath.Join(f.opts.Dir, h.Name+".json")
+		if err := os.WriteFile(h.SettingsFile, data, 0o600); err != nil {
 			return errors.Wrap(err, "write settings")
 		}
 	}
@@ -139,12 +139,12 @@
 	s := &h.Settings
 	s.Host, s.Fleet, s.FleetSecret = h.Name, fleetName, fleetSecret
 	s.Domain = f.opts.Domains[i%len(f.opts.Domains)].Name
-	s.Peer = config.Peer{Listen: addrs[0], Advertise: f.opts.Front(h.Name, addrs[0])}
+	s.Peer = config.Peer{Listen: addrs[0], Advertise: f.opts.AdvertiseAddr(h.Name, addrs[0])}
 	s.Admin.Listen = addrs[1]
-	h.admin = f.opts.Front(h.Name, addrs[1])
+	h.admin = f.opts.AdvertiseAddr(h.Name, addrs[1])
 	s.Entry = &config.Entry{Listen: addrs[2]}
 	s.Log.Level = f.opts.LogLevel
-	if i < f.opts.Controls {
+	if i < f.opts.ControlHosts {
 		s.Control = &config.Control{DataDir: filepath.Join(f.opts.Dir, h.Name), Bootstrap: true}
 	}
 	return nil
@@ -160,7 +160,7 @@
 			id := fmt.Sprintf("%s-%d", s.Name, i+1)
 			f.Endpoints = append(f.Endpoints, &Endpoint{
 				ID: id, Service: s.Name, Domain: f.opts.Domains[i%len(f.opts.Domains)].Name,
-				Listen: addrs[0], Control: addrs[1], Addr: f.opts.Front(id, addrs[0]),
+				Listen: addrs[0], Control: addrs[1], Addr: f.opts.AdvertiseAddr(id, addrs[0]),
 				Dir: filepath.Join(f.opts.Dir, id),
 			})
 		}
@@ -238,7 +238,7 @@
 	args := []string{
 		"standin", "--service", e.Service, "--id", e.ID, "--domain", e.Domain, "--listen", e.Listen,
 		"--advertise", e.Addr, "--role", string(role), "--user", ServiceUser, "--password", ServicePassword,
-		"--database", Database, "--lag", f.opts.Lag.String(), "--control", e.Control, "--data-dir", e.Dir,
+		"--database", Database, "--lag", f.opts.ReplayLag.String(), "--control", e.Control, "--data-dir", e.Dir,
 		"--connections", "200", "--log-level", f.opts.LogLevel,
 	}
 	if upstream != "" {
--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -44,7 +44,7 @@
 
 // StartHost starts the process of a host.
 func (f *Fleet) StartHost(h *Host) error {
-	args := []string{"serve", "--config", h.File}
+	args := []string{"serve", "--config", h.SettingsFile}
 	if f.opts.Policy != "" {
 		args = append(args, "--policy", f.opts.Policy)
 	}
@@ -53,7 +53,7 @@
 		return err
 	}
 	h.Proc = p
-	f.opts.Started(h.Name, p)
+	f.opts.OnStart(h.Name, p)
 	return nil
 }
 
@@ -82,7 +82,7 @@
 		return err
 	}
 	e.Proc = p
-	f.opts.Started(e.ID, p)
+	f.opts.OnStart(e.ID, p)
 	return nil
 }
 
@@ -102,13 +102,13 @@
 
 func (f *Fleet) applyUntilAccepted(ctx context.Context, n note.Note) error {
 	err := Poll(ctx, func() error {
-		_, err := f.Post(ctx, f.Hosts[0], n)
+		_, err := f.PostNote(ctx, f.Hosts[0], n)
 		return err
 	})
 	if err != nil {
 		return errors.Wrapf(err, "note %d", n.Number)
 	}
-	f.Last = n.Number
+	f.LastNote = n.Number
 	return nil
 }
 
@@ -170,8 +170,8 @@
 	return fmt.Sprintf("postgres://%s:%s@%s/%s?sslmode=disable", ServiceUser, ServicePassword, e.Listen, Database)
 }
 
-// Accepted is the answer to an accepted note.
-type Accepted struct {
+// NoteResponse is the answer to an accepted note.
+type NoteResponse struct {
 	Stamp    note.Stamp `json:"stamp"`
 	Repeated bool       `json:"repeated"`
 }
@@ -185,13 +185,13 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("HTTP %d: %s", e.Status, e.Body) }
 
-// Post sends a note to a host.
-func (f *Fleet) Post(ctx context.Context, h *Host, n note.Note) (Accepted, error) {
+// PostNote sends a note to a host.
+func (f *Fleet) PostNote(ctx context.Context, h *Host, n note.Note) (NoteResponse, error) {
 	body, err := json.Marshal(n)
 	if err != nil {
-		return Accepted{}, err
+		return NoteResponse{}, err
 	}
-	var answer Accepted
+	var answer NoteResponse
 	err = request(ctx, http.MethodPost, "http://"+h.Settings.Admin.Listen+"/v1/notes", body, &answer)
 	return answer, err
 }
@@ -199,27 +199,27 @@
 // Apply applies the next note through a host, sending it again until it is
 // accepted.
 func (f *Fleet) Apply(ctx context.Context, h *Host, change func(*note.Note)) error {
-	n := note.Note{Number: f.Last + 1}
+	n := note.Note{Number: f.LastNote + 1}
 	change(&n)
 	err := Poll(ctx, func() error {
-		_, err := f.Post(ctx, h, n)
+		_, err := f.PostNote(ctx, h, n)
 		return err
 	})
 	if err == nil {
-		f.Last = n.Number
+		f.LastNote = n.Number
 	}
 	return errors.Wrapf(err, "note %d", n.Number)
 }
 
-// Current returns the catalog in force as a host shows it.
-func (f *Fleet) Current(ctx context.Context, h *Host) (note.Catalog, error) {
+// Catalog returns the catalog in force as a host shows it.
+func (f *Fleet) Catalog(ctx context.Context, h *Host) (note.Catalog, error) {
 	var c note.Catalog
 	err := request(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/notes/current", nil, &c)
 	return c, err
 }
 
-// Control returns the state of the control hosts as a host shows it.
-func (f *Fleet) Control(ctx context.Context, h *Host) (control.Status, error) {
+// ControlStatus returns the state of the control hosts as a host shows it.
+func (f *Fleet) ControlStatus(ctx context.Context, h *Host) (control.Status, error) {
 	var s control.Status
 	err := request(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/status", nil, &s)
 	return s, err
--- a/internal/standin/functions.go
+++ b/internal/standin/functions.go
@@ -22,7 +22,7 @@
 
 const null = "null"
 
-// Param implements sqltext.Env.
+// Param implements sqltext.Resolver.
 func (f *functions) Param(n string) string {
 	i, err := strconv.Atoi(n)
 	if err != nil || i < 1 || i > len(f.args) || f.args[i-1] == nil {
@@ -31,7 +31,7 @@
 	return string(encodeText(sqltext.Text, f.args[i-1]))
 }
 
-// Function implements sqltext.Env.
+// Function implements sqltext.Resolver.
 func (f *functions) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep":
@@ -137,7 +137,7 @@
 	return "", true, errState(stateUndefinedObject, "unrecognized configuration parameter %q", args[0])
 }
 
-// Relation implements sqltext.Env.
+// Relation implements sqltext.Resolver.
 func (f *functions) Relation(name string) (sqltext.Relation, bool) {
 	log := f.s.srv.log()
 	switch name {
@@ -201,7 +201,7 @@
 // effect and nothing waits.
 type probe struct{ functions }
 
-// Function implements sqltext.Env.
+// Function implements sqltext.Resolver.
 func (p *probe) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep", "set_config", "current_setting", "pg_current_wal_lsn", "pg_wal_lsn_diff":
--- a/internal/standin/plan.go
+++ b/internal/standin/plan.go
@@ -27,7 +27,7 @@
 	if st.Class == sqltext.Show {
 		return []column{{name: settingName(st.Tokens), oid: sqltext.Text}}, nil
 	}
-	tokens := st.Shape()
+	tokens := st.DescribeQuery()
 	if st.Volatile() {
 		expanded, err := sqltext.Expand(tokens, &probe{functions{s: s, ctx: s.ctx}})
 		if err != nil {
@@ -35,7 +35,7 @@
 		}
 		tokens = expanded
 	}
-	text, err := sqltext.SQLite(tokens)
+	text, err := sqltext.ToSQLite(tokens)
 	if err != nil {
 		return nil, errState(stateUnsupported, "%v", err)
 	}
--- a/internal/standin/simple.go
+++ b/internal/standin/simple.go
@@ -100,7 +100,7 @@
 }
 
 func nameColumns(st *sqltext.Statement, columns []column) {
-	items := st.Items()
+	items := st.ResultColumns()
 	if len(items) != len(columns) {
 		return
 	}
@@ -152,7 +152,7 @@
 }
 
 func commandTag(st *sqltext.Statement, set *rowSet) string {
-	if !st.Counted || set == nil {
+	if !st.CountsRows || set == nil {
 		return st.Tag
 	}
 	return st.Tag + " " + strconv.FormatInt(set.affected, 10)
@@ -189,7 +189,7 @@
 		}
 		tokens = expanded
 	}
-	text, err := sqltext.SQLite(tokens)
+	text, err := sqltext.ToSQLite(tokens)
 	if err != nil {
 		return "", errState(stateUnsupported, "%v", err)
 	}
@@ -213,10 +213,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if !st.Counted {
+	if !st.CountsRows {
 		s.eng.forgetColumns()
 	}
-	if st.First() != "select" && (!st.Counted || set.affected > 0) {
+	if st.First() != "select" && (!st.CountsRows || set.affected > 0) {
 		s.tx.changes = append(s.tx.changes, change{SQL: text, Args: args})
 	}
 	return set, nil
--- a/internal/standin/sqltext/expand.go
+++ b/internal/standin/sqltext/expand.go
@@ -13,8 +13,8 @@
 	Rows    [][]string
 }
 
-// Env resolves the server's own functions and views while a statement runs.
-type Env interface {
+// Resolver resolves the server's own functions and views while a statement runs.
+type Resolver interface {
 	// Function returns the result as an SQL literal. The last value is false
 	// when the server has no such function.
 	Function(name string, args []string) (string, bool, error)
@@ -42,8 +42,8 @@
 	return false
 }
 
-// Uses reports whether the statement calls the named function.
-func (s *Statement) Uses(function string) bool {
+// Calls reports whether the statement calls the named function.
+func (s *Statement) Calls(function string) bool {
 	for i, t := range s.Tokens {
 		if t.Is(function) && i+1 < len(s.Tokens) && s.Tokens[i+1].Is("(") {
 			return true
@@ -53,7 +53,7 @@
 }
 
 // Expand replaces the server's functions and views by their present values.
-func Expand(tokens []Token, env Env) ([]Token, error) {
+func Expand(tokens []Token, env Resolver) ([]Token, error) {
 	out := make([]Token, 0, len(tokens)+16)
 	for i := 0; i < len(tokens); i++ {
 		replaced, end, err := expandAt(tokens, i, env)
@@ -72,7 +72,7 @@
 
 // expandAt returns the replacement of the tokens from i up to end, or -1 when
 // nothing is replaced.
-func expandAt(tokens []Token, i int, env Env) ([]Token, int, error) {
+func expandAt(tokens []Token, i int, env Resolver) ([]Token, int, error) {
 	if field, end, ok := compositeField(tokens, i, env); ok {
 		return field, end, nil
 	}
@@ -106,7 +106,7 @@
 }
 
 // bareFunction resolves functions that are written without parentheses.
-func bareFunction(name string, env Env) (string, bool, error) {
+func bareFunction(name string, env Resolver) (string, bool, error) {
 	switch name {
 	case "current_timestamp", "current_user", "session_user", "current_date", "current_schema":
 		return env.Function(name, nil)
@@ -121,7 +121,7 @@
 	return []Token{{Number, literal}}
 }
 
-func argValues(tokens []Token, env Env) []string {
+func argValues(tokens []Token, env Resolver) []string {
 	if len(tokens) == 0 {
 		return nil
 	}
@@ -135,7 +135,7 @@
 	return out
 }
 
-func argValue(t Token, env Env) string {
+func argValue(t Token, env Resolver) string {
 	switch t.Kind {
 	case String:
 		return Unquote(t.Text)
@@ -156,7 +156,7 @@
 	return tokens[i-1].Is("from") || tokens[i-1].Is("join")
 }
 
-func expandRelation(tokens []Token, i int, call bool, env Env) ([]Token, int, error) {
+func expandRelation(tokens []Token, i int, call bool, env Resolver) ([]Token, int, error) {
 	rel, ok := env.Relation(tokens[i].Text)
 	if !ok {
 		return nil, -1, nil
@@ -196,7 +196,7 @@
 }
 
 // compositeField resolves "(function()).field".
-func compositeField(tokens []Token, i int, env Env) ([]Token, int, bool) {
+func compositeField(tokens []Token, i int, env Resolver) ([]Token, int, bool) {
 	if i+6 >= len(tokens) || !tokens[i].Is("(") || !tokens[i+2].Is("(") || !tokens[i+3].Is(")") ||
 		!tokens[i+4].Is(")") || !tokens[i+5].Is(".") {
 		return nil, 0, false
--- a/internal/standin/sqltext/infer.go
+++ b/internal/standin/sqltext/infer.go
@@ -2,8 +2,8 @@
 
 import "strings"
 
-// Item is one expression of a select list or RETURNING clause.
-type Item struct {
+// ResultColumn is one expression of a select list or RETURNING clause.
+type ResultColumn struct {
 	// Name is the column name that PostgreSQL would give, or "" when the SQL
 	// engine's own name holds.
 	Name string
@@ -11,14 +11,14 @@
 	Type uint32
 }
 
-// Items returns the expressions of the statement's result. It returns nil when
+// ResultColumns returns the expressions of the statement's result. It returns nil when
 // they cannot be told from the text, such as for "*".
-func (s *Statement) Items() []Item {
+func (s *Statement) ResultColumns() []ResultColumn {
 	list := s.resultList()
 	if len(list) == 0 {
 		return nil
 	}
-	var items []Item
+	var items []ResultColumn
 	for _, expr := range splitCommas(list) {
 		if len(expr) == 0 || expr[len(expr)-1].Is("*") {
 			return nil
@@ -70,15 +70,15 @@
 	return append(out, tokens[start:])
 }
 
-func describeItem(expr []Token) Item {
+func describeItem(expr []Token) ResultColumn {
 	if i := topLevel(expr, "as"); i >= 0 && i+1 < len(expr) {
-		return Item{Name: expr[i+1].Name(), Type: exprType(expr[:i])}
+		return ResultColumn{Name: expr[i+1].Name(), Type: exprType(expr[:i])}
 	}
 	n := len(expr)
 	if n >= 2 && isName(expr[n-1]) && endsOperand(expr[n-2]) {
-		return Item{Name: expr[n-1].Name(), Type: exprType(expr[:n-1])}
+		return ResultColumn{Name: expr[n-1].Name(), Type: exprType(expr[:n-1])}
 	}
-	return Item{Name: exprName(expr), Type: exprType(expr)}
+	return ResultColumn{Name: exprName(expr), Type: exprType(expr)}
 }
 
 func isName(t Token) bool {
--- a/internal/standin/sqltext/params.go
+++ b/internal/standin/sqltext/params.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// Columns yields the data type of a column by table and column name, or
+// ColumnTypeFunc yields the data type of a column by table and column name, or
 // Unknown. The table may be empty when the text does not name it.
-type Columns func(table, column string) uint32
+type ColumnTypeFunc func(table, column string) uint32
 
 // ParamTypes infers the data types of the statement's parameters from their
 // place: a cast, a compared column, a column of an INSERT or an UPDATE, a limit.
 // What cannot be inferred is Text.
-func (s *Statement) ParamTypes(columns Columns) []uint32 {
+func (s *Statement) ParamTypes(columns ColumnTypeFunc) []uint32 {
 	types := make([]uint32, s.Params)
 	table := s.target()
 	for i, t := range s.Tokens {
@@ -48,7 +48,7 @@
 	return ""
 }
 
-func (s *Statement) paramType(i int, table string, columns Columns) uint32 {
+func (s *Statement) paramType(i int, table string, columns ColumnTypeFunc) uint32 {
 	tokens := s.Tokens
 	if i+2 < len(tokens) && tokens[i+1].Is("::") {
 		name, _ := readType(tokens, i+2)
@@ -74,7 +74,7 @@
 }
 
 // inListType handles a parameter inside "column IN (...)".
-func (s *Statement) inListType(i int, table string, columns Columns) uint32 {
+func (s *Statement) inListType(i int, table string, columns ColumnTypeFunc) uint32 {
 	for j := i - 1; j >= 2; j-- {
 		t := s.Tokens[j]
 		if t.Kind == Param || t.Is(",") {
@@ -97,7 +97,7 @@
 }
 
 // insertTypes assigns the types of INSERT columns to the parameters of VALUES.
-func (s *Statement) insertTypes(types []uint32, table string, columns Columns) {
+func (s *Statement) insertTypes(types []uint32, table string, columns ColumnTypeFunc) {
 	values := s.topLevel("values")
 	into := s.topLevel("into")
 	if values < 0 || into < 0 {
@@ -123,7 +123,7 @@
 	}
 }
 
-func assignRow(types []uint32, row []Token, table string, names []string, columns Columns) {
+func assignRow(types []uint32, row []Token, table string, names []string, columns ColumnTypeFunc) {
 	for i, expr := range splitCommas(row) {
 		if len(expr) != 1 || expr[0].Kind != Param {
 			continue
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// SQLite renders tokens as SQL text for SQLite.
-func SQLite(tokens []Token) (string, error) {
+// ToSQLite renders tokens as SQL text for SQLite.
+func ToSQLite(tokens []Token) (string, error) {
 	out, err := rewrite(tokens)
 	if err != nil {
 		return "", err
--- a/internal/standin/sqltext/statement.go
+++ b/internal/standin/sqltext/statement.go
@@ -36,8 +36,8 @@
 	Class  Class
 	// Tag is the command tag without a row count, such as "INSERT 0".
 	Tag string
-	// Counted reports that the tag is followed by a row count.
-	Counted bool
+	// CountsRows reports that the tag is followed by a row count.
+	CountsRows bool
 	// Returning reports that a writing statement yields rows.
 	Returning bool
 	// Params is the number of the highest parameter.
@@ -123,7 +123,7 @@
 }
 
 func (s *Statement) setData(verb string) {
-	s.Class, s.Counted = Write, true
+	s.Class, s.CountsRows = Write, true
 	s.Tag = strings.ToUpper(verb)
 	if verb == "insert" {
 		s.Tag = "INSERT 0"
@@ -132,9 +132,9 @@
 }
 
 func (s *Statement) classifyQuery(first string) {
-	s.Class, s.Tag, s.Counted = Read, "SELECT", true
+	s.Class, s.Tag, s.CountsRows = Read, "SELECT", true
 	if first == "explain" {
-		s.Tag, s.Counted = "EXPLAIN", false
+		s.Tag, s.CountsRows = "EXPLAIN", false
 		return
 	}
 	if first == "with" {
@@ -151,7 +151,7 @@
 }
 
 func (s *Statement) classifyCopy() {
-	s.Tag, s.Counted = "COPY", true
+	s.Tag, s.CountsRows = "COPY", true
 	switch {
 	case s.topLevel("stdin") >= 0:
 		s.Class = CopyIn
@@ -223,9 +223,9 @@
 	return s.Class == Read || s.Class == Show || s.Class == Write && s.Returning
 }
 
-// Shape returns a query with the same result columns as the statement and no
+// DescribeQuery returns a query with the same result columns as the statement and no
 // effect. For a statement with RETURNING it selects the list from the table.
-func (s *Statement) Shape() []Token {
+func (s *Statement) DescribeQuery() []Token {
 	i := s.topLevel("returning")
 	if s.Class != Write || i < 0 {
 		return s.Tokens
--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -47,7 +47,7 @@
 			g := *f
 			g.t = t
 			part.test(t, &g)
-			f.Last = g.Last
+			f.LastNote = g.LastNote
 		})
 	}
 }
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -22,7 +22,7 @@
 func (f *fleet) awaitNumber(h *host, number uint64) {
 	f.t.Helper()
 	eventually(f.t, fmt.Sprintf("note %d in force at %s", number, h.Name), func() bool {
-		c, err := f.Current(f.context(), h)
+		c, err := f.Catalog(f.context(), h)
 		return err == nil && c.Stamp.Number == number
 	})
 }
@@ -42,15 +42,15 @@
 func TestOperatorsRaceUnderEqualNumbers(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	for round := range 5 {
-		number := f.Last + 1
+		number := f.LastNote + 1
 		notes := make([]note.Note, len(f.Hosts))
-		answers := make([]localfleet.Accepted, len(f.Hosts))
+		answers := make([]localfleet.NoteResponse, len(f.Hosts))
 		errs := make([]error, len(f.Hosts))
 		var wg sync.WaitGroup
 		for i, h := range f.Hosts {
 			notes[i] = note.Note{Number: number, Title: fmt.Sprintf("round %d by operator %d", round, i)}
 			notes[i].Added.Keys = []note.Key{f.NewKey(fmt.Sprintf("race-%d-%d", round, i), crew)}
-			wg.Go(func() { answers[i], errs[i] = f.Post(f.context(), h, notes[i]) })
+			wg.Go(func() { answers[i], errs[i] = f.PostNote(f.context(), h, notes[i]) })
 		}
 		wg.Wait()
 		winner := -1
@@ -66,16 +66,16 @@
 		if winner < 0 {
 			t.Fatalf("round %d: nobody was accepted: %v", round, errs)
 		}
-		f.Last = number
+		f.LastNote = number
 		f.resendAll(notes, winner, answers[winner])
 	}
 }
 
 // resendAll sends every note again, each to another host.
-func (f *fleet) resendAll(notes []note.Note, winner int, first localfleet.Accepted) {
+func (f *fleet) resendAll(notes []note.Note, winner int, first localfleet.NoteResponse) {
 	f.t.Helper()
 	for i, n := range notes {
-		answer, err := f.Post(f.context(), f.Hosts[(i+1)%len(f.Hosts)], n)
+		answer, err := f.PostNote(f.context(), f.Hosts[(i+1)%len(f.Hosts)], n)
 		if i == winner {
 			if err != nil || !answer.Repeated || answer.Stamp.Digest != first.Stamp.Digest {
 				f.t.Errorf("resent note: %+v, %v", answer, err)
@@ -118,7 +118,7 @@
 			}
 		}
 		f.net.heal()
-		f.awaitNumber(cut, f.Last)
+		f.awaitNumber(cut, f.LastNote)
 		eventually(t, cut.Name+" serves again", func() bool { return f.probe(cut, crew, crew+"-1") == nil })
 		if f.probe(cut, crew, id) == nil {
 			t.Errorf("the withdrawn key is accepted at %s after it came back", cut.Name)
@@ -146,7 +146,7 @@
 		f.mustStart(h)
 	}
 	for _, h := range f.Hosts {
-		f.awaitNumber(h, f.Last)
+		f.awaitNumber(h, f.LastNote)
 		newest := fmt.Sprintf("change-%d", changes-1)
 		eventually(t, "newest key accepted at "+h.Name, func() bool { return f.probe(h, crew, newest) == nil })
 		if err := f.probe(h, crew, fmt.Sprintf("change-%d", changes-2)); codeOf(err) != result.BadKey {
@@ -159,7 +159,7 @@
 // a committed group of full size, as another host reports it. It is empty
 // while that is not so.
 func (f *fleet) disk(reporter, voter *host) string {
-	s, err := f.Control(f.context(), reporter)
+	s, err := f.ControlStatus(f.context(), reporter)
 	if err != nil || len(s.Controls) != controlCount {
 		return ""
 	}
@@ -195,7 +195,7 @@
 	lost.Proc.Kill()
 	f.apply(survivor, func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey("after", crew)} })
 	for _, h := range []*host{repaired, survivor, f.Hosts[3], f.Hosts[4]} {
-		f.awaitNumber(h, f.Last)
+		f.awaitNumber(h, f.LastNote)
 		for _, id := range []string{"before", "after"} {
 			eventually(t, "key "+id+" accepted at "+h.Name, func() bool { return f.probe(h, crew, id) == nil })
 		}
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -64,9 +64,9 @@
 	f := &fleet{t: t, net: newNetwork(t)}
 	f.net.register("test", os.Getpid())
 	planned, err := localfleet.New(localfleet.Options{
-		Program: program, Dir: t.TempDir(), Hosts: opts.hosts, Controls: controlCount,
-		Domains: noteDomains(), Services: noteServices(), Workspaces: noteWorkspaces(), Lag: opts.lag,
-		Front: f.net.front, Started: f.started,
+		Program: program, Dir: t.TempDir(), Hosts: opts.hosts, ControlHosts: controlCount,
+		Domains: noteDomains(), Services: noteServices(), Workspaces: noteWorkspaces(), ReplayLag: opts.lag,
+		AdvertiseAddr: f.net.front, OnStart: f.started,
 	})
 	if err != nil {
 		t.Fatal(err)
--- a/test/integration/soak_test.go
+++ b/test/integration/soak_test.go
@@ -276,14 +276,14 @@
 	deadline := time.Now().Add(patience)
 	for i := 0; time.Now().Before(deadline); i++ {
 		h := s.Hosts[i%controlCount]
-		c, err := s.Current(s.context(), h)
+		c, err := s.Catalog(s.context(), h)
 		if err != nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
 		}
 		n := note.Note{Number: c.Stamp.Number + 1}
 		change(&n)
-		if _, err := s.Post(s.context(), h, n); err == nil {
+		if _, err := s.PostNote(s.context(), h, n); err == nil {
 			return
 		}
 	}
