--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -47,7 +47,7 @@
 			g := *f
 			g.t = t
 			part.test(t, &g)
-			f.Last = g.Last
+			f.LastNote = g.LastNote
 		})
 	}
 }
@@ -271,7 +271,7 @@
 func testWholeOwnAnswers(t *testing.T, f *fleet) {
 	late := 50
 	for _, e := range f.Endpoints {
-		f.faults(e, standin.FaultRequest{LateMS: &late})
+		f.faults(e, standin.FaultRequest{ResponseDelayMS: &late})
 	}
 	r := newRecorder()
 	var work errgroup.Group
