--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -19,13 +19,14 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// replayLag is the lag of replicas in tests of freshness.
+// replayLag is the replay lag of the replicas in TestHealthyFleet. A read that is routed to a
+// replica without a check of its position is stale for that long.
 const replayLag = 500 * time.Millisecond
 
-// TestHealthyFleet holds the promises that need no fault; its parts share one
-// fleet.
+// TestHealthyFleet tests the guarantees that can be tested without faults of processes or links.
+// Its parts share one fleet.
 func TestHealthyFleet(t *testing.T) {
-	f := startFleet(t, fleetOptions{lag: replayLag, watch: true, note: func(n *note.Note) {
+	f := startFleet(t, fleetOptions{lag: replayLag, capture: true, note: func(n *note.Note) {
 		n.Added.Workspaces = append(n.Added.Workspaces,
 			note.Workspace{Name: "metered", Rate: meteredRate, Burst: meteredBurst, Class: note.ClassInteractive},
 			note.Workspace{Name: "visitors", Rate: 1000, Burst: 1000, Class: note.ClassBulk, Open: true},
@@ -36,11 +37,11 @@
 		test func(*testing.T, *fleet)
 	}{
 		{"ReadYourWritesOverAnyHost", testReadYourWrites},
-		{"TransactionsNeverMix", testTransactionsNeverMix},
-		{"OnlyTheKeysOwnWorkspace", testOnlyOwnWorkspace},
-		{"NoDatabaseSeesAKey", testNoDatabaseSeesAKey},
-		{"RateHoldsOverTheFleet", testRateHoldsOverTheFleet},
-		{"WholeOwnAnswers", testWholeOwnAnswers},
+		{"TransactionsNeverMix", testTransactionsIsolated},
+		{"OnlyTheKeysOwnWorkspace", testKeyLimitedToWorkspace},
+		{"NoDatabaseSeesAKey", testKeysNotSentToEndpoints},
+		{"RateHoldsOverTheFleet", testRateLimitAcrossHosts},
+		{"WholeOwnAnswers", testAnswersMatchRequests},
 		{"WithdrawnKeyStopsConnection", testWithdrawnKey},
 	} {
 		t.Run(part.name, func(t *testing.T) {
@@ -52,8 +53,9 @@
 	}
 }
 
-// testReadYourWrites reads each entry on the next request: over the same
-// connection, over one opened before, and through another host.
+// testReadYourWrites reads each record right after its acknowledgement, over the writer's
+// connection and over connections to other hosts that were opened before. A read routed to a replica
+// that has not replayed the write would miss it.
 func testReadYourWrites(t *testing.T, f *fleet) {
 	rounds := 100
 	if *long {
@@ -83,13 +85,14 @@
 		}
 	}
 	if missing > 0 {
-		t.Errorf("%d of %d reads missed an acknowledged entry", missing, 3*rounds)
+		t.Errorf("%d of %d reads missed an acknowledged record", missing, 3*rounds)
 	}
 }
 
-// testTransactionsNeverMix runs transactions of three rows from many callers
-// over few endpoint connections, half of them rolled back.
-func testTransactionsNeverMix(t *testing.T, f *fleet) {
+// testTransactionsIsolated runs transactions of three rows from many callers over few endpoint
+// connections and rolls back every second one of a caller. Statements of two transactions on one
+// connection would leave a transaction with other than three rows, or a rolled back one with rows.
+func testTransactionsIsolated(t *testing.T, f *fleet) {
 	const callers, rounds = 36, 5
 	service := services[1]
 	setup := f.connect(f.Hosts[0], crew, service)
@@ -102,7 +105,7 @@
 		conn := f.connect(f.Hosts[c%len(f.Hosts)], crew, service)
 		work.Go(func() error {
 			for round := range rounds {
-				if err := threeParts(f, conn, fmt.Sprintf("%d-%d", c, round), round%2 == 0); err != nil {
+				if err := insertThreeParts(f, conn, fmt.Sprintf("%d-%d", c, round), round%2 == 0); err != nil {
 					return err
 				}
 			}
@@ -133,7 +136,9 @@
 	}
 }
 
-func threeParts(f *fleet, conn *pgx.Conn, token string, commit bool) error {
+// insertThreeParts inserts three rows in a transaction, which must see them, and commits it or
+// rolls it back.
+func insertThreeParts(f *fleet, conn *pgx.Conn, token string, commit bool) error {
 	ctx := f.context()
 	tx, err := conn.Begin(ctx)
 	if err != nil {
@@ -157,7 +162,9 @@
 	return tx.Rollback(ctx)
 }
 
-func testOnlyOwnWorkspace(t *testing.T, f *fleet) {
+// testKeyLimitedToWorkspace connects with names and keys that do not match, and tests that a
+// workspace open without a key can read but not write.
+func testKeyLimitedToWorkspace(t *testing.T, f *fleet) {
 	h := f.Hosts[1]
 	cases := []struct {
 		name, url string
@@ -165,7 +172,7 @@
 	}{
 		{"wrong key", localfleet.CallerURL(h, crew, "no key of anybody", services[0]), result.BadKey},
 		{"key of another workspace", localfleet.CallerURL(h, crew, f.Keys[editors+"-1"], services[0]), result.BadKey},
-		// Names of workspaces are not told from wrong keys, so that nobody can try them out.
+		// Same code as for a wrong key, so that callers cannot find out the names of workspaces.
 		{"unknown workspace", localfleet.CallerURL(h, "nobody", f.Keys[crew+"-1"], services[0]), result.BadKey},
 		{"unknown service", localfleet.CallerURL(h, crew, f.Keys[crew+"-1"], "nothing"), result.UnknownService},
 	}
@@ -191,8 +198,10 @@
 	}
 }
 
-// testNoDatabaseSeesAKey looks at all bytes that have reached the endpoints.
-func testNoDatabaseSeesAKey(t *testing.T, f *fleet) {
+// testKeysNotSentToEndpoints searches all bytes sent to the endpoints for the callers' keys. It
+// also searches for the callers' statements: if none were captured, the search for keys shows
+// nothing.
+func testKeysNotSentToEndpoints(t *testing.T, f *fleet) {
 	const mark = "mark of a caller"
 	for _, h := range f.Hosts {
 		for _, service := range services {
@@ -213,17 +222,19 @@
 		}
 	}
 	if marks == 0 {
-		t.Error("the callers' statements were not among the bytes looked at")
+		t.Error("the callers' statements were not among the captured bytes")
 	}
 }
 
+// Rate limit of the workspace "metered": requests per second and the largest burst.
 const (
 	meteredRate  = 40
 	meteredBurst = 20
 )
 
-// testRateHoldsOverTheFleet sends several times the rate through all hosts.
-func testRateHoldsOverTheFleet(t *testing.T, f *fleet) {
+// testRateLimitAcrossHosts sends more than a workspace's rate through all hosts at once. The rate
+// applies to the fleet: a limit that each host applied alone would let a multiple of it pass.
+func testRateLimitAcrossHosts(t *testing.T, f *fleet) {
 	f.apply(f.Hosts[0], func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey("metered-1", "metered")} })
 	ctx := f.context()
 	start := time.Now()
@@ -261,29 +272,30 @@
 		t.Error(v)
 	}
 	if len(all) == 0 {
-		t.Error("nothing was served within the rate")
+		t.Error("no request was served within the rate")
 	}
 	t.Logf("%d requests served in %s at a rate of %d and a burst of %d", len(all), time.Since(start), meteredRate, meteredBurst)
 }
 
-// testWholeOwnAnswers lets callers give up while answers are late: no other
-// caller may get the rest of such an answer.
-func testWholeOwnAnswers(t *testing.T, f *fleet) {
-	late := 50
+// testAnswersMatchRequests delays answers of the endpoints while some callers disconnect before
+// their answer. An endpoint connection reused too early would pass the rest of such an answer to
+// another caller.
+func testAnswersMatchRequests(t *testing.T, f *fleet) {
+	delayMS := 50
 	for _, e := range f.Endpoints {
-		f.faults(e, standin.FaultRequest{ResponseDelayMS: &late})
+		f.setFaults(e, standin.FaultRequest{ResponseDelayMS: &delayMS})
 	}
 	r := newRecorder()
 	var work errgroup.Group
 	for c := range 27 {
 		h := f.Hosts[c%len(f.Hosts)]
-		work.Go(func() error { return f.askWithMarks(r, h, c) })
+		work.Go(func() error { return f.queryWithMarks(r, h, c) })
 	}
 	if err := work.Wait(); err != nil {
 		t.Fatal(err)
 	}
 	for _, e := range f.Endpoints {
-		f.faults(e, standin.FaultRequest{Clear: true})
+		f.setFaults(e, standin.FaultRequest{Clear: true})
 	}
 	r.check(t, nil)
 	if len(r.answers) == 0 {
@@ -291,7 +303,9 @@
 	}
 }
 
-func (f *fleet) askWithMarks(r *recorder, h *host, caller int) error {
+// queryWithMarks sends a unique mark in each of ten requests and records the mark received. It
+// disconnects from every third request without waiting for the answer.
+func (f *fleet) queryWithMarks(r *recorder, h *host, caller int) error {
 	for i := range 10 {
 		conn, err := f.dial(h, crew, services[0])
 		if err != nil {
@@ -299,10 +313,10 @@
 		}
 		mark := fmt.Sprintf("%d/%d", caller, i)
 		if i%3 == 1 {
-			// Ask and leave without waiting for the answer.
+			// Send a query and disconnect without waiting for the answer.
 			sent := conn.PgConn().Conn()
 			conn.PgConn().Frontend().SendQuery(&pgproto3.Query{String: "select 'abandoned " + mark + "'"})
-			_ = conn.PgConn().Frontend().Flush() // the connection is abandoned
+			_ = conn.PgConn().Frontend().Flush() // the connection is closed next
 			sent.Close()
 			continue
 		}
@@ -317,8 +331,8 @@
 	return nil
 }
 
-// testWithdrawnKey withdraws one key of a workspace that is connected everywhere
-// with two.
+// testWithdrawnKey withdraws one of two keys with which a workspace is connected to every host.
+// Open connections with the withdrawn key must be refused too, and those with the other key go on.
 func testWithdrawnKey(t *testing.T, f *fleet) {
 	f.apply(f.Hosts[0], func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey(crew+"-2", crew)} })
 	var withdrawn, kept []*pgx.Conn
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -18,8 +18,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// awaitNumber waits until the host shows the note as in force.
-func (f *fleet) awaitNumber(h *host, number uint64) {
+// awaitNote waits until the host reports the note with the number as the one in force.
+func (f *fleet) awaitNote(h *host, number uint64) {
 	f.t.Helper()
 	eventually(f.t, fmt.Sprintf("note %d in force at %s", number, h.Name), func() bool {
 		c, err := f.Catalog(f.context(), h)
@@ -27,8 +27,8 @@
 	})
 }
 
-// probe tells whether a key is accepted at a host, by connecting with it.
-func (f *fleet) probe(h *host, workspace, key string) error {
+// checkKey connects to a host with a key and returns the error of a refusal.
+func (f *fleet) checkKey(h *host, workspace, key string) error {
 	conn, err := pgx.Connect(f.context(), localfleet.CallerURL(h, workspace, f.Keys[key], services[0]))
 	if err != nil {
 		return err
@@ -37,9 +37,10 @@
 	return nil
 }
 
-// TestOperatorsRaceUnderEqualNumbers sends different notes of one number to
-// several hosts at once and then all of them again.
-func TestOperatorsRaceUnderEqualNumbers(t *testing.T) {
+// TestNotesSameNumberConcurrentOneAccepted guards against two accepted notes with one number: all
+// hosts receive a different note with the next number at the same time. Sent again to other hosts,
+// the accepted note is reported as repeated and all others conflict.
+func TestNotesSameNumberConcurrentOneAccepted(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	for round := range 5 {
 		number := f.LastNote + 1
@@ -59,19 +60,20 @@
 				continue
 			}
 			if winner >= 0 {
-				t.Fatalf("round %d: operators %d and %d were both accepted", round, winner, i)
+				t.Fatalf("round %d: the notes of operators %d and %d were both accepted", round, winner, i)
 			}
 			winner = i
 		}
 		if winner < 0 {
-			t.Fatalf("round %d: nobody was accepted: %v", round, errs)
+			t.Fatalf("round %d: no note was accepted: %v", round, errs)
 		}
 		f.LastNote = number
 		f.resendAll(notes, winner, answers[winner])
 	}
 }
 
-// resendAll sends every note again, each to another host.
+// resendAll sends every note again, each to a different host than before. The winner's note must be
+// answered as repeated, with the digest of the first answer, and all others as a conflict.
 func (f *fleet) resendAll(notes []note.Note, winner int, first localfleet.NoteResponse) {
 	f.t.Helper()
 	for i, n := range notes {
@@ -84,51 +86,53 @@
 		}
 		var refused *localfleet.StatusError
 		if !errors.As(err, &refused) || refused.Status != http.StatusConflict {
-			f.t.Errorf("note %d of a loser: %v", n.Number, err)
+			f.t.Errorf("resent note %d of an operator who lost: %v, want a conflict", n.Number, err)
 		}
 	}
 }
 
-// TestIsolatedControlHostRevertsNothing isolates each control host in turn,
-// behind connections that stay open, while keys change.
-func TestIsolatedControlHostRevertsNothing(t *testing.T) {
+// TestControlHostIsolatedWithdrawnKeyStaysRefused guards against a stale control host that brings
+// an old state back. Each control host in turn is isolated while its connections stay open, and a
+// key is withdrawn meanwhile. Every host, the isolated one included, must refuse the key, also
+// after the partition heals.
+func TestControlHostIsolatedWithdrawnKeyStaysRefused(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
-	for round, cut := range f.Hosts[:controlCount] {
+	for round, isolated := range f.Hosts[:controlCount] {
 		id := fmt.Sprintf("round-%d", round)
 		other := f.Hosts[(round+1)%controlCount]
 		f.apply(other, func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey(id, crew)} })
 		for _, h := range f.Hosts {
-			eventually(t, "key "+id+" accepted at "+h.Name, func() bool { return f.probe(h, crew, id) == nil })
+			eventually(t, "key "+id+" accepted at "+h.Name, func() bool { return f.checkKey(h, crew, id) == nil })
 		}
-		f.net.isolate(cut.Name, true)
+		f.net.isolate(isolated.Name, true)
 		cutAt := time.Now()
 		f.apply(other, func(n *note.Note) { n.Withdrawn.Keys = []string{id} })
 		for _, h := range f.Hosts {
-			eventually(t, "key "+id+" refused at "+h.Name, func() bool { return f.probe(h, crew, id) != nil })
+			eventually(t, "key "+id+" refused at "+h.Name, func() bool { return f.checkKey(h, crew, id) != nil })
 		}
-		t.Logf("%s isolated: key withdrawn and refused everywhere after %s", cut.Name, time.Since(cutAt))
-		if code := codeOf(f.probe(cut, crew, id)); code != result.NoConfigLease {
+		t.Logf("%s isolated: key withdrawn and refused everywhere after %s", isolated.Name, time.Since(cutAt))
+		if code := codeOf(f.checkKey(isolated, crew, id)); code != result.NoConfigLease {
 			t.Errorf("the isolated host answers code %d", code)
 		}
 		for range 20 {
 			for _, h := range f.Hosts {
-				if f.probe(h, crew, id) == nil {
+				if f.checkKey(h, crew, id) == nil {
 					t.Fatalf("the withdrawn key is accepted again at %s", h.Name)
 				}
 			}
 		}
 		f.net.heal()
-		f.awaitNumber(cut, f.LastNote)
-		eventually(t, cut.Name+" serves again", func() bool { return f.probe(cut, crew, crew+"-1") == nil })
-		if f.probe(cut, crew, id) == nil {
-			t.Errorf("the withdrawn key is accepted at %s after it came back", cut.Name)
+		f.awaitNote(isolated, f.LastNote)
+		eventually(t, isolated.Name+" serves again", func() bool { return f.checkKey(isolated, crew, crew+"-1") == nil })
+		if f.checkKey(isolated, crew, id) == nil {
+			t.Errorf("the withdrawn key is accepted at %s after the partition", isolated.Name)
 		}
 	}
 }
 
-// TestRestartAfterHundredsOfChanges kills every host after many notes and
-// starts them again.
-func TestRestartAfterHundredsOfChanges(t *testing.T) {
+// TestHostsKilledAfterManyNotesRecoverState guards against a stored state that falls behind the
+// notes in force: all hosts are killed after many notes and started again.
+func TestHostsKilledAfterManyNotesRecoverState(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount + 2})
 	changes := 200
 	for i := range changes {
@@ -143,22 +147,21 @@
 		h.Proc.Kill()
 	}
 	for _, h := range f.Hosts {
-		f.mustStart(h)
+		f.restartHost(h)
 	}
 	for _, h := range f.Hosts {
-		f.awaitNumber(h, f.LastNote)
+		f.awaitNote(h, f.LastNote)
 		newest := fmt.Sprintf("change-%d", changes-1)
-		eventually(t, "newest key accepted at "+h.Name, func() bool { return f.probe(h, crew, newest) == nil })
-		if err := f.probe(h, crew, fmt.Sprintf("change-%d", changes-2)); codeOf(err) != result.BadKey {
-			t.Errorf("%s: a key of an old state: %v", h.Name, err)
+		eventually(t, "newest key accepted at "+h.Name, func() bool { return f.checkKey(h, crew, newest) == nil })
+		if err := f.checkKey(h, crew, fmt.Sprintf("change-%d", changes-2)); codeOf(err) != result.BadKey {
+			t.Errorf("%s: key withdrawn by the last note: %v", h.Name, err)
 		}
 	}
 }
 
-// disk returns the data folder with which a control host votes and is heard in
-// a committed group of full size, as another host reports it. It is empty
-// while that is not so.
-func (f *fleet) disk(reporter, voter *host) string {
+// votingDataDir returns the id of the data folder with which a control host is an active voter in a
+// committed group of full size, as another host reports it. It is empty while the host is not one.
+func (f *fleet) votingDataDir(reporter, voter *host) string {
 	s, err := f.ControlStatus(f.context(), reporter)
 	if err != nil || len(s.Controls) != controlCount {
 		return ""
@@ -171,33 +174,35 @@
 	return ""
 }
 
-// TestSecondHostLostRightAfterRepair replaces the disk of one control host and
-// kills another as soon as the first is back.
-func TestSecondHostLostRightAfterRepair(t *testing.T) {
+// TestControlHostKilledAfterDiskReplacementKeepsNotes guards against notes lost with a second
+// control host right after the repair of a first one. One control host loses its data folder, and
+// another is killed as soon as the first one votes with its new folder. Notes from before and after
+// must be in force at all other hosts.
+func TestControlHostKilledAfterDiskReplacementKeepsNotes(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount + 2})
 	f.apply(f.Hosts[1], func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey("before", crew)} })
 	repaired, lost := f.Hosts[0], f.Hosts[1]
 	survivor := f.Hosts[2]
 	var former string
 	eventually(t, "the host votes", func() bool {
-		former = f.disk(survivor, repaired)
+		former = f.votingDataDir(survivor, repaired)
 		return former != ""
 	})
 	repaired.Proc.Kill()
 	if err := os.RemoveAll(repaired.Settings.Control.DataDir); err != nil {
 		t.Fatal(err)
 	}
-	f.mustStart(repaired)
+	f.restartHost(repaired)
 	eventually(t, "the host votes with its new data folder", func() bool {
-		disk := f.disk(survivor, repaired)
+		disk := f.votingDataDir(survivor, repaired)
 		return disk != "" && disk != former
 	})
 	lost.Proc.Kill()
 	f.apply(survivor, func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey("after", crew)} })
 	for _, h := range []*host{repaired, survivor, f.Hosts[3], f.Hosts[4]} {
-		f.awaitNumber(h, f.LastNote)
+		f.awaitNote(h, f.LastNote)
 		for _, id := range []string{"before", "after"} {
-			eventually(t, "key "+id+" accepted at "+h.Name, func() bool { return f.probe(h, crew, id) == nil })
+			eventually(t, "key "+id+" accepted at "+h.Name, func() bool { return f.checkKey(h, crew, id) == nil })
 		}
 	}
 }
--- a/test/integration/failures_test.go
+++ b/test/integration/failures_test.go
@@ -17,7 +17,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// awaitNewPrimary waits until another endpoint than old is the primary.
+// awaitNewPrimary waits until an endpoint other than old is the primary and returns it.
 func (f *fleet) awaitNewPrimary(service string, old *endpoint) *endpoint {
 	f.t.Helper()
 	var found *endpoint
@@ -37,8 +37,9 @@
 	})
 }
 
-// awaitMember waits until the endpoint follows the primary of its service.
-func (f *fleet) awaitMember(e *endpoint) {
+// awaitCaughtUp waits until the endpoint is a replica with all that the primary of its service has
+// flushed. It needs a service without writes.
+func (f *fleet) awaitCaughtUp(e *endpoint) {
 	f.t.Helper()
 	eventually(f.t, e.ID+" follows", func() bool {
 		s, err := e.Status(f.context())
@@ -50,7 +51,7 @@
 	})
 }
 
-// awaitReplica waits until the endpoint is a replica on the newest timeline.
+// awaitReplica waits until the endpoint is a replica on the timeline of the primary.
 func (f *fleet) awaitReplica(e *endpoint) {
 	f.t.Helper()
 	eventually(f.t, e.ID+" is a replica", func() bool {
@@ -64,9 +65,10 @@
 	})
 }
 
-// TestIsolatedPrimaryAcknowledgesNothing cuts a primary off while callers
-// write. It goes on taking writes for itself, and loses them.
-func TestIsolatedPrimaryAcknowledgesNothing(t *testing.T) {
+// TestPrimaryIsolatedWritesDiscarded guards against a split brain: an isolated primary still
+// accepts writes sent to it directly. After its replacement, none of its own writes may return, and
+// no write acknowledged to a caller may be lost.
+func TestPrimaryIsolatedWritesDiscarded(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	service := services[0]
 	r := newRecorder()
@@ -82,30 +84,30 @@
 	t.Logf("%s replaced %s after %s; 100 more writes acknowledged after %s", next.ID, old.ID, promoted, time.Since(cutAt))
 
 	if s, err := old.Status(f.context()); err != nil || s.Role != standin.RolePrimary {
-		t.Fatalf("the isolated endpoint does not take itself for the primary: %+v, %v", s, err)
+		t.Fatalf("the isolated endpoint does not report that it is the primary: %+v, %v", s, err)
 	}
-	if _, err := f.directly(old).Exec(f.context(), "insert into records (id) values ('orphan')"); err != nil {
-		t.Fatalf("the isolated primary refuses writes, so the test shows nothing: %v", err)
+	if _, err := f.connectDirect(old).Exec(f.context(), "insert into records (id) values ('orphan')"); err != nil {
+		t.Fatalf("the isolated primary refused a write, so the test checks nothing: %v", err)
 	}
 	f.net.heal()
-	f.awaitMemberAfter(w, old)
+	f.stopAndAwaitCaughtUp(w, old)
 	stored := f.storedIDs(service, "records")
 	if stored["orphan"] != 0 {
-		t.Error("a write of the replaced primary came back")
+		t.Error("a write of the replaced primary is stored")
 	}
 	r.check(t, stored)
 }
 
-// awaitMemberAfter stops the writers and waits until the endpoint follows.
-func (f *fleet) awaitMemberAfter(w *writers, e *endpoint) {
+// stopAndAwaitCaughtUp stops the writers and waits until the endpoint has caught up.
+func (f *fleet) stopAndAwaitCaughtUp(w *writers, e *endpoint) {
 	f.t.Helper()
 	w.stop()
-	f.awaitMember(e)
+	f.awaitCaughtUp(e)
 }
 
-// TestKilledPrimaryIsReplaced kills the primary and later one more endpoint's
-// worth of luck: the killed one comes back empty handed as a replica.
-func TestKilledPrimaryIsReplaced(t *testing.T) {
+// TestPrimaryKilledRejoinsAsReplica kills the primary under writes and starts it again after its
+// replacement. It must follow the new primary as a replica, and no acknowledged write may be lost.
+func TestPrimaryKilledRejoinsAsReplica(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount})
 	service := services[0]
 	r := newRecorder()
@@ -116,13 +118,13 @@
 	f.awaitNewPrimary(service, old)
 	awaitAcks(t, r, 100)
 	f.restartEndpoint(old)
-	f.awaitMemberAfter(w, old)
+	f.stopAndAwaitCaughtUp(w, old)
 	r.check(t, f.storedIDs(service, "records"))
 }
 
-// TestNotRunIsTrueWhileThePrimaryStalls lets requests run into their deadlines
-// while answers and commits are held up and dropped.
-func TestNotRunIsTrueWhileThePrimaryStalls(t *testing.T) {
+// TestPrimaryStallsNotRunHadNoEffect guards against a request that is reported as not run although
+// it ran. The primary drops answers after the commit and stalls, so that requests end without one.
+func TestPrimaryStallsNotRunHadNoEffect(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount})
 	service := services[0]
 	r := newRecorder()
@@ -131,23 +133,23 @@
 	primary := f.primary(service)
 	stall, drops := true, 5
 	for range 3 {
-		f.faults(primary, standin.FaultRequest{DropAfterCommit: &drops})
+		f.setFaults(primary, standin.FaultRequest{DropAfterCommit: &drops})
 		awaitAcks(t, r, 50)
-		f.faults(primary, standin.FaultRequest{Stall: &stall})
+		f.setFaults(primary, standin.FaultRequest{Stall: &stall})
 		time.Sleep(500 * time.Millisecond)
-		f.faults(primary, standin.FaultRequest{Clear: true})
+		f.setFaults(primary, standin.FaultRequest{Clear: true})
 		awaitAcks(t, r, 50)
 	}
 	w.stop()
 	if r.count(history.Unknown) == 0 {
-		t.Error("no request was left without an answer, so the test shows nothing")
+		t.Error("no request has an unknown outcome, so the test checks nothing")
 	}
 	r.check(t, f.storedIDs(service, "records"))
 }
 
-// TestCorrectionRunsOnce drops the answer to a commit and sends the request
-// again under the same id, over another host.
-func TestCorrectionRunsOnce(t *testing.T) {
+// TestCorrectionRetriedAfterLostReplyRunsOnce drops the answer to a commit and sends the request
+// again with the same request id through other hosts. Without deduplication it would run twice.
+func TestCorrectionRetriedAfterLostReplyRunsOnce(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount})
 	service := services[1]
 	setup := f.connect(f.Hosts[0], editors, service)
@@ -158,17 +160,17 @@
 	one := 1
 	for i := range rounds {
 		id := fmt.Sprintf("correction-%d", i)
-		f.faults(f.primary(service), standin.FaultRequest{DropAfterCommit: &one})
-		err := f.correct(f.Hosts[i%len(f.Hosts)], service, id)
+		f.setFaults(f.primary(service), standin.FaultRequest{DropAfterCommit: &one})
+		err := f.insertCorrection(f.Hosts[i%len(f.Hosts)], service, id)
 		for attempt := 1; err != nil && codeOf(err) != result.RequestAlreadyDone; attempt++ {
 			if attempt > 20 {
 				t.Fatalf("%s: %v", id, err)
 			}
 			time.Sleep(50 * time.Millisecond)
-			err = f.correct(f.Hosts[(i+attempt)%len(f.Hosts)], service, id)
+			err = f.insertCorrection(f.Hosts[(i+attempt)%len(f.Hosts)], service, id)
 		}
 	}
-	f.faults(f.primary(service), standin.FaultRequest{Clear: true})
+	f.setFaults(f.primary(service), standin.FaultRequest{Clear: true})
 	stored := f.storedIDs(service, "corrections")
 	for i := range rounds {
 		if n := stored[fmt.Sprintf("correction-%d", i)]; n != 1 {
@@ -177,8 +179,8 @@
 	}
 }
 
-// correct files a correction under a request id.
-func (f *fleet) correct(h *host, service, id string) error {
+// insertCorrection inserts a correction with a request id.
+func (f *fleet) insertCorrection(h *host, service, id string) error {
 	conn, err := f.dial(h, editors, service)
 	if err != nil {
 		return err
@@ -191,9 +193,9 @@
 	return err
 }
 
-// TestHostDiesInTransaction kills a host while transactions through it are
-// open: they leave nothing behind and hold nothing up.
-func TestHostDiesInTransaction(t *testing.T) {
+// TestHostKilledInTransactionRollsBack kills a host while a transaction through it is open. The
+// transaction must leave no rows and must not block writes through other hosts.
+func TestHostKilledInTransactionRollsBack(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	service := services[0]
 	victim := f.Hosts[len(f.Hosts)-1]
@@ -207,11 +209,11 @@
 	}
 	victim.Proc.Kill()
 	if err := tx.Commit(f.context()); err == nil {
-		t.Error("a transaction was committed through a dead host")
+		t.Error("a transaction was committed through a killed host")
 	}
 	other := f.connect(f.Hosts[0], crew, service)
 	if _, err := other.Exec(f.context(), "insert into records (id) values ('finished')"); err != nil {
-		t.Fatalf("the dead host's transaction holds up others: %v", err)
+		t.Fatalf("the killed host's transaction blocks others: %v", err)
 	}
 	stored := f.storedIDs(service, "records")
 	if stored["unfinished"] != 0 || stored["finished"] != 1 {
@@ -219,14 +221,14 @@
 	}
 }
 
-// TestReplicasFallBehind reads while replicas lag and while they do not replay
-// at all: fresh reads stay fresh, reads that accept old data may go there.
-func TestReplicasFallBehind(t *testing.T) {
+// TestReplicasLaggingReadsStayFresh reads each write right after its acknowledgement while every
+// endpoint replays with a lag of ten minutes. A read answered by a replica would be stale.
+func TestReplicasLaggingReadsStayFresh(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount})
 	service := services[0]
 	lag := int((10 * time.Minute).Milliseconds())
 	for _, e := range f.Endpoints {
-		f.faults(e, standin.FaultRequest{ReplayLagMS: &lag})
+		f.setFaults(e, standin.FaultRequest{ReplayLagMS: &lag})
 	}
 	r := newRecorder()
 	conns := make([]*pgx.Conn, len(f.Hosts))
@@ -242,6 +244,8 @@
 	r.check(t, nil)
 }
 
+// writeAndRead writes a value of the record r and reads it with both kinds of reads, and records
+// all three operations.
 func (f *fleet) writeAndRead(r *recorder, writer, reader *pgx.Conn, i int) {
 	f.t.Helper()
 	value := fmt.Sprintf("v%d", i)
@@ -270,6 +274,7 @@
 	return id, err
 }
 
+// domainOf returns the failure domain of an endpoint, or an empty string.
 func (f *fleet) domainOf(id string) string {
 	for _, e := range f.Endpoints {
 		if e.ID == id {
@@ -279,9 +284,10 @@
 	return ""
 }
 
-// TestDomainOutGetsNoNewWork takes the primary's failure domain out of use
-// under traffic and in again.
-func TestDomainOutGetsNoNewWork(t *testing.T) {
+// TestDomainOutReceivesNoRequests takes the primary's failure domain out of use under writes and
+// back into use. While it is out, another endpoint must be the primary and no endpoint of the domain
+// may serve reads.
+func TestDomainOutReceivesNoRequests(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	service := services[0]
 	r := newRecorder()
@@ -303,20 +309,20 @@
 		return false
 	}
 	f.awaitNewPrimary(service, old)
-	eventually(t, "no work in the domain that is out", func() bool { return !inDomain(100) })
+	eventually(t, "no requests in the domain that is out", func() bool { return !inDomain(100) })
 	if inDomain(500) {
-		t.Error("the domain that is out got work again")
+		t.Error("the domain that is out received requests again")
 	}
 	f.setDomain(old.Domain, false)
-	eventually(t, "work in the domain that is back", func() bool { return inDomain(50) })
+	eventually(t, "requests in the domain that is back", func() bool { return inDomain(50) })
 	w.stop()
 	r.check(t, f.storedIDs(service, "records"))
 }
 
-// TestDomainLeavesWithoutUnknownOutcomes switches the primary over for a domain
-// that leaves and comes back: a planned change leaves no request without a
-// certain answer.
-func TestDomainLeavesWithoutUnknownOutcomes(t *testing.T) {
+// TestDomainOutLeavesNoUnknownOutcomes takes the primary's domain out of use and back several times
+// under writes. A planned change of the primary must not interrupt requests: every one ends with a
+// known outcome.
+func TestDomainOutLeavesNoUnknownOutcomes(t *testing.T) {
 	f := startFleet(t, fleetOptions{})
 	service := services[0]
 	r := newRecorder()
@@ -337,7 +343,7 @@
 	}
 }
 
-// setDomain takes a failure domain out of use or back into use.
+// setDomain applies a note that takes a failure domain out of use or back into use.
 func (f *fleet) setDomain(domain string, out bool) {
 	f.t.Helper()
 	f.apply(f.Hosts[0], func(n *note.Note) {
@@ -345,8 +351,9 @@
 	})
 }
 
-// TestLeavingServiceGetsNoNewWork takes a service out of use.
-func TestLeavingServiceGetsNoNewWork(t *testing.T) {
+// TestServiceLeavingRefusesRequests takes a service out of use while callers are connected to it.
+// Their requests must be refused as not run, and the other service goes on.
+func TestServiceLeavingRefusesRequests(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount})
 	leaving := services[1]
 	conns := make([]*pgx.Conn, len(f.Hosts))
@@ -361,7 +368,7 @@
 	})
 	for i, conn := range conns {
 		var last error
-		eventually(t, f.Hosts[i].Name+" refuses work for the leaving service", func() bool {
+		eventually(t, f.Hosts[i].Name+" refuses requests for the leaving service", func() bool {
 			_, last = conn.Exec(f.context(), "insert into records (id) values (gen_random_uuid()::text)")
 			return last != nil
 		})
@@ -374,9 +381,9 @@
 	}
 }
 
-// TestGracefulShutdownCutsNoRequest shuts a host down while a statement and a
-// transaction are in progress.
-func TestGracefulShutdownCutsNoRequest(t *testing.T) {
+// TestHostShutdownFinishesOpenRequests shuts a host down while a statement and a transaction are in
+// progress. Both must end with success before the host ends, and idle connections are closed.
+func TestHostShutdownFinishesOpenRequests(t *testing.T) {
 	f := startFleet(t, fleetOptions{hosts: controlCount + 1})
 	service := services[0]
 	leaving := f.Hosts[len(f.Hosts)-1]
@@ -401,14 +408,14 @@
 	}()
 	eventually(t, "the host drains", func() bool { return strings.Contains(leaving.Proc.Output(), "shutdown_begin") })
 	if err := tx.Commit(f.context()); err != nil {
-		t.Errorf("the open transaction was cut: %v", err)
+		t.Errorf("the shutdown broke the open transaction: %v", err)
 	}
 	if err := <-done; err != nil {
-		t.Errorf("the running statement was cut: %v", err)
+		t.Errorf("the shutdown broke the running statement: %v", err)
 	}
 	<-stopped
 	if _, err := idle.Exec(f.context(), "select 1"); err == nil {
-		t.Error("the host serves after its shutdown")
+		t.Error("the host serves requests after its shutdown")
 	}
 	if f.storedIDs(service, "records")["in transaction"] != 1 {
 		t.Error("the committed transaction is not stored")
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -26,7 +26,7 @@
 	services = []string{"launchlog", "corrections"}
 )
 
-// Workspaces of the first note.
+// Workspaces of the first note, one of each workload class.
 const (
 	crew     = "crew"
 	editors  = "editors"
@@ -38,24 +38,27 @@
 	endpoint = localfleet.Endpoint
 )
 
-// fleet is a system of real processes linked through a network.
+// fleet is the fleet of real processes of one test. Its connections pass through net.
 type fleet struct {
 	*localfleet.Fleet
 	t   *testing.T
 	net *network
 }
 
-// fleetOptions change the fleet before it starts.
+// fleetOptions are the settings of a fleet that differ between tests.
 type fleetOptions struct {
+	// hosts is the number of hosts; zero means hostCount.
 	hosts int
-	lag   time.Duration
-	// watch keeps all bytes that are sent to endpoints.
-	watch bool
-	note  func(*note.Note)
+	// lag is the replay lag of the replicas.
+	lag time.Duration
+	// capture records all bytes sent to the endpoints.
+	capture bool
+	// note changes the first note before it is applied.
+	note func(*note.Note)
 }
 
-// startFleet starts two groups of endpoints and the hosts, applies the first
-// note and waits until every host serves every service.
+// startFleet starts a group of endpoints for each service and the hosts, applies the first note and
+// waits until every host serves every service. The processes are killed at the end of the test.
 func startFleet(t *testing.T, opts fleetOptions) *fleet {
 	t.Helper()
 	if opts.hosts == 0 {
@@ -66,16 +69,16 @@
 	planned, err := localfleet.New(localfleet.Options{
 		Program: program, Dir: t.TempDir(), Hosts: opts.hosts, ControlHosts: controlCount,
 		Domains: noteDomains(), Services: noteServices(), Workspaces: noteWorkspaces(), ReplayLag: opts.lag,
-		AdvertiseAddr: f.net.front, OnStart: f.started,
+		AdvertiseAddr: f.net.forward, OnStart: f.registerProcess,
 	})
 	if err != nil {
 		t.Fatal(err)
 	}
 	f.Fleet = planned
 	t.Cleanup(f.Stop)
-	if opts.watch {
+	if opts.capture {
 		for _, e := range f.Endpoints {
-			f.net.watch(e.ID)
+			f.net.capture(e.ID)
 		}
 	}
 	if err := f.Start(f.context(), opts.note); err != nil {
@@ -84,9 +87,9 @@
 	return f
 }
 
-// started makes a process a node of the network and its output part of a
-// failed test's log.
-func (f *fleet) started(node string, p *localfleet.Process) {
+// registerProcess registers a process as a node of the network and logs the end of its output when
+// the test fails.
+func (f *fleet) registerProcess(node string, p *localfleet.Process) {
 	f.net.register(node, p.PID())
 	f.t.Cleanup(func() {
 		if f.t.Failed() {
@@ -112,15 +115,15 @@
 }
 
 func noteWorkspaces() []note.Workspace {
-	const plenty = 10_000
+	const highRate = 10_000 // above the load of any test
 	return []note.Workspace{
-		{Name: crew, Rate: plenty, Burst: plenty, Class: note.ClassInteractive},
-		{Name: editors, Rate: plenty, Burst: plenty, Class: note.ClassCorrection},
-		{Name: auditors, Rate: plenty, Burst: plenty, Class: note.ClassBulk},
+		{Name: crew, Rate: highRate, Burst: highRate, Class: note.ClassInteractive},
+		{Name: editors, Rate: highRate, Burst: highRate, Class: note.ClassCorrection},
+		{Name: auditors, Rate: highRate, Burst: highRate, Class: note.ClassBulk},
 	}
 }
 
-// apply applies the next note through a host.
+// apply applies the next note, filled in by change, through a host.
 func (f *fleet) apply(h *host, change func(*note.Note)) {
 	f.t.Helper()
 	if err := f.Apply(f.context(), h, change); err != nil {
@@ -128,13 +131,14 @@
 	}
 }
 
+// dial opens a connection to a host with the workspace's first key. The caller closes it.
 func (f *fleet) dial(h *host, workspace, service string) (*pgx.Conn, error) {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	defer cancel()
 	return pgx.Connect(ctx, f.URL(h, workspace, service))
 }
 
-// connect opens a caller's connection for the rest of the test.
+// connect opens a connection to a host that stays open until the end of the test.
 func (f *fleet) connect(h *host, workspace, service string) *pgx.Conn {
 	f.t.Helper()
 	conn, err := f.dial(h, workspace, service)
@@ -148,25 +152,26 @@
 func closeConn(conn *pgx.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = conn.Close(ctx) // the connection is of no further use
+	_ = conn.Close(ctx) // an error leaves nothing to clean up
 }
 
-// context returns a context that ends long before the test's own limit.
+// context returns a context with the timeout waitTimeout, so that a step that hangs fails long
+// before the test's own timeout.
 func (f *fleet) context() context.Context {
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	f.t.Cleanup(cancel)
 	return ctx
 }
 
-// faults sets fault switches of an endpoint.
-func (f *fleet) faults(e *endpoint, r standin.FaultRequest) {
+// setFaults sets injected faults of an endpoint.
+func (f *fleet) setFaults(e *endpoint, r standin.FaultRequest) {
 	f.t.Helper()
 	if err := e.SetFaults(f.context(), r); err != nil {
 		f.t.Fatalf("faults of %s: %v", e.ID, err)
 	}
 }
 
-// primary returns the primary of a service.
+// primary returns the primary of a service and fails the test when there is none.
 func (f *fleet) primary(service string) *endpoint {
 	f.t.Helper()
 	e := f.Primary(f.context(), service)
@@ -176,8 +181,8 @@
 	return e
 }
 
-// directly connects to an endpoint without the fleet and its network.
-func (f *fleet) directly(e *endpoint) *pgx.Conn {
+// connectDirect connects to an endpoint past the hosts and the network.
+func (f *fleet) connectDirect(e *endpoint) *pgx.Conn {
 	f.t.Helper()
 	conn, err := pgx.Connect(f.context(), e.DirectURL())
 	if err != nil {
@@ -187,15 +192,15 @@
 	return conn
 }
 
-// mustStart starts the process of a host again.
-func (f *fleet) mustStart(h *host) {
+// restartHost starts the process of a stopped host again.
+func (f *fleet) restartHost(h *host) {
 	f.t.Helper()
 	if err := f.StartHost(h); err != nil {
 		f.t.Fatal(err)
 	}
 }
 
-// restartEndpoint starts the process of an endpoint again.
+// restartEndpoint starts the process of a stopped endpoint again, as a replica.
 func (f *fleet) restartEndpoint(e *endpoint) {
 	f.t.Helper()
 	if err := f.StartEndpoint(e, standin.RoleReplica, ""); err != nil {
@@ -203,7 +208,7 @@
 	}
 }
 
-// shutDown ends a host gracefully.
+// shutDown shuts a host down gracefully and waits for the end of its process.
 func (f *fleet) shutDown(h *host) {
 	f.t.Helper()
 	if err := h.Proc.Terminate(); err != nil {
@@ -215,8 +220,8 @@
 		if err := h.Proc.Err(); err != nil {
 			f.t.Errorf("%s: %v", h.Name, err)
 		}
-	case <-time.After(patience):
-		f.t.Errorf("%s did not shut down within %s", h.Name, patience)
+	case <-time.After(waitTimeout):
+		f.t.Errorf("%s did not shut down within %s", h.Name, waitTimeout)
 	}
 }
 
--- a/test/integration/network_self_test.go
+++ b/test/integration/network_self_test.go
@@ -10,9 +10,9 @@
 	"time"
 )
 
-// TestNetworkHoldsAndDeliversTraffic shows that a cut holds data while the
-// connection stays open, and that healing delivers it.
-func TestNetworkHoldsAndDeliversTraffic(t *testing.T) {
+// TestNetworkCutHoldsTrafficUntilHealed guards against a partition that lets data through, loses it
+// or closes the connection. The tests that inject partitions would then check nothing.
+func TestNetworkCutHoldsTrafficUntilHealed(t *testing.T) {
 	backend, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -24,12 +24,12 @@
 			if err != nil {
 				return
 			}
-			go func() { _, _ = io.Copy(conn, conn) }() // ends with the connection
+			go func() { _, _ = io.Copy(conn, conn) }() // fails when the connection is closed
 		}
 	}()
 	n := newNetwork(t)
 	n.register("caller", os.Getpid())
-	conn, err := net.Dial("tcp", n.front("server", backend.Addr().String()))
+	conn, err := net.Dial("tcp", n.forward("server", backend.Addr().String()))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/test/integration/network_test.go
+++ b/test/integration/network_test.go
@@ -15,8 +15,8 @@
 	"github.com/rs/zerolog"
 )
 
-// holdToxic holds all traffic until it is removed, while connections stay open:
-// a silent partition.
+// holdToxic holds all traffic until it is removed. Connections stay open, so that neither side sees
+// an error: a partition without connection resets.
 type holdToxic struct{}
 
 // Pipe implements toxics.Toxic.
@@ -24,27 +24,30 @@
 
 func init() { toxics.Register("hold", new(holdToxic)) }
 
-// network links the processes of a fleet. Each process is a node; whoever dials
-// a node's front is told apart by the process that owns the connection, so that
-// each pair of nodes has a link of its own.
+// network is the fault-injecting network between the processes of a fleet. Each process is a node.
+// The node that dials a forwarding address is identified by the process that owns the socket, so
+// that each pair of nodes has a link of its own and can be partitioned separately.
 type network struct {
 	t   *testing.T
 	api *toxiproxy.ApiServer
 
-	mu       sync.Mutex
-	pids     map[int]string
-	isolated map[string]bool
-	cuts     map[[2]string]bool
-	links    map[linkKey]*link
-	fronts   []net.Listener
-	// seen keeps the bytes sent to nodes that are watched.
-	seen map[string]*strings.Builder
+	// mu guards the fields below and the captured bytes.
+	mu        sync.Mutex
+	pids      map[int]string
+	isolated  map[string]bool
+	cuts      map[[2]string]bool
+	links     map[linkKey]*link
+	listeners []net.Listener
+	// captured holds the bytes sent to each node that is captured.
+	captured map[string]*strings.Builder
 }
 
+// linkKey identifies a link: the dialing node, the dialed node and the dialed address of that node.
 type linkKey struct {
 	from, to, backend string
 }
 
+// link is the proxy between two nodes. While held, it passes no traffic in either direction.
 type link struct {
 	key   linkKey
 	proxy *toxiproxy.Proxy
@@ -56,7 +59,7 @@
 	n := &network{
 		t: t, api: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), logger), pids: make(map[int]string),
 		isolated: make(map[string]bool), cuts: make(map[[2]string]bool), links: make(map[linkKey]*link),
-		seen: make(map[string]*strings.Builder),
+		captured: make(map[string]*strings.Builder),
 	}
 	t.Cleanup(n.close)
 	return n
@@ -65,7 +68,7 @@
 func (n *network) close() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	for _, ln := range n.fronts {
+	for _, ln := range n.listeners {
 		ln.Close()
 	}
 	for _, l := range n.links {
@@ -73,36 +76,37 @@
 	}
 }
 
-// register tells which process is the node.
+// register sets the process of a node.
 func (n *network) register(node string, pid int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	n.pids[pid] = node
 }
 
-// watch keeps all bytes that are sent to the node from now on.
-func (n *network) watch(node string) {
+// capture records all bytes that are sent to the node over connections opened from now on.
+func (n *network) capture(node string) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.seen[node] = &strings.Builder{}
+	n.captured[node] = &strings.Builder{}
 }
 
-// sentTo returns the bytes sent to a watched node.
+// sentTo returns the recorded bytes sent to a node. The node must be captured.
 func (n *network) sentTo(node string) string {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.seen[node].String()
+	return n.captured[node].String()
 }
 
-// front opens an address that leads to the node's address backend.
-func (n *network) front(node, backend string) string {
+// forward listens on a new loopback address, forwards its connections to the node's address backend
+// and returns it.
+func (n *network) forward(node, backend string) string {
 	n.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		n.t.Fatal(err)
 	}
 	n.mu.Lock()
-	n.fronts = append(n.fronts, ln)
+	n.listeners = append(n.listeners, ln)
 	n.mu.Unlock()
 	go func() {
 		for {
@@ -118,7 +122,7 @@
 
 func (n *network) serve(node, backend string, conn net.Conn) {
 	defer conn.Close()
-	addr, err := n.linkAddr(linkKey{from: n.owner(conn), to: node, backend: backend})
+	addr, err := n.linkAddr(linkKey{from: n.dialer(conn), to: node, backend: backend})
 	if err != nil {
 		return
 	}
@@ -133,14 +137,15 @@
 	<-done
 }
 
-// copy copies one direction; the end of either direction ends the connection.
+// copy copies one direction of a connection and records it when node is captured. The end of either
+// direction ends the connection.
 func (n *network) copy(dst io.Writer, src io.Reader, node string, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	n.mu.Lock()
-	seen := n.seen[node]
+	captured := n.captured[node]
 	n.mu.Unlock()
-	if seen != nil {
-		src = io.TeeReader(src, &lockedWriter{mu: &n.mu, w: seen})
+	if captured != nil {
+		src = io.TeeReader(src, &lockedWriter{mu: &n.mu, w: captured})
 	}
 	_, _ = io.Copy(dst, src) // either side may end the connection
 }
@@ -156,7 +161,7 @@
 	return l.w.Write(p)
 }
 
-// linkAddr returns the address of the link, which it opens when needed.
+// linkAddr returns the address of a link's proxy, which it starts on first use.
 func (n *network) linkAddr(key linkKey) (string, error) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -173,7 +178,7 @@
 	return proxy.Listen, nil
 }
 
-// update brings a link in line with the cuts.
+// update holds or releases a link according to isolated and cuts. The caller holds mu.
 func (n *network) update(l *link) {
 	held := n.isolated[l.key.from] || n.isolated[l.key.to] || n.cuts[[2]string{l.key.from, l.key.to}]
 	if held == l.held {
@@ -195,13 +200,14 @@
 	}
 }
 
+// updateAll updates every link. The caller holds mu.
 func (n *network) updateAll() {
 	for _, l := range n.links {
 		n.update(l)
 	}
 }
 
-// isolate holds all traffic from and to the node, or lets it pass again.
+// isolate partitions the node from all others, or removes that partition.
 func (n *network) isolate(node string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -209,7 +215,7 @@
 	n.updateAll()
 }
 
-// cut holds the traffic between two nodes in both directions.
+// cut partitions two nodes from each other in both directions, or removes that partition.
 func (n *network) cut(a, b string, on bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -218,7 +224,7 @@
 	n.updateAll()
 }
 
-// heal removes every cut.
+// heal removes all partitions.
 func (n *network) heal() {
 	n.mu.Lock()
 	defer n.mu.Unlock()
--- a/test/integration/process_test.go
+++ b/test/integration/process_test.go
@@ -12,16 +12,16 @@
 	"time"
 )
 
-// patience bounds every wait for a condition.
-const patience = 90 * time.Second
+// waitTimeout is the longest wait for any condition.
+const waitTimeout = 90 * time.Second
 
-// program is the path of the built program.
+// program is the path of the built galenabridge program.
 var program string
 
 var (
-	long = flag.Bool("long", false, "run the long tests too")
+	long = flag.Bool("long", false, "run more rounds in TestHealthyFleet")
 	seed = flag.Uint64("seed", 1, "seed of the random faults")
-	soak = flag.Duration("soak", 0, "length of the run with random faults; zero leaves it out")
+	soak = flag.Duration("soak", 0, "duration of the run with random faults; zero skips it")
 )
 
 func TestMain(m *testing.M) {
@@ -45,8 +45,10 @@
 	return m.Run()
 }
 
+// tailBytes is the length of the process output that a failed test logs.
 const tailBytes = 4000
 
+// tail returns the last tailBytes of a text.
 func tail(text string) string {
 	if len(text) > tailBytes {
 		return "..." + text[len(text)-tailBytes:]
@@ -54,13 +56,13 @@
 	return text
 }
 
-// eventually waits until condition holds.
+// eventually polls condition until it is true and fails the test after waitTimeout.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, patience)
+			t.Fatalf("%s: not within %s", what, waitTimeout)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/test/integration/recorder_test.go
+++ b/test/integration/recorder_test.go
@@ -35,7 +35,7 @@
 	return result.Code(n)
 }
 
-// outcomeOf returns what a caller may conclude from an error.
+// outcomeOf returns the outcome of a request as an error reports it to the caller.
 func outcomeOf(err error) history.Outcome {
 	if err == nil {
 		return history.Acked
@@ -46,7 +46,8 @@
 	return history.Unknown
 }
 
-// recorder keeps what callers sent and learned. It is safe for concurrent use.
+// recorder records the history of callers' requests and their outcomes, with times measured from
+// start. It is safe for concurrent use.
 type recorder struct {
 	start time.Time
 
@@ -54,25 +55,28 @@
 	writes  []history.Write
 	answers []history.Answer
 	ops     []history.Operation
-	causes  map[string]int
+	// causes counts failed writes by their cause.
+	causes map[string]int
 }
 
 func newRecorder() *recorder {
 	return &recorder{start: time.Now(), causes: make(map[string]int)}
 }
 
+// write records a write and returns its outcome.
 func (r *recorder) write(id, workspace string, err error) history.Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	outcome := outcomeOf(err)
 	r.writes = append(r.writes, history.Write{ID: id, Workspace: workspace, Outcome: outcome})
 	if err != nil {
-		r.causes[cause(err)]++
+		r.causes[failureCause(err)]++
 	}
 	return outcome
 }
 
-func cause(err error) string {
+// failureCause returns the name of the error's result code, its SQLSTATE or "connection".
+func failureCause(err error) string {
 	if code := codeOf(err); code != 0 {
 		return result.Lookup(code).Name
 	}
@@ -83,12 +87,14 @@
 	return "connection"
 }
 
+// answer records the mark sent in a request and the one received in its answer.
 func (r *recorder) answer(sent, received string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, history.Answer{Sent: sent, Received: received})
 }
 
+// op records an operation that began at invoke and has ended now.
 func (r *recorder) op(o history.Operation, invoke time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -110,7 +116,8 @@
 	return n
 }
 
-// check reports violations of the promises on writes and answers.
+// check fails the test for each violation of the guarantees on writes, answers, operations and
+// reads, and prints at most 20. Stored counts the stored records by id.
 func (r *recorder) check(t *testing.T, stored map[string]int) {
 	t.Helper()
 	r.mu.Lock()
@@ -130,11 +137,11 @@
 	t.Logf("%d writes, %d operations, %d answers; causes of failure: %v", len(r.writes), len(r.ops), len(r.answers), r.causes)
 }
 
-// storedIDs reads the ids of a table at the service's primary, without the
+// storedIDs counts the rows of a table by id. It reads the service's primary directly, past the
 // hosts.
 func (f *fleet) storedIDs(service, table string) map[string]int {
 	f.t.Helper()
-	conn := f.directly(f.primary(service))
+	conn := f.connectDirect(f.primary(service))
 	rows, err := conn.Query(f.context(), "select id from "+table)
 	if err != nil {
 		f.t.Fatal(err)
@@ -150,38 +157,41 @@
 	return stored
 }
 
-// writers file records through all hosts until stopped.
+// writers are callers in the background that send requests until stopped.
 type writers struct {
 	cancel context.CancelFunc
 	wg     sync.WaitGroup
 }
 
+// stop ends the writers and waits for their last requests.
 func (w *writers) stop() {
 	w.cancel()
 	w.wg.Wait()
 }
 
-// writerPause is the pause of a writer between two records.
+// writerPause is the pause of a writer between two inserts.
 const writerPause = 5 * time.Millisecond
 
 // requestTimeout bounds one request of a writer.
 const requestTimeout = 20 * time.Second
 
-// startWriters runs callers that file one record after another, each through
-// its own host.
+// startWriters starts count writers that insert one record after another, each through one host, so
+// that the writers are spread over all hosts.
 func (f *fleet) startWriters(r *recorder, count int, service string) *writers {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &writers{cancel: cancel}
 	for i := range count {
 		h := f.Hosts[i%len(f.Hosts)]
 		name := fmt.Sprintf("%s-%d", service, i)
-		w.wg.Go(func() { f.fileRecords(ctx, r, h, service, name) })
+		w.wg.Go(func() { f.insertRecords(ctx, r, h, service, name) })
 	}
 	f.t.Cleanup(w.stop)
 	return w
 }
 
-func (f *fleet) fileRecords(ctx context.Context, r *recorder, h *host, service, name string) {
+// insertRecords inserts records with unique ids until ctx ends, without retries, and reconnects
+// when the connection is closed. A request in progress is not cancelled.
+func (f *fleet) insertRecords(ctx context.Context, r *recorder, h *host, service, name string) {
 	var conn *pgx.Conn
 	for i := 0; ctx.Err() == nil; i++ {
 		if conn == nil || conn.IsClosed() {
--- a/test/integration/schedule_test.go
+++ b/test/integration/schedule_test.go
@@ -11,7 +11,7 @@
 	"time"
 )
 
-// fault names a fault of the random schedules.
+// fault is the kind of a fault in a random schedule.
 type fault string
 
 const (
@@ -20,8 +20,8 @@
 	faultKillEndpoint   fault = "kill_endpoint"
 	faultStallPrimary   fault = "stall_primary"
 	faultDropAnswers    fault = "drop_answers"
-	faultLateAnswers    fault = "late_answers"
-	faultLag            fault = "lag"
+	faultDelayAnswers   fault = "late_answers"
+	faultReplayLag      fault = "lag"
 	faultIsolateControl fault = "isolate_control"
 	faultIsolateEntry   fault = "isolate_entry"
 	faultKillHost       fault = "kill_host"
@@ -29,25 +29,26 @@
 	faultRotateKey      fault = "rotate_key"
 )
 
-var faults = []fault{
+var allFaults = []fault{
 	faultIsolatePrimary, faultIsolateReplica, faultKillEndpoint, faultStallPrimary, faultDropAnswers,
-	faultLateAnswers, faultLag, faultIsolateControl, faultIsolateEntry, faultKillHost, faultDomainOut, faultRotateKey,
+	faultDelayAnswers, faultReplayLag, faultIsolateControl, faultIsolateEntry, faultKillHost, faultDomainOut, faultRotateKey,
 }
 
-// step is one fault of a schedule with its time and length. Pick chooses the
-// target among those that the fault may have.
-type step struct {
+// faultStep is one fault of a schedule, injected at the time At from the start of the run and
+// removed after Length. Pick selects the target among the possible targets of the fault, modulo
+// their number.
+type faultStep struct {
 	At     time.Duration
 	Length time.Duration
 	Fault  fault
 	Pick   int
 }
 
-func (s step) String() string {
+func (s faultStep) String() string {
 	return fmt.Sprintf("%s +%s %s/%d", s.At, s.Length, s.Fault, s.Pick)
 }
 
-func describe(steps []step) string {
+func describe(steps []faultStep) string {
 	lines := make([]string, len(steps))
 	for i, s := range steps {
 		lines[i] = "  " + s.String()
@@ -56,39 +57,42 @@
 }
 
 const (
-	minFault = 2 * time.Second
-	maxFault = 12 * time.Second
-	maxPause = 4 * time.Second
-	// lanes is the number of faults at once.
-	lanes = 2
+	minFaultLength = 2 * time.Second
+	maxFaultLength = 12 * time.Second
+	maxFaultGap    = 4 * time.Second
+	// concurrentFaults is the highest number of faults at the same time.
+	concurrentFaults = 2
 )
 
-// drawSchedule draws faults up to the end of a run, two at once.
-func drawSchedule(seed uint64, length time.Duration) []step {
+// drawSchedule draws faults that end within a run of the length, with at most concurrentFaults at
+// the same time. The seed and the length determine the schedule.
+func drawSchedule(seed uint64, length time.Duration) []faultStep {
 	rng := rand.New(rand.NewPCG(seed, 0))
-	var steps []step
-	for range lanes {
-		for at := drawDuration(rng, 0, maxPause); ; {
-			s := step{At: at, Length: drawDuration(rng, minFault, maxFault), Fault: faults[rng.IntN(len(faults))], Pick: rng.IntN(1000)}
+	var steps []faultStep
+	for range concurrentFaults {
+		for at := drawDuration(rng, 0, maxFaultGap); ; {
+			s := faultStep{At: at, Length: drawDuration(rng, minFaultLength, maxFaultLength), Fault: allFaults[rng.IntN(len(allFaults))], Pick: rng.IntN(1000)}
 			if s.At+s.Length > length {
 				break
 			}
 			steps = append(steps, s)
-			at = s.At + s.Length + drawDuration(rng, 0, maxPause)
+			at = s.At + s.Length + drawDuration(rng, 0, maxFaultGap)
 		}
 	}
 	return steps
 }
 
+// drawDuration draws a duration from low to high in steps of 100 ms.
 func drawDuration(rng *rand.Rand, low, high time.Duration) time.Duration {
 	return (low + time.Duration(rng.Int64N(int64(high-low)))).Round(100 * time.Millisecond)
 }
 
-// shrink removes steps as long as the rest still fails.
-func shrink(steps []step, fails func([]step) bool) []step {
+// shrink removes steps from a failing schedule while the remaining steps still fail. It tries ever
+// shorter runs of adjacent steps, down to single ones.
+func shrink(steps []faultStep, fails func([]faultStep) bool) []faultStep {
 	for size := (len(steps) + 1) / 2; size > 0; size /= 2 {
 		for i := 0; i+size <= len(steps) && len(steps) > size; {
-			rest := append(append([]step(nil), steps[:i]...), steps[i+size:]...)
+			rest := append(append([]faultStep(nil), steps[:i]...), steps[i+size:]...)
 			if fails(rest) {
 				steps = rest
 				continue
@@ -99,7 +103,8 @@
 	return steps
 }
 
-func TestScheduleDependsOnSeedAlone(t *testing.T) {
+// A schedule that depended on anything but its seed could not be repeated after a failure.
+func TestScheduleSameSeedGivesSameSteps(t *testing.T) {
 	a, b := drawSchedule(7, time.Minute), drawSchedule(7, time.Minute)
 	if len(a) == 0 || !reflect.DeepEqual(a, b) {
 		t.Errorf("seed 7 gives %v and %v", a, b)
@@ -109,10 +114,11 @@
 	}
 }
 
-func TestShrinkKeepsWhatFails(t *testing.T) {
+// Two steps that fail only together must both remain, and nothing else.
+func TestShrinkKeepsFailingSteps(t *testing.T) {
 	steps := drawSchedule(3, 2*time.Minute)
 	first, second := steps[1], steps[len(steps)-2]
-	got := shrink(steps, func(rest []step) bool {
+	got := shrink(steps, func(rest []faultStep) bool {
 		found := 0
 		for _, s := range rest {
 			if s == first || s == second {
@@ -121,7 +127,7 @@
 		}
 		return found == 2
 	})
-	if !reflect.DeepEqual(got, []step{first, second}) {
+	if !reflect.DeepEqual(got, []faultStep{first, second}) {
 		t.Errorf("shrunk to\n%s", describe(got))
 	}
 }
--- a/test/integration/soak_test.go
+++ b/test/integration/soak_test.go
@@ -18,8 +18,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// TestSoak runs random faults, two at once, under traffic. When a promise is
-// broken it looks for the shortest schedule that still breaks one.
+// TestSoak injects random faults under load and checks the recorded history against the guarantees.
+// When one is violated, it searches for a shorter schedule that still violates one.
 func TestSoak(t *testing.T) {
 	if *soak == 0 {
 		t.Skip("runs with -soak DURATION; see make soak")
@@ -30,24 +30,24 @@
 		return
 	}
 	runs := 0
-	shortest := shrink(steps, func(rest []step) bool {
+	shortest := shrink(steps, func(rest []faultStep) bool {
 		runs++
 		return !runSchedule(t, fmt.Sprintf("shrink-%d", runs), rest)
 	})
-	t.Errorf("a promise is broken; shortest schedule found:\n%s\nrepeat: make soak SEED=%d DURATION=%s",
+	t.Errorf("a guarantee is violated; shortest failing schedule found:\n%s\nrepeat: make soak SEED=%d DURATION=%s",
 		describe(shortest), *seed, *soak)
 }
 
-// runSchedule runs a fleet under the schedule and reports whether all promises
-// held.
-func runSchedule(t *testing.T, name string, steps []step) bool {
+// runSchedule runs a fleet under load and the schedule, waits for its recovery and reports whether
+// all guarantees held.
+func runSchedule(t *testing.T, name string, steps []faultStep) bool {
 	return t.Run(name, func(t *testing.T) {
 		f := startFleet(t, fleetOptions{})
 		s := &soakRun{fleet: f, recorder: newRecorder()}
 		s.createTables()
 		load := s.startLoad()
-		s.perform(steps)
-		s.recover()
+		s.runSteps(steps)
+		s.awaitRecovery()
 		awaitAcks(t, s.recorder, 50)
 		load.stop()
 		s.check()
@@ -58,12 +58,13 @@
 type soakRun struct {
 	*fleet
 	recorder *recorder
-	// notes serializes the notes of faults, procs the ends and starts of
-	// processes.
+	// notes serializes the notes that faults apply, and the creation of their keys.
 	notes sync.Mutex
+	// procs serializes stopping and starting processes.
 	procs sync.Mutex
 }
 
+// createTables creates the tables of both services, and the record that all callers share.
 func (s *soakRun) createTables() {
 	for _, service := range services {
 		conn := s.connect(s.Hosts[0], crew, service)
@@ -78,30 +79,34 @@
 	}
 }
 
+// startLoad starts for each host a writer of records, a client of the shared record and a sender of
+// corrections.
 func (s *soakRun) startLoad() *writers {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &writers{cancel: cancel}
 	for i, h := range s.Hosts {
 		service := services[i%len(services)]
-		w.wg.Go(func() { s.fileRecords(ctx, s.recorder, h, service, fmt.Sprintf("soak-%d", i)) })
-		w.wg.Go(func() { s.useShared(ctx, i, service) })
-		w.wg.Go(func() { s.fileCorrections(ctx, i, service) })
+		w.wg.Go(func() { s.insertRecords(ctx, s.recorder, h, service, fmt.Sprintf("soak-%d", i)) })
+		w.wg.Go(func() { s.accessSharedRecord(ctx, i, service) })
+		w.wg.Go(func() { s.insertCorrections(ctx, i, service) })
 	}
 	s.t.Cleanup(w.stop)
 	return w
 }
 
-// useShared writes and reads the record that all callers share, and roams.
-func (s *soakRun) useShared(ctx context.Context, client int, service string) {
+// accessSharedRecord writes and reads the record that all callers share, each time through a random
+// host.
+func (s *soakRun) accessSharedRecord(ctx context.Context, client int, service string) {
 	rng := rand.New(rand.NewPCG(*seed, uint64(client)))
 	for i := 0; ctx.Err() == nil; i++ {
 		h := s.Hosts[rng.IntN(len(s.Hosts))]
-		s.onShared(rng, h, client, service, i)
+		s.accessSharedOnce(rng, h, client, service, i)
 		sleepContext(ctx, 50*time.Millisecond)
 	}
 }
 
-func (s *soakRun) onShared(rng *rand.Rand, h *host, client int, service string, i int) {
+// accessSharedOnce runs and records one random kind of operation on the shared record.
+func (s *soakRun) accessSharedOnce(rng *rand.Rand, h *host, client int, service string, i int) {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	conn, err := pgx.Connect(ctx, s.URL(h, editors, service))
@@ -123,13 +128,14 @@
 	s.recorder.op(op, invoke, err)
 }
 
-// fileCorrections sends corrections under request ids, each until it is done.
-func (s *soakRun) fileCorrections(ctx context.Context, client int, service string) {
+// insertCorrections sends corrections with request ids and retries each through the other hosts
+// until it has run.
+func (s *soakRun) insertCorrections(ctx context.Context, client int, service string) {
 	for i := 0; ctx.Err() == nil; i++ {
 		id := fmt.Sprintf("correction-%d-%d", client, i)
 		done := false
 		for attempt := 0; !done && ctx.Err() == nil; attempt++ {
-			err := s.correctWithin(s.Hosts[(client+attempt)%len(s.Hosts)], service, id)
+			err := s.tryCorrection(s.Hosts[(client+attempt)%len(s.Hosts)], service, id)
 			done = err == nil || codeOf(err) == result.RequestAlreadyDone
 			sleepContext(ctx, 50*time.Millisecond)
 		}
@@ -141,7 +147,8 @@
 	}
 }
 
-func (s *soakRun) correctWithin(h *host, service, id string) error {
+// tryCorrection sends a correction once, with the timeout requestTimeout.
+func (s *soakRun) tryCorrection(h *host, service, id string) error {
 	ctx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 	defer cancel()
 	conn, err := pgx.Connect(ctx, s.URL(h, editors, service))
@@ -156,14 +163,15 @@
 	return err
 }
 
-// perform causes the faults at their times and undoes each after its length.
-func (s *soakRun) perform(steps []step) {
+// runSteps injects the faults at their times and removes each after its length. It returns when all
+// are removed.
+func (s *soakRun) runSteps(steps []faultStep) {
 	start := time.Now()
 	var wg sync.WaitGroup
 	for _, st := range steps {
 		wg.Go(func() {
 			time.Sleep(time.Until(start.Add(st.At)))
-			undo := s.cause(st)
+			undo := s.injectFault(st)
 			time.Sleep(time.Until(start.Add(st.At + st.Length)))
 			undo()
 		})
@@ -171,12 +179,12 @@
 	wg.Wait()
 }
 
-// cause starts a fault and returns how to undo it.
-func (s *soakRun) cause(st step) func() {
+// injectFault injects a fault and returns the function that removes it.
+func (s *soakRun) injectFault(st faultStep) func() {
 	service := services[st.Pick%len(services)]
 	switch st.Fault {
 	case faultIsolatePrimary:
-		return s.isolateNode(s.primaryOr(service, st.Pick).ID)
+		return s.isolateNode(s.primaryOrAny(service, st.Pick).ID)
 	case faultIsolateReplica:
 		return s.isolateNode(s.Endpoints[st.Pick%len(s.Endpoints)].ID)
 	case faultIsolateControl:
@@ -188,42 +196,42 @@
 	case faultKillHost:
 		return s.killHost(s.Hosts[st.Pick%len(s.Hosts)])
 	case faultDomainOut:
-		return s.domainOut(domains[st.Pick%len(domains)])
+		return s.takeDomainOut(domains[st.Pick%len(domains)])
 	case faultRotateKey:
 		return s.rotateKey(fmt.Sprintf("rotated-%d-%d", st.At, st.Pick))
 	}
-	return s.switchFault(st, s.primaryOr(service, st.Pick))
+	return s.setEndpointFault(st, s.primaryOrAny(service, st.Pick))
 }
 
-// switchFault uses the fault switches of an endpoint.
-func (s *soakRun) switchFault(st step, e *endpoint) func() {
-	on, drops, late, lag := true, 1000, 300, 3000
+// setEndpointFault injects a fault with the fault settings of a stand-in endpoint.
+func (s *soakRun) setEndpointFault(st faultStep, e *endpoint) func() {
+	on, drops, delayMS, lagMS := true, 1000, 300, 3000
 	request := standin.FaultRequest{}
 	switch st.Fault {
 	case faultStallPrimary:
 		request.Stall = &on
 	case faultDropAnswers:
 		request.DropAfterCommit = &drops
-	case faultLateAnswers:
-		request.ResponseDelayMS = &late
-	case faultLag:
-		request.ReplayLagMS = &lag
+	case faultDelayAnswers:
+		request.ResponseDelayMS = &delayMS
+	case faultReplayLag:
+		request.ReplayLagMS = &lagMS
 	}
-	s.tryFaults(e, request)
-	none := 0
-	return func() { s.tryFaults(e, standin.FaultRequest{Clear: true, ReplayLagMS: &none}) }
+	s.setFaultsIfAlive(e, request)
+	noLag := 0
+	return func() { s.setFaultsIfAlive(e, standin.FaultRequest{Clear: true, ReplayLagMS: &noLag}) }
 }
 
-// tryFaults sets switches of an endpoint that may be dead.
-func (s *soakRun) tryFaults(e *endpoint, r standin.FaultRequest) {
+// setFaultsIfAlive sets injected faults of an endpoint that may be down because of another fault.
+func (s *soakRun) setFaultsIfAlive(e *endpoint, r standin.FaultRequest) {
 	if _, err := e.Status(s.context()); err == nil {
-		s.faults(e, r)
+		s.setFaults(e, r)
 	}
 }
 
-// primaryOr returns the primary, or an endpoint of the service when there is
-// none.
-func (s *soakRun) primaryOr(service string, pick int) *endpoint {
+// primaryOrAny returns the first endpoint of the service that reports that it is the primary, or
+// another endpoint of the service when there is none.
+func (s *soakRun) primaryOrAny(service string, pick int) *endpoint {
 	var members []*endpoint
 	for _, e := range s.Endpoints {
 		if e.Service != service {
@@ -237,11 +245,13 @@
 	return members[pick%len(members)]
 }
 
+// isolateNode partitions a node from all others and returns the function that heals it.
 func (s *soakRun) isolateNode(name string) func() {
 	s.net.isolate(name, true)
 	return func() { s.net.isolate(name, false) }
 }
 
+// killHost kills a host and returns the function that starts it again unless it runs already.
 func (s *soakRun) killHost(h *host) func() {
 	s.procs.Lock()
 	defer s.procs.Unlock()
@@ -250,11 +260,13 @@
 		s.procs.Lock()
 		defer s.procs.Unlock()
 		if !h.Proc.Alive() {
-			s.mustStart(h)
+			s.restartHost(h)
 		}
 	}
 }
 
+// killEndpoint kills an endpoint and returns the function that starts it again unless it runs
+// already.
 func (s *soakRun) killEndpoint(e *endpoint) func() {
 	s.procs.Lock()
 	defer s.procs.Unlock()
@@ -268,12 +280,12 @@
 	}
 }
 
-// tryNote applies a note through any host; a note may fail while control is cut
-// off.
-func (s *soakRun) tryNote(change func(*note.Note)) {
+// applyNote applies a note through the control hosts in turn and retries until one accepts it,
+// since notes are refused while there is no quorum.
+func (s *soakRun) applyNote(change func(*note.Note)) {
 	s.notes.Lock()
 	defer s.notes.Unlock()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for i := 0; time.Now().Before(deadline); i++ {
 		h := s.Hosts[i%controlCount]
 		c, err := s.Catalog(s.context(), h)
@@ -287,12 +299,13 @@
 			return
 		}
 	}
-	s.t.Errorf("a note was not accepted within %s", patience)
+	s.t.Errorf("a note was not accepted within %s", waitTimeout)
 }
 
-func (s *soakRun) domainOut(domain string) func() {
+// takeDomainOut takes a failure domain out of use and returns the function that takes it back.
+func (s *soakRun) takeDomainOut(domain string) func() {
 	set := func(out bool) {
-		s.tryNote(func(n *note.Note) {
+		s.applyNote(func(n *note.Note) {
 			n.Changed.Domains = []note.Domain{{Name: domain, Region: "kr-central", Out: out}}
 		})
 	}
@@ -300,22 +313,24 @@
 	return func() { set(false) }
 }
 
+// rotateKey adds a key and returns the function that withdraws it.
 func (s *soakRun) rotateKey(id string) func() {
 	s.notes.Lock()
 	key := s.NewKey(id, auditors)
 	s.notes.Unlock()
-	s.tryNote(func(n *note.Note) { n.Added.Keys = []note.Key{key} })
+	s.applyNote(func(n *note.Note) { n.Added.Keys = []note.Key{key} })
 	return func() {
-		s.tryNote(func(n *note.Note) { n.Withdrawn.Keys = []string{id} })
+		s.applyNote(func(n *note.Note) { n.Withdrawn.Keys = []string{id} })
 	}
 }
 
-// recover undoes what is left and waits until everything serves again.
-func (s *soakRun) recover() {
+// awaitRecovery heals all partitions and waits until every host serves every service.
+func (s *soakRun) awaitRecovery() {
 	s.net.heal()
 	s.awaitServing()
 }
 
+// check checks the history against the records stored at the primaries of all services.
 func (s *soakRun) check() {
 	stored := make(map[string]int)
 	for _, service := range services {
--- a/test/integration/owner_test.go
+++ b/test/integration/socket_owner_test.go
@@ -11,8 +11,8 @@
 	"strings"
 )
 
-// owner returns the node whose process dialed the connection.
-func (n *network) owner(conn net.Conn) string {
+// dialer returns the node whose process dialed the connection, or "unknown".
+func (n *network) dialer(conn net.Conn) string {
 	remote, ok := conn.RemoteAddr().(*net.TCPAddr)
 	if !ok {
 		return "unknown"
@@ -26,7 +26,7 @@
 	}
 	n.mu.Unlock()
 	for pid, node := range pids {
-		if inode != "" && holdsSocket(pid, inode) {
+		if inode != "" && hasSocket(pid, inode) {
 			return node
 		}
 	}
@@ -40,8 +40,8 @@
 	columnInode  = 9
 )
 
-// socketInode finds the inode of the socket that dialed from one port to
-// another on loopback.
+// socketInode returns the inode of the IPv4 socket with the local port from that is connected to
+// the port to, or an empty string.
 func socketInode(from, to int) string {
 	data, err := os.ReadFile("/proc/net/tcp")
 	if err != nil {
@@ -60,7 +60,8 @@
 	return ""
 }
 
-func holdsSocket(pid int, inode string) bool {
+// hasSocket reports whether the process has a file descriptor of the socket.
+func hasSocket(pid int, inode string) bool {
 	dir := filepath.Join("/proc", strconv.Itoa(pid), "fd")
 	entries, err := os.ReadDir(dir)
 	if err != nil {
