--- a/Makefile
+++ b/Makefile
@@ -1,4 +1,4 @@
-# Targets for users and CI. Run "make help" for a list.
+# Targets for developers and CI. Run "make help" for a list.
 .PHONY: help build run test integration lint fmt check bench soak slopes capacity
 
 BIN := bin
@@ -11,13 +11,13 @@
 build:     ## build the programs into bin/
 	go build -o $(BIN)/ ./cmd/...
 
-run: build ## start a whole system on loopback
+run: build ## start a development fleet on loopback
 	$(BIN)/galenabridge dev
 
 test:      ## run all tests with the race detector
 	scripts/test.sh
 
-fmt:       ## list files that gofmt would change
+fmt:       ## list the files that gofmt would change and fail if there are any
 	@test -z "$$(gofmt -l .)" || { gofmt -l .; exit 1; }
 
 lint:      ## run go vet and staticcheck
@@ -26,16 +26,16 @@
 	cd tools && go build -o ../$(BIN)/tools/ honnef.co/go/tools/cmd/staticcheck
 	$(BIN)/tools/staticcheck ./...
 
-check: fmt lint build test ## all that CI runs
+check: fmt lint build test ## run all checks of CI
 
-slopes: build ## measure the slopes of the capacity page (some minutes)
+slopes: build ## measure the cost slopes for docs/CAPACITY.md (takes some minutes)
 	scripts/slopes.sh docs/capacity/slopes.json
 
-capacity: build ## work out docs/CAPACITY.md from the slopes
+capacity: build ## generate docs/CAPACITY.md from the slopes and the target
 	$(BIN)/bridgecap render --target docs/capacity/target.json --slopes docs/capacity/slopes.json --out docs/CAPACITY.md --plots docs/capacity
 
-integration: ## run the tests with real processes
+integration: ## run the integration tests with real processes
 	go test -tags fleet -count=1 -timeout 30m ./test/integration
 
-soak:      ## run random faults: make soak SEED=1 DURATION=5m
+soak:      ## run the soak test with random faults: make soak SEED=1 DURATION=5m
 	go test -tags fleet -count=1 -timeout 0 -run TestSoak -v ./test/integration -soak $(DURATION) -seed $(SEED)
--- a/scripts/slopes.sh
+++ b/scripts/slopes.sh
@@ -1,7 +1,9 @@
 #!/usr/bin/env bash
-# Starts a small fleet on loopback (one voter, one relay, one entry host, three
-# stand-in endpoints), measures the slopes of the capacity page on it and stops
-# it. Usage: scripts/slopes.sh OUT [WINDOW]
+# Usage: scripts/slopes.sh OUT [WINDOW]
+# Measures the cost slopes of docs/CAPACITY.md and writes them to the JSON file OUT; WINDOW is the
+# length of one measurement. It starts a small fleet on loopback (one voter, one relay, one entry
+# host, three stand-in endpoints) on ports from BASE_PORT (default 21000) on and stops it at the
+# end. Needs the programs of "make build" in bin/.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 out=$1
@@ -22,7 +24,8 @@
 relay_peer=127.0.0.1:$((port + 2)); relay_admin=127.0.0.1:$((port + 3))
 entry_peer=127.0.0.1:$((port + 4)); entry_admin=127.0.0.1:$((port + 5)); entry_callers=127.0.0.1:$((port + 6))
 
-settings() { # host domain peer admin role-json
+# Writes the settings file of a host; ROLE-JSON holds the settings of its role.
+settings() { # HOST DOMAIN PEER-ADDR ADMIN-ADDR ROLE-JSON
   cat > "$work/$1.json" <<JSON
 {"host":"$1","fleet":"measure","domain":"$2","fleet_secret":"$secret",
  "peer":{"listen":"$3"},"admin":{"listen":"$4"},$5,
--- a/scripts/test.sh
+++ b/scripts/test.sh
@@ -1,7 +1,7 @@
 #!/usr/bin/env bash
-# Runs all tests with the race detector. Tests listed in KNOWN-RED.txt (first
-# column) are known to fail for a fault that is still open: they are left out
-# and printed, so that the verdict covers all others.
+# Runs all tests with the race detector. Tests listed in KNOWN-RED.txt (first column) fail for a
+# known fault that is still open. They are printed and skipped, so that the exit status covers all
+# others. Arguments are passed on to go test.
 set -euo pipefail
 cd "$(dirname "$0")/.."
 
