--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -29,7 +29,7 @@
 	return out
 }
 
-func TestProfilesLoadAndBadOnesAreRefused(t *testing.T) {
+func TestParseProfileAcceptsShippedRejectsInvalid(t *testing.T) {
 	loadProfiles(t)
 	for _, bad := range []string{
 		`{}`, `{"name":"x","unknown":1}`,
@@ -43,7 +43,7 @@
 	}
 }
 
-func TestDirectRunServesAndChecks(t *testing.T) {
+func TestRunDirectHasNoViolations(t *testing.T) {
 	p := loadProfiles(t)[0]
 	p.Faults = nil
 	direct, err := NewDirect(p, 0)
@@ -78,10 +78,10 @@
 	}
 }
 
-// TestStoredCheckFindsPlantedFaults shows that the check fails on each kind of
+// TestCheckStoredCountsEachKindOfViolation shows that the check fails on each kind of
 // broken promise.
-func TestStoredCheckFindsPlantedFaults(t *testing.T) {
-	sent := []*entry{
+func TestCheckStoredCountsEachKindOfViolation(t *testing.T) {
+	sent := []*sentWrite{
 		{id: "kept", outcome: history.Acked}, {id: "lost", outcome: history.Acked}, {id: "twice", outcome: history.Acked},
 		{id: "refused", outcome: history.NotRun}, {id: "ran", outcome: history.NotRun},
 		{id: "open", outcome: history.Unknown}, {id: "open twice", outcome: history.Unknown},
@@ -94,7 +94,7 @@
 	}
 }
 
-func TestCompareBreaksOnWorseResults(t *testing.T) {
+func TestCompareCountsExceededBounds(t *testing.T) {
 	base := func() *Result {
 		return &Result{
 			Classes:      map[note.Class]Stats{note.ClassInteractive: {P50: 1, P99: 10}},
--- a/internal/bench/caller.go
+++ b/internal/bench/caller.go
@@ -13,36 +13,36 @@
 // caller runs the requests of one workspace one after another, each service
 // over its own connection, and roams between entry hosts.
 type caller struct {
-	r         *runner
-	workspace Workspace
-	ledger    *ledger
-	queue     chan request
-	rng       *rand.Rand
-	name      string
-	sent      int
-	conns     map[string]*pgx.Conn
+	runner     *runner
+	workspace  Workspace
+	writes     *writeLog
+	queue      chan request
+	rng        *rand.Rand
+	name       string
+	writeCount int
+	conns      map[string]*pgx.Conn
 }
 
 // requestTimeout bounds one request including its connection.
 const requestTimeout = 30 * time.Second
 
 func (c *caller) run(ctx context.Context) {
-	defer c.leave()
+	defer c.closeAll()
 	for {
 		select {
 		case req := <-c.queue:
-			c.serve(ctx, req)
-			c.r.pending.Done()
+			c.handle(ctx, req)
+			c.runner.pending.Done()
 		case <-ctx.Done():
 			return
 		}
 		if c.rng.Float64() < c.workspace.Roam {
-			c.leave()
+			c.closeAll()
 		}
 	}
 }
 
-func (c *caller) leave() {
+func (c *caller) closeAll() {
 	for service, conn := range c.conns {
 		closeConn(conn)
 		delete(c.conns, service)
@@ -55,25 +55,25 @@
 	_ = conn.Close(ctx) // the connection is of no further use
 }
 
-func (c *caller) serve(ctx context.Context, req request) {
+func (c *caller) handle(ctx context.Context, req request) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
-	replica, err := c.do(ctx, &req)
+	replica, err := c.execute(ctx, &req)
 	if err != nil {
-		c.drop(req.service)
+		c.removeClosed(req.service)
 	}
 	outcome, cause := classify(err)
-	c.r.recorder.done(sample{
+	c.runner.recorder.recordRequest(sample{
 		workspace: c.workspace.Name, class: c.workspace.Class, op: req.op, service: req.service,
 		intended: req.intended, finished: time.Now(), outcome: outcome, cause: cause, replica: replica,
 	})
 }
 
 // do performs a request. It reports whether a replica answered.
-func (c *caller) do(ctx context.Context, req *request) (bool, error) {
+func (c *caller) execute(ctx context.Context, req *request) (bool, error) {
 	conn, err := c.connection(ctx, req.service)
 	if err != nil {
-		c.note(req, connectError{err})
+		c.recordUnsent(req, connectError{err})
 		return false, connectError{err}
 	}
 	switch req.op {
@@ -82,18 +82,18 @@
 	case OpHistory:
 		return c.history(ctx, conn)
 	}
-	if req.entry == nil {
-		req.entry = c.ledger.pick(req.service, c.rng)
+	if req.written == nil {
+		req.written = c.writes.randomAcked(req.service, c.rng)
 	}
-	return c.check(ctx, conn, req.entry)
+	return c.readBack(ctx, conn, req.written)
 }
 
 func (c *caller) connection(ctx context.Context, service string) (*pgx.Conn, error) {
 	if conn := c.conns[service]; conn != nil && !conn.IsClosed() {
 		return conn, nil
 	}
-	addr := c.r.target.Addrs[c.rng.IntN(len(c.r.target.Addrs))]
-	config, err := pgx.ParseConfig(c.r.target.URL(addr, c.workspace.Name, service))
+	addr := c.runner.target.Addrs[c.rng.IntN(len(c.runner.target.Addrs))]
+	config, err := pgx.ParseConfig(c.runner.target.URL(addr, c.workspace.Name, service))
 	if err != nil {
 		return nil, err
 	}
@@ -105,55 +105,55 @@
 	return conn, nil
 }
 
-func (c *caller) drop(service string) {
+func (c *caller) removeClosed(service string) {
 	if conn := c.conns[service]; conn != nil && conn.IsClosed() {
 		delete(c.conns, service)
 	}
 }
 
 // newEntry names a record that no other caller writes.
-func (c *caller) newEntry(service string) *entry {
-	c.sent++
-	id := c.name + "-" + strconv.Itoa(c.sent)
-	return &entry{id: id, body: "body of " + id, service: service, workspace: c.workspace.Name}
+func (c *caller) newWrite(service string) *sentWrite {
+	c.writeCount++
+	id := c.name + "-" + strconv.Itoa(c.writeCount)
+	return &sentWrite{id: id, body: "body of " + id, service: service, workspace: c.workspace.Name}
 }
 
 // note records a write that failed before it was sent.
-func (c *caller) note(req *request, err error) {
+func (c *caller) recordUnsent(req *request, err error) {
 	if req.op != OpFile && req.op != OpCorrect {
 		return
 	}
-	e := c.newEntry(req.service)
-	e.outcome, _ = classify(err)
-	c.ledger.record(req.op, e)
+	w := c.newWrite(req.service)
+	w.outcome, _ = classify(err)
+	c.writes.add(req.op, w)
 }
 
 func (c *caller) write(ctx context.Context, conn *pgx.Conn, req *request) error {
-	e := c.newEntry(req.service)
+	w := c.newWrite(req.service)
 	text := "insert into records (id, workspace, body) values ($1, $2, $3)"
 	if req.op == OpCorrect {
 		text = "insert into corrections (id, workspace, body) values ($1, $2, $3)"
 	}
-	_, err := conn.Exec(ctx, text, e.id, e.workspace, e.body)
-	e.outcome, _ = classify(err)
-	c.ledger.record(req.op, e)
+	_, err := conn.Exec(ctx, text, w.id, w.workspace, w.body)
+	w.outcome, _ = classify(err)
+	c.writes.add(req.op, w)
 	if err == nil && req.op == OpFile {
-		c.followUp(e)
+		c.scheduleReadBack(w)
 	}
 	return err
 }
 
 // followUp reads the entry back after the think time, through any caller.
-func (c *caller) followUp(e *entry) {
+func (c *caller) scheduleReadBack(w *sentWrite) {
 	at := time.Now().Add(time.Duration(c.workspace.Think))
-	c.r.later(at, c.queue, request{op: OpCheck, service: e.service, intended: at, entry: e})
+	c.runner.enqueueAt(at, c.queue, request{op: OpCheck, service: w.service, intended: at, written: w})
 }
 
 // check reads an entry that must be there; without one it reads nothing.
-func (c *caller) check(ctx context.Context, conn *pgx.Conn, e *entry) (bool, error) {
+func (c *caller) readBack(ctx context.Context, conn *pgx.Conn, w *sentWrite) (bool, error) {
 	id, want := "none", ""
-	if e != nil {
-		id, want = e.id, e.body
+	if w != nil {
+		id, want = w.id, w.body
 	}
 	nonce := c.name + "/" + strconv.FormatUint(c.rng.Uint64(), 36)
 	rows, err := conn.Query(ctx,
@@ -169,9 +169,9 @@
 			return false, err
 		}
 		if got != nonce {
-			c.r.recorder.violation(func(v *Violations) {
+			c.runner.recorder.recordViolation(func(v *Violations) {
 				v.Foreign++
-				v.note("request %s was answered with %s", nonce, got)
+				v.addExample("request %s was answered with %s", nonce, got)
 			})
 		}
 	}
@@ -179,9 +179,9 @@
 		return false, err
 	}
 	if found != want {
-		c.r.recorder.violation(func(v *Violations) {
+		c.runner.recorder.recordViolation(func(v *Violations) {
 			v.Stale++
-			v.note("entry %s of %s reads %q", id, c.workspace.Name, found)
+			v.addExample("entry %s of %s reads %q", id, c.workspace.Name, found)
 		})
 	}
 	return replica, nil
@@ -205,9 +205,9 @@
 			return false, err
 		}
 		if workspace != c.workspace.Name {
-			c.r.recorder.violation(func(v *Violations) {
+			c.runner.recorder.recordViolation(func(v *Violations) {
 				v.Foreign++
-				v.note("history of %s holds an entry of %s", c.workspace.Name, workspace)
+				v.addExample("history of %s holds an entry of %s", c.workspace.Name, workspace)
 			})
 		}
 	}
--- a/internal/bench/check.go
+++ b/internal/bench/check.go
@@ -39,31 +39,31 @@
 		return err
 	}
 	defer closeConn(conn)
-	l := r.ledgers[workspace]
+	writes := r.writeLogs[workspace]
 	for _, kind := range []struct {
 		table string
-		sent  []*entry
-	}{{"records", l.entries}, {"corrections", l.corrections}} {
-		stored, err := storedIDs(ctx, conn, kind.table, workspace)
+		sent  []*sentWrite
+	}{{"records", writes.records}, {"corrections", writes.corrections}} {
+		stored, err := countStoredIDs(ctx, conn, kind.table, workspace)
 		if err != nil {
 			return err
 		}
-		res.Violations.checkStored(kind.table, ofService(kind.sent, service), stored)
+		res.Violations.checkStored(kind.table, filterByService(kind.sent, service), stored)
 	}
 	return nil
 }
 
-func ofService(entries []*entry, service string) []*entry {
-	var out []*entry
-	for _, e := range entries {
-		if e.service == service {
-			out = append(out, e)
+func filterByService(writes []*sentWrite, service string) []*sentWrite {
+	var out []*sentWrite
+	for _, w := range writes {
+		if w.service == service {
+			out = append(out, w)
 		}
 	}
 	return out
 }
 
-func storedIDs(ctx context.Context, conn *pgx.Conn, table, workspace string) (map[string]int, error) {
+func countStoredIDs(ctx context.Context, conn *pgx.Conn, table, workspace string) (map[string]int, error) {
 	rows, err := conn.Query(ctx, "select id from "+table+" where workspace = $1", workspace)
 	if err != nil {
 		return nil, err
--- a/internal/bench/classify.go
+++ b/internal/bench/classify.go
@@ -27,8 +27,8 @@
 	if err == nil {
 		return history.Acked, ""
 	}
-	var refused connectError
-	if errors.As(err, &refused) {
+	var connectErr connectError
+	if errors.As(err, &connectErr) {
 		return history.NotRun, causeConnect
 	}
 	var pg *pgconn.PgError
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -40,8 +40,8 @@
 
 // comparison collects the lines of a comparison.
 type comparison struct {
-	w      io.Writer
-	broken int
+	w        io.Writer
+	exceeded int
 }
 
 // Compare writes the differences between two results and returns the number of
@@ -49,41 +49,41 @@
 func Compare(w io.Writer, older, newer *Result, b Bounds) int {
 	c := &comparison{w: w}
 	for _, class := range []string{"interactive", "correction", "bulk"} {
-		for key, a := range older.Classes {
+		for key, old := range older.Classes {
 			if string(key) != class {
 				continue
 			}
-			f, ok := newer.Classes[key]
+			current, ok := newer.Classes[key]
 			if !ok {
 				continue
 			}
-			c.ratio(class+" p50 (ms)", a.P50, f.P50, b.P50Ratio)
-			c.ratio(class+" p99 (ms)", a.P99, f.P99, b.P99Ratio)
+			c.checkRatio(class+" p50 (ms)", old.P50, current.P50, b.P50Ratio)
+			c.checkRatio(class+" p99 (ms)", old.P99, current.P99, b.P99Ratio)
 		}
 	}
-	c.drop("replica share", older.ReplicaShare, newer.ReplicaShare, b.ReplicaShareDrop)
-	c.drop("worst share", older.WorstShare, newer.WorstShare, b.WorstShareDrop)
+	c.checkDrop("replica share", older.ReplicaShare, newer.ReplicaShare, b.ReplicaShareDrop)
+	c.checkDrop("worst share", older.WorstShare, newer.WorstShare, b.WorstShareDrop)
 	for _, service := range sortedKeys(older.LongestWriteGaps) {
-		c.ratio("write gap of "+service+" (s)", older.LongestWriteGaps[service], newer.LongestWriteGaps[service], b.GapRatio)
+		c.checkRatio("write gap of "+service+" (s)", older.LongestWriteGaps[service], newer.LongestWriteGaps[service], b.GapRatio)
 	}
-	c.line("violations", float64(older.Violations.Total()), float64(newer.Violations.Total()),
+	c.writeLine("violations", float64(older.Violations.Total()), float64(newer.Violations.Total()),
 		newer.Violations.Total() > 0 || !newer.Checked)
-	return c.broken
+	return c.exceeded
 }
 
-func (c *comparison) ratio(name string, older, newer, limit float64) {
-	c.line(name, older, newer, limit > 0 && older > 0 && newer/older > limit)
+func (c *comparison) checkRatio(name string, older, newer, limit float64) {
+	c.writeLine(name, older, newer, limit > 0 && older > 0 && newer/older > limit)
 }
 
-func (c *comparison) drop(name string, older, newer, limit float64) {
-	c.line(name, older, newer, limit > 0 && older-newer > limit)
+func (c *comparison) checkDrop(name string, older, newer, limit float64) {
+	c.writeLine(name, older, newer, limit > 0 && older-newer > limit)
 }
 
-func (c *comparison) line(name string, older, newer float64, broken bool) {
+func (c *comparison) writeLine(name string, older, newer float64, exceeded bool) {
 	verdict := "ok"
-	if broken {
+	if exceeded {
 		verdict = "BROKEN"
-		c.broken++
+		c.exceeded++
 	}
 	fmt.Fprintf(c.w, "%-32s %12.3f %12.3f  %s\n", name, older, newer, verdict)
 }
--- a/internal/bench/direct.go
+++ b/internal/bench/direct.go
@@ -26,8 +26,8 @@
 	}
 	for _, s := range p.Services {
 		domains := make([]string, len(p.Domains))
-		for i, area := range p.Domains {
-			domains[i] = area.Name
+		for i, domain := range p.Domains {
+			domains[i] = domain.Name
 		}
 		group, err := standin.NewGroup(standin.Options{
 			Service: s.Name, RecordsTable: true, MaxConnections: max(s.Connections, 2*callers), ReplayLag: replayLag,
@@ -42,12 +42,12 @@
 
 // Run serves the groups until ctx ends.
 func (d *Direct) Run(ctx context.Context) error {
-	var group run.Group
+	var tasks run.Group
 	for _, g := range d.groups {
 		taskCtx, cancel := context.WithCancel(ctx)
-		group.Add(func() error { return g.Run(taskCtx) }, func(error) { cancel() })
+		tasks.Add(func() error { return g.Run(taskCtx) }, func(error) { cancel() })
 	}
-	return group.Run()
+	return tasks.Run()
 }
 
 // Target returns the target of a run.
--- a/internal/bench/fault.go
+++ b/internal/bench/fault.go
@@ -31,7 +31,7 @@
 	SurgeOff Action = "surge_off"
 )
 
-func (a Action) known() bool {
+func (a Action) isValid() bool {
 	switch a {
 	case IsolatePrimary, HealEndpoints, KillHost, DomainOut, DomainIn, SurgeOn, SurgeOff:
 		return true
@@ -51,7 +51,7 @@
 	}
 	action, target, _ := strings.Cut(rest, ":")
 	f := Fault{At: config.Duration(d), Action: Action(action), Target: target}
-	if !f.Action.known() {
+	if !f.Action.isValid() {
 		return Fault{}, errors.Errorf("fault %q: unknown action", text)
 	}
 	return f, nil
@@ -95,7 +95,7 @@
 }
 
 // causeFaults performs the scheduled faults in order of their time.
-func (r *runner) causeFaults(ctx context.Context) {
+func (r *runner) injectFaults(ctx context.Context) {
 	faults := append([]Fault(nil), r.profile.Faults...)
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].At < faults[j].At })
 	for _, f := range faults {
@@ -108,7 +108,7 @@
 				event.Error = err.Error()
 			}
 		}
-		r.recorder.fault(event)
+		r.recorder.recordFault(event)
 	}
 }
 
--- a/internal/bench/profile.go
+++ b/internal/bench/profile.go
@@ -115,23 +115,23 @@
 	if err := validator.New(validator.WithRequiredStructEnabled()).Struct(&p); err != nil {
 		return nil, errors.Wrap(err, "profile")
 	}
-	return &p, p.check()
+	return &p, p.validate()
 }
 
-func (p *Profile) check() error {
-	known := make(map[string]bool)
+func (p *Profile) validate() error {
+	services := make(map[string]bool)
 	for _, s := range p.Services {
-		known[s.Name] = true
+		services[s.Name] = true
 	}
 	for _, w := range p.Workspaces {
 		for _, name := range w.Services {
-			if !known[name] {
+			if !services[name] {
 				return errors.Errorf("profile: workspace %s: unknown service %s", w.Name, name)
 			}
 		}
 		sum := 0.0
 		for op, weight := range w.Mix {
-			if !op.known() || weight < 0 {
+			if !op.isValid() || weight < 0 {
 				return errors.Errorf("profile: workspace %s: mix: %s: %v", w.Name, op, weight)
 			}
 			sum += weight
@@ -141,14 +141,14 @@
 		}
 	}
 	for _, f := range p.Faults {
-		if !f.Action.known() {
+		if !f.Action.isValid() {
 			return errors.Errorf("profile: unknown fault %s", f.Action)
 		}
 	}
 	return nil
 }
 
-func (o Operation) known() bool {
+func (o Operation) isValid() bool {
 	for _, op := range operations {
 		if o == op {
 			return true
--- a/internal/bench/recorder.go
+++ b/internal/bench/recorder.go
@@ -35,30 +35,30 @@
 }
 
 // tally counts the requests of one workspace, class or operation.
-type tally struct {
+type counters struct {
 	latency  *hdrhistogram.Histogram
 	offered  int
 	served   int
 	refusals map[string]int
 }
 
-func newTally() *tally {
-	return &tally{latency: newHistogram(), refusals: make(map[string]int)}
+func newCounters() *counters {
+	return &counters{latency: newHistogram(), refusals: make(map[string]int)}
 }
 
-func (t *tally) add(s sample) {
-	t.offered++
+func (c *counters) add(s sample) {
+	c.offered++
 	if s.outcome != history.Acked {
-		t.refusals[s.cause]++
+		c.refusals[s.cause]++
 		return
 	}
-	t.served++
-	_ = t.latency.RecordValue(min(s.finished.Sub(s.intended).Microseconds()+1, highestLatency)) // in range
+	c.served++
+	_ = c.latency.RecordValue(min(s.finished.Sub(s.intended).Microseconds()+1, highestLatency)) // in range
 }
 
 // second holds the requests that finished within one second of the run.
-type second struct {
-	classes  map[note.Class]*tally
+type secondCounters struct {
+	classes  map[note.Class]*counters
 	refusals map[string]int
 }
 
@@ -66,10 +66,10 @@
 type recorder struct {
 	mu         sync.Mutex
 	start      time.Time
-	workspaces map[string]*tally
-	classes    map[note.Class]*tally
-	ops        map[Operation]*tally
-	seconds    []*second
+	workspaces map[string]*counters
+	classes    map[note.Class]*counters
+	ops        map[Operation]*counters
+	seconds    []*secondCounters
 	reads      int
 	replicas   int
 	// lastWrite and gaps follow the longest time without an acknowledged write,
@@ -82,35 +82,35 @@
 
 func newRecorder(start time.Time) *recorder {
 	return &recorder{
-		start: start, workspaces: make(map[string]*tally), classes: make(map[note.Class]*tally),
-		ops: make(map[Operation]*tally), lastWrite: make(map[string]time.Time), gaps: make(map[string]time.Duration),
+		start: start, workspaces: make(map[string]*counters), classes: make(map[note.Class]*counters),
+		ops: make(map[Operation]*counters), lastWrite: make(map[string]time.Time), gaps: make(map[string]time.Duration),
 	}
 }
 
-func tallyOf[K comparable](m map[K]*tally, key K) *tally {
-	t, ok := m[key]
+func countersOf[K comparable](m map[K]*counters, key K) *counters {
+	c, ok := m[key]
 	if !ok {
-		t = newTally()
-		m[key] = t
+		c = newCounters()
+		m[key] = c
 	}
-	return t
+	return c
 }
 
-func (r *recorder) done(s sample) {
+func (r *recorder) recordRequest(s sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	tallyOf(r.workspaces, s.workspace).add(s)
-	tallyOf(r.classes, s.class).add(s)
-	tallyOf(r.ops, s.op).add(s)
-	sec := r.secondOf(s.finished)
-	tallyOf(sec.classes, s.class).add(s)
+	countersOf(r.workspaces, s.workspace).add(s)
+	countersOf(r.classes, s.class).add(s)
+	countersOf(r.ops, s.op).add(s)
+	sec := r.secondAt(s.finished)
+	countersOf(sec.classes, s.class).add(s)
 	if s.outcome != history.Acked {
 		sec.refusals[s.cause]++
 		return
 	}
 	switch s.op {
 	case OpFile, OpCorrect:
-		r.noteWrite(s)
+		r.recordWrite(s)
 	default:
 		r.reads++
 		if s.replica {
@@ -119,7 +119,7 @@
 	}
 }
 
-func (r *recorder) noteWrite(s sample) {
+func (r *recorder) recordWrite(s sample) {
 	last, ok := r.lastWrite[s.service]
 	if !ok {
 		last = r.start
@@ -128,21 +128,21 @@
 	r.lastWrite[s.service] = s.finished
 }
 
-func (r *recorder) secondOf(at time.Time) *second {
+func (r *recorder) secondAt(at time.Time) *secondCounters {
 	i := max(int(at.Sub(r.start)/time.Second), 0)
 	for len(r.seconds) <= i {
-		r.seconds = append(r.seconds, &second{classes: make(map[note.Class]*tally), refusals: make(map[string]int)})
+		r.seconds = append(r.seconds, &secondCounters{classes: make(map[note.Class]*counters), refusals: make(map[string]int)})
 	}
 	return r.seconds[i]
 }
 
-func (r *recorder) violation(change func(*Violations)) {
+func (r *recorder) recordViolation(change func(*Violations)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change(&r.violations)
 }
 
-func (r *recorder) fault(e FaultEvent) {
+func (r *recorder) recordFault(e FaultEvent) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.faults = append(r.faults, e)
@@ -152,9 +152,9 @@
 func (r *recorder) progress() (served, refused, violations int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, t := range r.classes {
-		served += t.served
-		refused += t.offered - t.served
+	for _, c := range r.classes {
+		served += c.served
+		refused += c.offered - c.served
 	}
 	return served, refused, r.violations.Total()
 }
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -60,18 +60,18 @@
 
 const microsecondsPerMillisecond = 1000
 
-func (t *tally) figures() Stats {
+func (c *counters) stats() Stats {
 	ms := func(us int64) float64 { return float64(us) / microsecondsPerMillisecond }
 	return Stats{
-		Offered: t.offered, Served: t.served, Refusals: t.refusals,
-		P50: ms(t.latency.ValueAtQuantile(50)), P99: ms(t.latency.ValueAtQuantile(99)), Max: ms(t.latency.Max()),
+		Offered: c.offered, Served: c.served, Refusals: c.refusals,
+		P50: ms(c.latency.ValueAtQuantile(50)), P99: ms(c.latency.ValueAtQuantile(99)), Max: ms(c.latency.Max()),
 	}
 }
 
-func figuresOf[K comparable](m map[K]*tally) map[K]Stats {
+func statsOf[K comparable](m map[K]*counters) map[K]Stats {
 	out := make(map[K]Stats, len(m))
-	for key, t := range m {
-		out[key] = t.figures()
+	for key, c := range m {
+		out[key] = c.stats()
 	}
 	return out
 }
@@ -81,8 +81,8 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	res := &Result{
-		Profile: p.Name, Duration: duration, Workspaces: figuresOf(r.workspaces), Classes: figuresOf(r.classes),
-		Operations: figuresOf(r.ops), LongestWriteGaps: make(map[string]float64), Violations: r.violations, Faults: r.faults,
+		Profile: p.Name, Duration: duration, Workspaces: statsOf(r.workspaces), Classes: statsOf(r.classes),
+		Operations: statsOf(r.ops), LongestWriteGaps: make(map[string]float64), Violations: r.violations, Faults: r.faults,
 		WorstShare: 1,
 	}
 	for _, w := range p.Workspaces {
@@ -101,7 +101,7 @@
 		res.LongestWriteGaps[service] = gap.Seconds()
 	}
 	for _, s := range r.seconds {
-		res.Seconds = append(res.Seconds, SecondStats{Classes: figuresOf(s.classes), Refusals: s.refusals})
+		res.Seconds = append(res.Seconds, SecondStats{Classes: statsOf(s.classes), Refusals: s.refusals})
 	}
 	return res
 }
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -38,12 +38,12 @@
 
 // runner holds the state of a run.
 type runner struct {
-	profile  *Profile
-	target   Target
-	start    time.Time
-	recorder *recorder
-	surges   surges
-	ledgers  map[string]*ledger
+	profile   *Profile
+	target    Target
+	start     time.Time
+	recorder  *recorder
+	surges    surges
+	writeLogs map[string]*writeLog
 
 	// pending counts the requests that are queued or in progress.
 	pending sync.WaitGroup
@@ -60,16 +60,16 @@
 
 // Run drives the target and returns the measurements.
 func Run(ctx context.Context, opts Options) (*Result, error) {
-	if err := setUp(ctx, opts); err != nil {
+	if err := createTables(ctx, opts); err != nil {
 		return nil, err
 	}
 	r := &runner{
 		profile: opts.Profile, target: opts.Target, start: time.Now(),
-		surges: newSurges(opts.Profile.Workspaces), ledgers: make(map[string]*ledger),
+		surges: newSurges(opts.Profile.Workspaces), writeLogs: make(map[string]*writeLog),
 	}
 	r.recorder = newRecorder(r.start)
 	end := r.start.Add(opts.Duration)
-	r.drive(ctx, opts, end)
+	r.runLoad(ctx, opts, end)
 	res := r.recorder.result(opts.Profile, opts.Duration.Seconds())
 	res.Seed = opts.Seed
 	if err := r.checkAll(ctx, res); err != nil {
@@ -79,7 +79,7 @@
 }
 
 // setUp creates the table that the checks need in each service.
-func setUp(ctx context.Context, opts Options) error {
+func createTables(ctx context.Context, opts Options) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
 	for _, s := range opts.Profile.Services {
@@ -110,7 +110,7 @@
 }
 
 // drive runs the load until end and waits for the requests in progress.
-func (r *runner) drive(ctx context.Context, opts Options, end time.Time) {
+func (r *runner) runLoad(ctx context.Context, opts Options, end time.Time) {
 	runCtx, stop := context.WithDeadline(ctx, end.Add(drainTimeout))
 	defer stop()
 	callCtx, stopCallers := context.WithCancel(runCtx)
@@ -120,21 +120,21 @@
 	for i, w := range r.profile.Workspaces {
 		queue := make(chan request, maxBacklog)
 		queues[w.Name] = queue
-		l := newLedger()
-		r.ledgers[w.Name] = l
-		r.startCallers(callCtx, &callers, w, l, queue, opts.Seed)
-		a := &arrivals{
+		writes := newWriteLog()
+		r.writeLogs[w.Name] = writes
+		r.startCallers(callCtx, &callers, w, writes, queue, opts.Seed)
+		g := &generator{
 			workspace: w, services: r.profile.services(w), rng: rand.New(rand.NewPCG(opts.Seed, uint64(i))),
-			factor: func() float64 { return r.surges.factor(w) }, queue: queue,
-			accepted: func() { r.pending.Add(1) },
-			dropped:  func(req request) { r.dropped(w, req) },
+			loadFactor: func() float64 { return r.surges.factor(w) }, queue: queue,
+			onQueued:  func() { r.pending.Add(1) },
+			onDropped: func(req request) { r.recordDropped(w, req) },
 		}
-		generators.Go(func() { a.run(runCtx, r.start, end) })
+		generators.Go(func() { g.run(runCtx, r.start, end) })
 	}
 	auxCtx, stopAux := context.WithDeadline(ctx, end)
 	defer stopAux()
-	go r.causeFaults(auxCtx)
-	go r.report(auxCtx, opts.Progress)
+	go r.injectFaults(auxCtx)
+	go r.reportProgress(auxCtx, opts.Progress)
 	generators.Wait()
 	r.awaitPending(runCtx)
 	stopCallers()
@@ -162,7 +162,7 @@
 	for {
 		select {
 		case req := <-queue:
-			r.dropped(w, req)
+			r.recordDropped(w, req)
 			r.pending.Done()
 		default:
 			return
@@ -170,26 +170,26 @@
 	}
 }
 
-func (r *runner) startCallers(ctx context.Context, wg *sync.WaitGroup, w Workspace, l *ledger, queue chan request, seed uint64) {
+func (r *runner) startCallers(ctx context.Context, wg *sync.WaitGroup, w Workspace, writes *writeLog, queue chan request, seed uint64) {
 	for i := range w.Callers {
 		name := fmt.Sprintf("%s-%d-%d", w.Name, seed, i)
 		c := &caller{
-			r: r, workspace: w, ledger: l, queue: queue, name: name, conns: make(map[string]*pgx.Conn),
+			runner: r, workspace: w, writes: writes, queue: queue, name: name, conns: make(map[string]*pgx.Conn),
 			rng: rand.New(rand.NewPCG(seed, hash(name))),
 		}
 		wg.Go(func() { c.run(ctx) })
 	}
 }
 
-func (r *runner) dropped(w Workspace, req request) {
-	r.recorder.done(sample{
+func (r *runner) recordDropped(w Workspace, req request) {
+	r.recorder.recordRequest(sample{
 		workspace: w.Name, class: w.Class, op: req.op, service: req.service, intended: req.intended,
 		finished: time.Now(), outcome: history.NotRun, cause: causeDropped,
 	})
 }
 
 // later queues a request at its intended start.
-func (r *runner) later(at time.Time, queue chan<- request, req request) {
+func (r *runner) enqueueAt(at time.Time, queue chan<- request, req request) {
 	r.pending.Add(1)
 	time.AfterFunc(time.Until(at), func() {
 		select {
@@ -200,7 +200,7 @@
 	})
 }
 
-func (r *runner) report(ctx context.Context, w io.Writer) {
+func (r *runner) reportProgress(ctx context.Context, w io.Writer) {
 	if w == nil {
 		return
 	}
--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -32,9 +32,9 @@
 
 const (
 	// systemControls is the number of control hosts.
-	systemControls = 3
-	startTimeout   = 2 * time.Minute
-	causeTimeout   = 30 * time.Second
+	systemControlHosts = 3
+	startTimeout       = 2 * time.Minute
+	faultTimeout       = 30 * time.Second
 )
 
 // StartSystem starts the fleet of a profile and waits until it serves.
@@ -55,7 +55,7 @@
 	p := opts.Profile
 	var err error
 	s.fleet, err = localfleet.New(localfleet.Options{
-		Program: opts.Program, Dir: s.dir, Hosts: p.Hosts, ControlHosts: min(systemControls, p.Hosts),
+		Program: opts.Program, Dir: s.dir, Hosts: p.Hosts, ControlHosts: min(systemControlHosts, p.Hosts),
 		Domains: p.noteDomains(), Services: p.noteServices(), Workspaces: p.noteWorkspaces(),
 		ReplayLag: opts.ReplayLag, Policy: opts.Policy, LogLevel: "warn",
 	})
@@ -83,7 +83,7 @@
 			return s.fleet.URL(s.hostAt(addr), workspace, service)
 		},
 		CheckURL: func(_, service string) string {
-			ctx, cancel := context.WithTimeout(context.Background(), causeTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), faultTimeout)
 			defer cancel()
 			if e := s.fleet.Primary(ctx, service); e != nil {
 				return e.DirectURL()
@@ -108,7 +108,7 @@
 
 // Inject implements FaultInjector.
 func (s *System) Inject(ctx context.Context, action Action, target string) error {
-	ctx, cancel := context.WithTimeout(ctx, causeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
 	switch action {
 	case IsolatePrimary:
@@ -118,7 +118,7 @@
 	case KillHost:
 		return s.killHost(target)
 	case DomainOut, DomainIn:
-		return s.setDomain(ctx, target, action == DomainOut)
+		return s.setDomainOut(ctx, target, action == DomainOut)
 	}
 	return errors.Errorf("unknown action %s", action)
 }
@@ -154,7 +154,7 @@
 	return errors.Errorf("no host %s", name)
 }
 
-func (s *System) setDomain(ctx context.Context, name string, out bool) error {
+func (s *System) setDomainOut(ctx context.Context, name string, out bool) error {
 	for _, d := range s.profile.noteDomains() {
 		if d.Name != name {
 			continue
@@ -167,8 +167,8 @@
 
 func (p *Profile) noteDomains() []note.Domain {
 	var out []note.Domain
-	for _, a := range p.Domains {
-		out = append(out, note.Domain{Name: a.Name, Region: a.Region})
+	for _, d := range p.Domains {
+		out = append(out, note.Domain{Name: d.Name, Region: d.Region})
 	}
 	return out
 }
--- a/internal/bench/ledger.go
+++ b/internal/bench/writelog.go
@@ -9,7 +9,7 @@
 )
 
 // entry is a record or correction that a caller has sent.
-type entry struct {
+type sentWrite struct {
 	id        string
 	body      string
 	service   string
@@ -19,39 +19,39 @@
 
 // ledger remembers what the callers of one workspace have sent, for the checks.
 // It is safe for concurrent use.
-type ledger struct {
+type writeLog struct {
 	mu          sync.Mutex
-	entries     []*entry
-	corrections []*entry
-	readable    map[string][]*entry
+	records     []*sentWrite
+	corrections []*sentWrite
+	acked       map[string][]*sentWrite
 }
 
-func newLedger() *ledger {
-	return &ledger{readable: make(map[string][]*entry)}
+func newWriteLog() *writeLog {
+	return &writeLog{acked: make(map[string][]*sentWrite)}
 }
 
-func (l *ledger) record(op Operation, e *entry) {
+func (l *writeLog) add(op Operation, w *sentWrite) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	if op == OpCorrect {
-		l.corrections = append(l.corrections, e)
+		l.corrections = append(l.corrections, w)
 		return
 	}
-	l.entries = append(l.entries, e)
-	if e.outcome == history.Acked {
-		l.readable[e.service] = append(l.readable[e.service], e)
+	l.records = append(l.records, w)
+	if w.outcome == history.Acked {
+		l.acked[w.service] = append(l.acked[w.service], w)
 	}
 }
 
 // pick returns an acknowledged entry of the service, or nil when there is none.
-func (l *ledger) pick(service string, rng *rand.Rand) *entry {
+func (l *writeLog) randomAcked(service string, rng *rand.Rand) *sentWrite {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	known := l.readable[service]
-	if len(known) == 0 {
+	acked := l.acked[service]
+	if len(acked) == 0 {
 		return nil
 	}
-	return known[rng.IntN(len(known))]
+	return acked[rng.IntN(len(acked))]
 }
 
 // Violations counts broken promises.
@@ -72,7 +72,7 @@
 
 const maxExamples = 20
 
-func (v *Violations) note(format string, args ...any) {
+func (v *Violations) addExample(format string, args ...any) {
 	if len(v.Examples) < maxExamples {
 		v.Examples = append(v.Examples, fmt.Sprintf(format, args...))
 	}
@@ -81,10 +81,10 @@
 // checkStored compares what was sent with how often each id is stored. With
 // ids that the database keeps unique, doubled entries cannot show; corrections
 // have no such key.
-func (v *Violations) checkStored(kind string, sent []*entry, stored map[string]int) {
+func (v *Violations) checkStored(kind string, sent []*sentWrite, stored map[string]int) {
 	writes := make([]history.Write, len(sent))
-	for i, e := range sent {
-		writes[i] = history.Write{ID: e.id, Workspace: e.workspace, Outcome: e.outcome}
+	for i, w := range sent {
+		writes[i] = history.Write{ID: w.id, Workspace: w.workspace, Outcome: w.outcome}
 	}
 	for _, found := range history.CheckStored(writes, stored) {
 		switch found.Rule {
@@ -95,6 +95,6 @@
 		case history.RuleNotRun:
 			v.RanAnyway++
 		}
-		v.note("%s: %s", kind, found)
+		v.addExample("%s: %s", kind, found)
 	}
 }
--- a/internal/localfleet/plan.go
+++ b/internal/localfleet/plan.go
@@ -63,7 +63,7 @@
 	SettingsFile string
 	Proc         *Process
 	// admin is the front of the admin address.
-	admin string
+	adminAddr string
 }
 
 // Endpoint is a stand-in endpoint of the fleet.
@@ -141,7 +141,7 @@
 	s.Domain = f.opts.Domains[i%len(f.opts.Domains)].Name
 	s.Peer = config.Peer{Listen: addrs[0], Advertise: f.opts.AdvertiseAddr(h.Name, addrs[0])}
 	s.Admin.Listen = addrs[1]
-	h.admin = f.opts.AdvertiseAddr(h.Name, addrs[1])
+	h.adminAddr = f.opts.AdvertiseAddr(h.Name, addrs[1])
 	s.Entry = &config.Entry{Listen: addrs[2]}
 	s.Log.Level = f.opts.LogLevel
 	if i < f.opts.ControlHosts {
@@ -170,9 +170,9 @@
 
 // Ports are taken below the range that the system gives to outgoing connections.
 const (
-	firstPort  = 12000
-	portCount  = 18000
-	portTrials = 1000
+	firstPort       = 12000
+	portCount       = 18000
+	maxPortAttempts = 1000
 )
 
 // ports remembers what this process has given out.
@@ -186,10 +186,10 @@
 	ports.Lock()
 	defer ports.Unlock()
 	var addrs []string
-	for range portTrials {
+	for range maxPortAttempts {
 		port := firstPort + rand.IntN(portCount)
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
-		if ports.taken[port] || !isFree(addr) {
+		if ports.taken[port] || !isPortFree(addr) {
 			continue
 		}
 		ports.taken[port] = true
@@ -200,7 +200,7 @@
 	return nil, errors.New("no free port")
 }
 
-func isFree(addr string) bool {
+func isPortFree(addr string) bool {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return false
@@ -210,7 +210,7 @@
 }
 
 // firstNote describes the fleet; each workspace gets one key.
-func (f *Fleet) firstNote() note.Note {
+func (f *Fleet) initialNote() note.Note {
 	n := note.Note{Number: 1, Title: "local fleet"}
 	n.Added.Domains = f.opts.Domains
 	n.Added.Workspaces = f.opts.Workspaces
@@ -248,7 +248,7 @@
 		args = append(args, "--records")
 	}
 	for _, h := range f.Hosts {
-		args = append(args, "--announce", h.admin)
+		args = append(args, "--announce", h.adminAddr)
 	}
 	return args
 }
--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -32,7 +32,7 @@
 	if err := f.startEndpoints(); err != nil {
 		return err
 	}
-	n := f.firstNote()
+	n := f.initialNote()
 	if change != nil {
 		change(&n)
 	}
@@ -132,7 +132,7 @@
 	workspace := f.opts.Workspaces[0].Name
 	for _, h := range f.Hosts {
 		for _, s := range f.opts.Services {
-			err := Poll(ctx, func() error { return ask(ctx, f.URL(h, workspace, s.Name)) })
+			err := Poll(ctx, func() error { return countRecords(ctx, f.URL(h, workspace, s.Name)) })
 			if err != nil {
 				return errors.Wrapf(err, "%s does not serve %s", h.Name, s.Name)
 			}
@@ -141,7 +141,7 @@
 	return nil
 }
 
-func ask(ctx context.Context, url string) error {
+func countRecords(ctx context.Context, url string) error {
 	conn, err := pgx.Connect(ctx, url)
 	if err != nil {
 		return err
@@ -192,7 +192,7 @@
 		return NoteResponse{}, err
 	}
 	var answer NoteResponse
-	err = request(ctx, http.MethodPost, "http://"+h.Settings.Admin.Listen+"/v1/notes", body, &answer)
+	err = doJSON(ctx, http.MethodPost, "http://"+h.Settings.Admin.Listen+"/v1/notes", body, &answer)
 	return answer, err
 }
 
@@ -214,14 +214,14 @@
 // Catalog returns the catalog in force as a host shows it.
 func (f *Fleet) Catalog(ctx context.Context, h *Host) (note.Catalog, error) {
 	var c note.Catalog
-	err := request(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/notes/current", nil, &c)
+	err := doJSON(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/notes/current", nil, &c)
 	return c, err
 }
 
 // ControlStatus returns the state of the control hosts as a host shows it.
 func (f *Fleet) ControlStatus(ctx context.Context, h *Host) (control.Status, error) {
 	var s control.Status
-	err := request(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/status", nil, &s)
+	err := doJSON(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/status", nil, &s)
 	return s, err
 }
 
@@ -231,13 +231,13 @@
 	if err != nil {
 		return err
 	}
-	return request(ctx, http.MethodPost, "http://"+e.Control+"/v1/faults", body, nil)
+	return doJSON(ctx, http.MethodPost, "http://"+e.Control+"/v1/faults", body, nil)
 }
 
 // Status returns the state of an endpoint.
 func (e *Endpoint) Status(ctx context.Context) (standin.Status, error) {
 	var s standin.Status
-	err := request(ctx, http.MethodGet, "http://"+e.Control+"/v1/status", nil, &s)
+	err := doJSON(ctx, http.MethodGet, "http://"+e.Control+"/v1/status", nil, &s)
 	return s, err
 }
 
@@ -258,7 +258,7 @@
 	return found
 }
 
-func request(ctx context.Context, method, url string, body []byte, out any) error {
+func doJSON(ctx context.Context, method, url string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
 		return err
--- a/internal/standin/sqltext/expand.go
+++ b/internal/standin/sqltext/expand.go
@@ -24,7 +24,7 @@
 	Param(n string) string
 }
 
-var volatileWords = map[string]bool{
+var volatileFunctions = map[string]bool{
 	"now": true, "clock_timestamp": true, "random": true, "version": true, "current_setting": true,
 	"set_config": true, "gen_random_uuid": true, "current_timestamp": true, "current_user": true,
 	"session_user": true, "current_database": true, "txid_current": true, "statement_timestamp": true,
@@ -35,7 +35,7 @@
 // that must be resolved anew at each execution.
 func (s *Statement) Volatile() bool {
 	for _, t := range s.Tokens {
-		if t.Kind == Word && (volatileWords[t.Text] || strings.HasPrefix(t.Text, "pg_")) {
+		if t.Kind == Word && (volatileFunctions[t.Text] || strings.HasPrefix(t.Text, "pg_")) {
 			return true
 		}
 	}
@@ -91,7 +91,7 @@
 		}
 		return literalTokens(literal), i, nil
 	}
-	if !volatileWords[t.Text] && !strings.HasPrefix(t.Text, "pg_") {
+	if !volatileFunctions[t.Text] && !strings.HasPrefix(t.Text, "pg_") {
 		return nil, -1, nil
 	}
 	end := CloseParen(tokens, i+1)
--- a/internal/standin/sqltext/infer.go
+++ b/internal/standin/sqltext/infer.go
@@ -23,7 +23,7 @@
 		if len(expr) == 0 || expr[len(expr)-1].Is("*") {
 			return nil
 		}
-		items = append(items, describeItem(expr))
+		items = append(items, describeColumn(expr))
 	}
 	return items
 }
@@ -31,13 +31,13 @@
 func (s *Statement) resultList() []Token {
 	tokens := s.Tokens
 	if s.Class == Write && s.First() != "select" {
-		i := s.topLevel("returning")
+		i := s.indexTopLevel("returning")
 		if i < 0 {
 			return nil
 		}
 		return tokens[i+1:]
 	}
-	i := s.topLevel("select")
+	i := s.indexTopLevel("select")
 	if i < 0 {
 		return nil
 	}
@@ -46,7 +46,7 @@
 		list = list[1:]
 	}
 	for _, end := range []string{"from", "where", "union", "order", "limit", "for", "group", "having", "offset"} {
-		if j := topLevel(list, end); j >= 0 {
+		if j := indexTopLevel(list, end); j >= 0 {
 			list = list[:j]
 		}
 	}
@@ -70,8 +70,8 @@
 	return append(out, tokens[start:])
 }
 
-func describeItem(expr []Token) ResultColumn {
-	if i := topLevel(expr, "as"); i >= 0 && i+1 < len(expr) {
+func describeColumn(expr []Token) ResultColumn {
+	if i := indexTopLevel(expr, "as"); i >= 0 && i+1 < len(expr) {
 		return ResultColumn{Name: expr[i+1].Name(), Type: exprType(expr[:i])}
 	}
 	n := len(expr)
@@ -150,7 +150,7 @@
 		return literalType(first)
 	}
 	if first.Is("cast") && expr[len(expr)-1].Is(")") {
-		if i := topLevel(expr[2:len(expr)-1], "as"); i >= 0 {
+		if i := indexTopLevel(expr[2:len(expr)-1], "as"); i >= 0 {
 			name, _ := readType(expr, i+3)
 			return TypeOf(name)
 		}
--- a/internal/standin/sqltext/lexer.go
+++ b/internal/standin/sqltext/lexer.go
@@ -65,21 +65,21 @@
 	case strings.HasPrefix(l.src[l.pos:], "/*"):
 		return l.skipBlock()
 	case c == '\'':
-		return l.quoted(String, '\'')
+		return l.lexQuoted(String, '\'')
 	case c == '"':
-		return l.quoted(QuotedName, '"')
+		return l.lexQuoted(QuotedName, '"')
 	case (c == 'e' || c == 'E') && l.peek(1) == '\'':
-		return l.escaped()
+		return l.lexEscaped()
 	case c == '$' && isDigit(l.peek(1)):
-		l.take(Param, l.scan(l.pos+1, isDigit))
+		l.emit(Param, l.scanWhile(l.pos+1, isDigit))
 	case c == '$':
-		return l.dollar()
+		return l.lexDollarQuoted()
 	case isDigit(c) || (c == '.' && isDigit(l.peek(1))):
-		l.take(Number, l.number())
+		l.emit(Number, l.scanNumber())
 	case isLetter(c):
-		l.take(Word, l.scan(l.pos, isWordPart))
+		l.emit(Word, l.scanWhile(l.pos, isWordPart))
 	default:
-		l.operator()
+		l.lexOperator()
 	}
 	return nil
 }
@@ -91,14 +91,14 @@
 	return l.src[l.pos+n]
 }
 
-func (l *lexer) scan(from int, accept func(byte) bool) int {
+func (l *lexer) scanWhile(from int, accept func(byte) bool) int {
 	for from < len(l.src) && accept(l.src[from]) {
 		from++
 	}
 	return from
 }
 
-func (l *lexer) take(kind Kind, end int) {
+func (l *lexer) emit(kind Kind, end int) {
 	text := l.src[l.pos:end]
 	if kind == Word {
 		text = strings.ToLower(text)
@@ -125,7 +125,7 @@
 	return nil
 }
 
-func (l *lexer) quoted(kind Kind, quote byte) error {
+func (l *lexer) lexQuoted(kind Kind, quote byte) error {
 	for end := l.pos + 1; end < len(l.src); end++ {
 		if l.src[end] != quote {
 			continue
@@ -134,14 +134,14 @@
 			end++
 			continue
 		}
-		l.take(kind, end+1)
+		l.emit(kind, end+1)
 		return nil
 	}
 	return ErrUnterminated
 }
 
 // escaped reads a string with backslash escapes, such as E'a\n'.
-func (l *lexer) escaped() error {
+func (l *lexer) lexEscaped() error {
 	var value strings.Builder
 	for i := l.pos + 2; i < len(l.src); i++ {
 		c := l.src[i]
@@ -176,10 +176,10 @@
 }
 
 // dollar reads a dollar-quoted string such as $tag$text$tag$.
-func (l *lexer) dollar() error {
-	tagEnd := l.scan(l.pos+1, isWordPart)
+func (l *lexer) lexDollarQuoted() error {
+	tagEnd := l.scanWhile(l.pos+1, isWordPart)
 	if tagEnd >= len(l.src) || l.src[tagEnd] != '$' {
-		l.operator()
+		l.lexOperator()
 		return nil
 	}
 	tag := l.src[l.pos : tagEnd+1]
@@ -193,15 +193,15 @@
 	return nil
 }
 
-func (l *lexer) number() int {
-	end := l.scan(l.pos, func(c byte) bool { return isDigit(c) || c == '.' })
+func (l *lexer) scanNumber() int {
+	end := l.scanWhile(l.pos, func(c byte) bool { return isDigit(c) || c == '.' })
 	if end < len(l.src) && (l.src[end] == 'e' || l.src[end] == 'E') {
 		exp := end + 1
 		if exp < len(l.src) && (l.src[exp] == '+' || l.src[exp] == '-') {
 			exp++
 		}
 		if exp < len(l.src) && isDigit(l.src[exp]) {
-			end = l.scan(exp, isDigit)
+			end = l.scanWhile(exp, isDigit)
 		}
 	}
 	return end
@@ -209,14 +209,14 @@
 
 var longOperators = []string{"::", "<=", ">=", "<>", "!=", "||", "->>", "->"}
 
-func (l *lexer) operator() {
+func (l *lexer) lexOperator() {
 	for _, op := range longOperators {
 		if strings.HasPrefix(l.src[l.pos:], op) {
-			l.take(Op, l.pos+len(op))
+			l.emit(Op, l.pos+len(op))
 			return
 		}
 	}
-	l.take(Op, l.pos+1)
+	l.emit(Op, l.pos+1)
 }
 
 func isSpace(c byte) bool  { return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' }
--- a/internal/standin/sqltext/params.go
+++ b/internal/standin/sqltext/params.go
@@ -11,7 +11,7 @@
 // What cannot be inferred is Text.
 func (s *Statement) ParamTypes(columns ColumnTypeFunc) []uint32 {
 	types := make([]uint32, s.Params)
-	table := s.target()
+	table := s.targetTable()
 	for i, t := range s.Tokens {
 		if t.Kind != Param {
 			continue
@@ -22,7 +22,7 @@
 		}
 		types[n-1] = s.paramType(i, table, columns)
 	}
-	s.insertTypes(types, table, columns)
+	s.assignInsertTypes(types, table, columns)
 	for i := range types {
 		if types[i] == Unknown {
 			types[i] = Text
@@ -32,7 +32,7 @@
 }
 
 // target returns the first table that the statement names.
-func (s *Statement) target() string {
+func (s *Statement) targetTable() string {
 	for i, t := range s.Tokens {
 		if !t.Is("from") && !t.Is("into") && !(t.Is("update") && i == 0) {
 			continue
@@ -64,10 +64,10 @@
 	if tokens[i-1].Is("limit") || tokens[i-1].Is("offset") {
 		return Int8
 	}
-	if i >= 2 && isCompare(tokens[i-1]) && isName(tokens[i-2]) {
+	if i >= 2 && isBinaryOperator(tokens[i-1]) && isName(tokens[i-2]) {
 		return columns(table, tokens[i-2].Name())
 	}
-	if i+2 < len(tokens) && isCompare(tokens[i+1]) && isName(tokens[i+2]) {
+	if i+2 < len(tokens) && isBinaryOperator(tokens[i+1]) && isName(tokens[i+2]) {
 		return columns(table, tokens[i+2].Name())
 	}
 	return s.inListType(i, table, columns)
@@ -88,7 +88,7 @@
 	return Unknown
 }
 
-func isCompare(t Token) bool {
+func isBinaryOperator(t Token) bool {
 	switch t.Text {
 	case "=", "<", ">", "<=", ">=", "<>", "!=", "+", "-":
 		return t.Kind == Op
@@ -97,9 +97,9 @@
 }
 
 // insertTypes assigns the types of INSERT columns to the parameters of VALUES.
-func (s *Statement) insertTypes(types []uint32, table string, columns ColumnTypeFunc) {
-	values := s.topLevel("values")
-	into := s.topLevel("into")
+func (s *Statement) assignInsertTypes(types []uint32, table string, columns ColumnTypeFunc) {
+	values := s.indexTopLevel("values")
+	into := s.indexTopLevel("into")
 	if values < 0 || into < 0 {
 		return
 	}
@@ -115,7 +115,7 @@
 		if end < 0 {
 			return
 		}
-		assignRow(types, s.Tokens[open+1:end], table, names, columns)
+		assignRowTypes(types, s.Tokens[open+1:end], table, names, columns)
 		open = end + 1
 		if open < len(s.Tokens) && s.Tokens[open].Is(",") {
 			open++
@@ -123,7 +123,7 @@
 	}
 }
 
-func assignRow(types []uint32, row []Token, table string, names []string, columns ColumnTypeFunc) {
+func assignRowTypes(types []uint32, row []Token, table string, names []string, columns ColumnTypeFunc) {
 	for i, expr := range splitCommas(row) {
 		if len(expr) != 1 || expr[0].Kind != Param {
 			continue
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -18,7 +18,7 @@
 func render(tokens []Token) string {
 	var b strings.Builder
 	for i, t := range tokens {
-		if i > 0 && !tight(tokens[i-1], t) {
+		if i > 0 && !isAdjacent(tokens[i-1], t) {
 			b.WriteByte(' ')
 		}
 		b.WriteString(t.Text)
@@ -26,13 +26,13 @@
 	return b.String()
 }
 
-func tight(left, right Token) bool {
+func isAdjacent(left, right Token) bool {
 	return left.Is(".") || right.Is(".") || right.Is(",") || right.Is(")") || left.Is("(")
 }
 
 func rewrite(tokens []Token) ([]Token, error) {
 	if len(tokens) > 0 && tokens[0].Is("truncate") {
-		tokens = truncate(tokens)
+		tokens = rewriteTruncate(tokens)
 	}
 	if len(tokens) > 1 && tokens[0].Is("table") {
 		tokens = append([]Token{{Word, "select"}, {Op, "*"}, {Word, "from"}}, tokens[1:]...)
@@ -49,7 +49,7 @@
 			out = append(out, Token{Param, "?" + t.Text[1:]})
 		case t.Is("::"):
 			var err error
-			if out, i, err = castOperand(out, tokens, i); err != nil {
+			if out, i, err = rewriteCast(out, tokens, i); err != nil {
 				return nil, err
 			}
 		case t.Is("ilike"):
@@ -60,7 +60,7 @@
 			return out, nil
 		case create && (t.Is("serial") || t.Is("bigserial")):
 			out = append(out, Token{Word, "integer"})
-		case create && t.Is("default") && isNow(tokens, i+1):
+		case create && t.Is("default") && isTimeFunction(tokens, i+1):
 			return nil, errors.New("a default that depends on the time is not supported")
 		default:
 			out = append(out, t)
@@ -69,11 +69,11 @@
 	return out, nil
 }
 
-func isNow(tokens []Token, i int) bool {
+func isTimeFunction(tokens []Token, i int) bool {
 	return i < len(tokens) && (tokens[i].Is("now") || strings.HasPrefix(tokens[i].Text, "current_"))
 }
 
-func truncate(tokens []Token) []Token {
+func rewriteTruncate(tokens []Token) []Token {
 	rest := tokens[1:]
 	if len(rest) > 0 && rest[0].Is("table") {
 		rest = rest[1:]
@@ -95,7 +95,7 @@
 
 // castOperand turns the operand that ends out and the type after tokens[i]
 // ("::") into a CAST expression. It returns the index of the type's last token.
-func castOperand(out, tokens []Token, i int) ([]Token, int, error) {
+func rewriteCast(out, tokens []Token, i int) ([]Token, int, error) {
 	start := operandStart(out)
 	if start < 0 || i+1 >= len(tokens) {
 		return nil, 0, errors.New("syntax error at or near \"::\"")
@@ -114,7 +114,7 @@
 		return -1
 	}
 	if out[last].Is(")") {
-		last = openParen(out, last)
+		last = openingParen(out, last)
 		if last > 0 && out[last-1].Kind == Word && !isKeyword(out[last-1].Text) {
 			last--
 		}
@@ -125,7 +125,7 @@
 	return last
 }
 
-func openParen(tokens []Token, closing int) int {
+func openingParen(tokens []Token, closing int) int {
 	depth := 0
 	for i := closing; i >= 0; i-- {
 		if tokens[i].Is(")") {
--- a/internal/standin/sqltext/statement.go
+++ b/internal/standin/sqltext/statement.go
@@ -84,7 +84,7 @@
 	return s.Tokens[0].Text
 }
 
-func (s *Statement) wordAt(i int) string {
+func (s *Statement) textAt(i int) string {
 	if i >= len(s.Tokens) {
 		return ""
 	}
@@ -97,7 +97,7 @@
 	case "select", "values", "table", "with", "explain", "(":
 		s.classifyQuery(first)
 	case "insert", "update", "delete":
-		s.setData(first)
+		s.classifyDataChange(first)
 	case "create", "drop", "alter":
 		s.Class, s.Tag = Write, strings.ToUpper(first+" "+s.objectType())
 	case "truncate":
@@ -107,7 +107,7 @@
 	case "start_replication":
 		s.Class = StartReplication
 	default:
-		s.classifySession(first)
+		s.classifyUtility(first)
 	}
 }
 
@@ -122,13 +122,13 @@
 	return ""
 }
 
-func (s *Statement) setData(verb string) {
+func (s *Statement) classifyDataChange(verb string) {
 	s.Class, s.CountsRows = Write, true
 	s.Tag = strings.ToUpper(verb)
 	if verb == "insert" {
 		s.Tag = "INSERT 0"
 	}
-	s.Returning = s.topLevel("returning") >= 0
+	s.Returning = s.indexTopLevel("returning") >= 0
 }
 
 func (s *Statement) classifyQuery(first string) {
@@ -139,13 +139,13 @@
 	}
 	if first == "with" {
 		for _, verb := range []string{"insert", "update", "delete"} {
-			if s.topLevel(verb) >= 0 {
-				s.setData(verb)
+			if s.indexTopLevel(verb) >= 0 {
+				s.classifyDataChange(verb)
 				return
 			}
 		}
 	}
-	if i := s.topLevel("for"); i >= 0 && (s.wordAt(i+1) == "update" || s.wordAt(i+1) == "share") {
+	if i := s.indexTopLevel("for"); i >= 0 && (s.textAt(i+1) == "update" || s.textAt(i+1) == "share") {
 		s.Class, s.Returning = Write, true
 	}
 }
@@ -153,16 +153,16 @@
 func (s *Statement) classifyCopy() {
 	s.Tag, s.CountsRows = "COPY", true
 	switch {
-	case s.topLevel("stdin") >= 0:
+	case s.indexTopLevel("stdin") >= 0:
 		s.Class = CopyIn
-	case s.topLevel("stdout") >= 0:
+	case s.indexTopLevel("stdout") >= 0:
 		s.Class = CopyOut
 	default:
 		s.Class = Unsupported
 	}
 }
 
-func (s *Statement) classifySession(first string) {
+func (s *Statement) classifyUtility(first string) {
 	tag := strings.ToUpper(first)
 	switch first {
 	case "begin":
@@ -175,7 +175,7 @@
 		s.Class, tag = Rollback, "ROLLBACK"
 	case "rollback":
 		s.Class = Rollback
-		if s.topLevel("to") >= 0 {
+		if s.indexTopLevel("to") >= 0 {
 			s.Class = RollbackTo
 		}
 	case "savepoint":
@@ -199,11 +199,11 @@
 }
 
 // topLevel returns the index of the first such word outside parentheses, or -1.
-func (s *Statement) topLevel(word string) int {
-	return topLevel(s.Tokens, word)
+func (s *Statement) indexTopLevel(word string) int {
+	return indexTopLevel(s.Tokens, word)
 }
 
-func topLevel(tokens []Token, word string) int {
+func indexTopLevel(tokens []Token, word string) int {
 	depth := 0
 	for i, t := range tokens {
 		switch {
@@ -226,10 +226,10 @@
 // DescribeQuery returns a query with the same result columns as the statement and no
 // effect. For a statement with RETURNING it selects the list from the table.
 func (s *Statement) DescribeQuery() []Token {
-	i := s.topLevel("returning")
+	i := s.indexTopLevel("returning")
 	if s.Class != Write || i < 0 {
 		return s.Tokens
 	}
 	out := append([]Token{{Word, "select"}}, s.Tokens[i+1:]...)
-	return append(out, Token{Word, "from"}, Token{QuotedName, `"` + s.target() + `"`})
+	return append(out, Token{Word, "from"}, Token{QuotedName, `"` + s.targetTable() + `"`})
 }
