--- a/internal/standin/sqltext/expand.go
+++ b/internal/standin/sqltext/expand.go
@@ -6,24 +6,28 @@
 	"github.com/pkg/errors"
 )
 
-// Relation is a system view or the result of a table function. Its values are
-// SQL literals.
+// Relation is the content of a system view or the result of a table function.
+// Its values are SQL literals.
 type Relation struct {
 	Columns []string
 	Rows    [][]string
 }
 
-// Resolver resolves the server's own functions and views while a statement runs.
+// Resolver evaluates the server's own functions and views while a statement runs.
 type Resolver interface {
-	// Function returns the result as an SQL literal. The last value is false
-	// when the server has no such function.
+	// Function returns the result of a call as an SQL literal. The last value
+	// is false if the server has no such function; the call then stays in the
+	// statement.
 	Function(name string, args []string) (string, bool, error)
-	// Relation returns a system view or table function by name.
+	// Relation returns a system view or the result of a table function by name.
 	Relation(name string) (Relation, bool)
-	// Param returns the text of a bound parameter, counted from one.
+	// Param returns the text of the bound parameter $n; n is the decimal number
+	// without the dollar sign and starts at 1.
 	Param(n string) string
 }
 
+// volatileFunctions are the functions whose result depends on the server, the
+// session or the time. Functions with the prefix pg_ count as volatile as well.
 var volatileFunctions = map[string]bool{
 	"now": true, "clock_timestamp": true, "random": true, "version": true, "current_setting": true,
 	"set_config": true, "gen_random_uuid": true, "current_timestamp": true, "current_user": true,
@@ -31,8 +35,8 @@
 	"transaction_timestamp": true, "current_date": true, "current_schema": true,
 }
 
-// Volatile reports whether the statement uses functions or views of the server
-// that must be resolved anew at each execution.
+// Volatile reports whether the statement uses functions or views of the server,
+// which must be evaluated at each execution.
 func (s *Statement) Volatile() bool {
 	for _, t := range s.Tokens {
 		if t.Kind == Word && (volatileFunctions[t.Text] || strings.HasPrefix(t.Text, "pg_")) {
@@ -52,7 +56,9 @@
 	return false
 }
 
-// Expand replaces the server's functions and views by their present values.
+// Expand replaces calls of the server's functions by literals and the server's
+// views by subqueries over literals. It returns the error of the function, or a
+// syntax error for a call without a closing parenthesis.
 func Expand(tokens []Token, env Resolver) ([]Token, error) {
 	out := make([]Token, 0, len(tokens)+16)
 	for i := 0; i < len(tokens); i++ {
@@ -70,8 +76,9 @@
 	return out, nil
 }
 
-// expandAt returns the replacement of the tokens from i up to end, or -1 when
-// nothing is replaced.
+// expandAt returns the replacement of the tokens from i up to and including the
+// returned index, or the index -1 if nothing is replaced. A qualified name is
+// replaced only if its schema is pg_catalog.
 func expandAt(tokens []Token, i int, env Resolver) ([]Token, int, error) {
 	if field, end, ok := compositeField(tokens, i, env); ok {
 		return field, end, nil
@@ -105,7 +112,7 @@
 	return literalTokens(literal), end, nil
 }
 
-// bareFunction resolves functions that are written without parentheses.
+// bareFunction evaluates the functions that SQL writes without parentheses.
 func bareFunction(name string, env Resolver) (string, bool, error) {
 	switch name {
 	case "current_timestamp", "current_user", "session_user", "current_date", "current_schema":
@@ -114,6 +121,8 @@
 	return "", false, nil
 }
 
+// literalTokens returns a literal as one token. All literals but strings, null
+// and true included, become Number tokens, which are rendered unchanged.
 func literalTokens(literal string) []Token {
 	if strings.HasPrefix(literal, "'") {
 		return []Token{{String, literal}}
@@ -121,6 +130,8 @@
 	return []Token{{Number, literal}}
 }
 
+// argValues returns the values of a call's arguments. Each argument is taken to
+// be a single literal, name or parameter: only its first token is read.
 func argValues(tokens []Token, env Resolver) []string {
 	if len(tokens) == 0 {
 		return nil
@@ -145,7 +156,8 @@
 	return t.Text
 }
 
-// inFrom reports whether tokens[i] stands where a relation is named.
+// inFrom reports whether tokens[i], with or without a schema, directly follows
+// FROM or JOIN. A relation after a comma in the FROM list is not recognized.
 func inFrom(tokens []Token, i int) bool {
 	if i > 1 && tokens[i-1].Is(".") {
 		i -= 2
@@ -156,6 +168,8 @@
 	return tokens[i-1].Is("from") || tokens[i-1].Is("join")
 }
 
+// expandRelation replaces a view or table function by a subquery. The subquery
+// gets the relation's name as its alias unless the statement gives another.
 func expandRelation(tokens []Token, i int, call bool, env Resolver) ([]Token, int, error) {
 	rel, ok := env.Relation(tokens[i].Text)
 	if !ok {
@@ -180,6 +194,7 @@
 	return isName(t)
 }
 
+// query returns a SELECT that yields the relation's rows.
 func (r Relation) query() string {
 	if len(r.Rows) == 0 {
 		return "select null as " + strings.Join(r.Columns, ", null as ") + " where 0"
@@ -195,7 +210,8 @@
 	return strings.Join(selects, " union all ")
 }
 
-// compositeField resolves "(function()).field".
+// compositeField replaces "(function()).field" by the field's value. The function
+// must return exactly one row.
 func compositeField(tokens []Token, i int, env Resolver) ([]Token, int, bool) {
 	if i+6 >= len(tokens) || !tokens[i].Is("(") || !tokens[i+2].Is("(") || !tokens[i+3].Is(")") ||
 		!tokens[i+4].Is(")") || !tokens[i+5].Is(".") {
--- a/internal/standin/sqltext/infer.go
+++ b/internal/standin/sqltext/infer.go
@@ -2,17 +2,17 @@
 
 import "strings"
 
-// ResultColumn is one expression of a select list or RETURNING clause.
+// ResultColumn describes one expression of a select list or RETURNING clause.
 type ResultColumn struct {
-	// Name is the column name that PostgreSQL would give, or "" when the SQL
-	// engine's own name holds.
+	// Name is the column name that PostgreSQL would report, or "" if the name
+	// reported by SQLite is right.
 	Name string
-	// Type is the data type, or Unknown.
+	// Type is the object identifier of the data type, or Unknown.
 	Type uint32
 }
 
-// ResultColumns returns the expressions of the statement's result. It returns nil when
-// they cannot be told from the text, such as for "*".
+// ResultColumns returns the columns of the statement's result. It returns nil if
+// the text does not determine them, as with "*".
 func (s *Statement) ResultColumns() []ResultColumn {
 	list := s.resultList()
 	if len(list) == 0 {
@@ -28,6 +28,8 @@
 	return items
 }
 
+// resultList returns the tokens of the select list or RETURNING clause, without
+// DISTINCT or ALL.
 func (s *Statement) resultList() []Token {
 	tokens := s.Tokens
 	if s.Class == Write && s.First() != "select" {
@@ -53,6 +55,7 @@
 	return list
 }
 
+// splitCommas splits tokens at the commas outside parentheses.
 func splitCommas(tokens []Token) [][]Token {
 	var out [][]Token
 	depth, start := 0, 0
@@ -70,6 +73,8 @@
 	return append(out, tokens[start:])
 }
 
+// describeColumn returns name and type of a result expression with or without an
+// alias; the alias may follow without AS.
 func describeColumn(expr []Token) ResultColumn {
 	if i := indexTopLevel(expr, "as"); i >= 0 && i+1 < len(expr) {
 		return ResultColumn{Name: expr[i+1].Name(), Type: exprType(expr[:i])}
@@ -85,10 +90,15 @@
 	return t.Kind == QuotedName || t.Kind == Word && !isKeyword(t.Text) && t.Text != "end" && t.Text != "null"
 }
 
+// endsOperand reports whether an expression may end with t, so that a name after
+// it is an alias.
 func endsOperand(t Token) bool {
 	return t.Is(")") || t.Kind == Number || t.Kind == String || t.Kind == Param || isName(t)
 }
 
+// exprName returns the column name that PostgreSQL derives from an expression
+// without an alias: a column's or function's name, the target type of a cast, or
+// "?column?".
 func exprName(expr []Token) string {
 	first := expr[0]
 	if n := len(expr); n >= 3 && n%2 == 1 && expr[n-2].Is(".") {
@@ -114,7 +124,8 @@
 	return "?column?"
 }
 
-// castIndex returns the index of a "::" whose type ends the expression, or -1.
+// castIndex returns the index of the last "::" if its type name ends the
+// expression, or else -1.
 func castIndex(expr []Token) int {
 	for i := len(expr) - 2; i > 0; i-- {
 		if !expr[i].Is("::") {
@@ -128,6 +139,7 @@
 	return -1
 }
 
+// functionTypes maps functions to their result types.
 var functionTypes = map[string]uint32{
 	"count": Int8, "length": Int4, "char_length": Int4, "octet_length": Int4, "pg_is_in_recovery": Bool,
 	"pg_promote": Bool, "exists": Bool, "pg_backend_pid": Int4, "lower": Text, "upper": Text, "version": Text,
@@ -137,6 +149,9 @@
 	"pg_last_xact_replay_timestamp": Timestamptz, "txid_current": Int8, "pg_current_wal_flush_lsn": LSN,
 }
 
+// exprType infers the data type of an expression from its outermost element: a
+// cast, a literal, a function call, a comparison or a concatenation. It returns
+// Unknown for anything else.
 func exprType(expr []Token) uint32 {
 	if len(expr) == 0 {
 		return Unknown
@@ -176,6 +191,7 @@
 	return false
 }
 
+// topOperator reports whether expr has the operator outside parentheses.
 func topOperator(expr []Token, op string) bool {
 	depth := 0
 	for _, t := range expr {
@@ -203,6 +219,8 @@
 	return false
 }
 
+// literalType returns the type of a single token. An integer of up to 9 digits
+// always fits int4; longer ones are int8.
 func literalType(t Token) uint32 {
 	switch {
 	case t.Kind == Number && len(t.Text) < 10 && !strings.ContainsAny(t.Text, ".eE"):
--- a/internal/standin/sqltext/lexer.go
+++ b/internal/standin/sqltext/lexer.go
@@ -1,7 +1,8 @@
 // Package sqltext splits SQL text in PostgreSQL's dialect into statements,
-// classifies them and rewrites them for SQLite. It understands as much of the
-// language as the stand-in endpoint needs; the SQL engine checks the rest. The
-// package performs no I/O.
+// classifies them, infers the types of their parameters and result columns, and
+// rewrites them for SQLite. It works on tokens, without a grammar, and covers the
+// part of the language that the stand-in endpoint needs; SQLite reports the
+// remaining syntax errors. The package performs no I/O.
 package sqltext
 
 import (
@@ -26,7 +27,8 @@
 // Token is one lexical element of a statement.
 type Token struct {
 	Kind Kind
-	// Text is the source text; words are in lower case.
+	// Text is the source text with its quotes. Words are in lower case; strings
+	// with escapes or dollar quotes are rewritten as standard string literals.
 	Text string
 }
 
@@ -35,7 +37,7 @@
 	return (t.Kind == Word || t.Kind == Op) && t.Text == text
 }
 
-// ErrUnterminated reports a quoted element or comment without an end.
+// ErrUnterminated reports a quoted string, quoted name or comment without an end.
 var ErrUnterminated = errors.New("unterminated quoted string or comment")
 
 type lexer struct {
@@ -44,7 +46,8 @@
 	tokens []Token
 }
 
-// Lex splits src into tokens. Comments and white space are dropped.
+// Lex splits src into tokens and drops comments and white space. Its only error
+// is ErrUnterminated; any other byte that starts no token is an operator.
 func Lex(src string) ([]Token, error) {
 	l := &lexer{src: src}
 	for l.pos < len(l.src) {
@@ -84,6 +87,7 @@
 	return nil
 }
 
+// peek returns the byte n positions ahead, or 0 beyond the end.
 func (l *lexer) peek(n int) byte {
 	if l.pos+n >= len(l.src) {
 		return 0
@@ -91,6 +95,8 @@
 	return l.src[l.pos+n]
 }
 
+// scanWhile returns the index of the first byte at or after from that accept
+// rejects.
 func (l *lexer) scanWhile(from int, accept func(byte) bool) int {
 	for from < len(l.src) && accept(l.src[from]) {
 		from++
@@ -98,6 +104,7 @@
 	return from
 }
 
+// emit appends the source text up to end as a token and moves past it.
 func (l *lexer) emit(kind Kind, end int) {
 	text := l.src[l.pos:end]
 	if kind == Word {
@@ -116,6 +123,8 @@
 	l.pos += end + 1
 }
 
+// skipBlock skips a block comment up to the first "*/"; nested comments are not
+// supported.
 func (l *lexer) skipBlock() error {
 	end := strings.Index(l.src[l.pos+2:], "*/")
 	if end < 0 {
@@ -125,6 +134,8 @@
 	return nil
 }
 
+// lexQuoted reads a string or quoted name in which a doubled quote stands for one
+// quote.
 func (l *lexer) lexQuoted(kind Kind, quote byte) error {
 	for end := l.pos + 1; end < len(l.src); end++ {
 		if l.src[end] != quote {
@@ -140,7 +151,8 @@
 	return ErrUnterminated
 }
 
-// escaped reads a string with backslash escapes, such as E'a\n'.
+// lexEscaped reads a string with backslash escapes, such as E'a\n', and emits it
+// as a standard string literal.
 func (l *lexer) lexEscaped() error {
 	var value strings.Builder
 	for i := l.pos + 2; i < len(l.src); i++ {
@@ -163,6 +175,8 @@
 	return ErrUnterminated
 }
 
+// unescape returns the byte that a backslash and c stand for. Octal, hexadecimal
+// and Unicode escapes are not supported.
 func unescape(c byte) byte {
 	switch c {
 	case 'n':
@@ -175,7 +189,8 @@
 	return c
 }
 
-// dollar reads a dollar-quoted string such as $tag$text$tag$.
+// lexDollarQuoted reads a dollar-quoted string, such as $tag$text$tag$, and emits
+// it as a standard string literal.
 func (l *lexer) lexDollarQuoted() error {
 	tagEnd := l.scanWhile(l.pos+1, isWordPart)
 	if tagEnd >= len(l.src) || l.src[tagEnd] != '$' {
@@ -193,6 +208,7 @@
 	return nil
 }
 
+// scanNumber returns the index after the number at the current position.
 func (l *lexer) scanNumber() int {
 	end := l.scanWhile(l.pos, func(c byte) bool { return isDigit(c) || c == '.' })
 	if end < len(l.src) && (l.src[end] == 'e' || l.src[end] == 'E') {
@@ -207,6 +223,8 @@
 	return end
 }
 
+// longOperators are the operators of several characters. An operator stands before
+// its own prefixes, since the first match is taken.
 var longOperators = []string{"::", "<=", ">=", "<>", "!=", "||", "->>", "->"}
 
 func (l *lexer) lexOperator() {
@@ -231,7 +249,8 @@
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
-// Unquote returns the value of a string literal or quoted name.
+// Unquote returns the value of a string literal or quoted name. The first byte
+// counts as the quote character.
 func Unquote(literal string) string {
 	if len(literal) < 2 {
 		return literal
@@ -240,7 +259,8 @@
 	return strings.ReplaceAll(literal[1:len(literal)-1], quote+quote, quote)
 }
 
-// Name returns the value of a word or quoted name.
+// Name returns the token's text as a name: without its quotes if it is a quoted
+// name or string.
 func (t Token) Name() string {
 	if t.Kind == QuotedName || t.Kind == String {
 		return Unquote(t.Text)
--- a/internal/standin/sqltext/params.go
+++ b/internal/standin/sqltext/params.go
@@ -2,13 +2,15 @@
 
 import "strconv"
 
-// ColumnTypeFunc yields the data type of a column by table and column name, or
-// Unknown. The table may be empty when the text does not name it.
+// ColumnTypeFunc returns the data type of a column by table and column name, or
+// Unknown. The table is empty if the statement names none. A column name "#N"
+// stands for the table's column at the zero-based position N.
 type ColumnTypeFunc func(table, column string) uint32
 
 // ParamTypes infers the data types of the statement's parameters from their
-// place: a cast, a compared column, a column of an INSERT or an UPDATE, a limit.
-// What cannot be inferred is Text.
+// context: a cast, a compared column, a column of an INSERT or UPDATE, LIMIT or
+// OFFSET. Element n-1 of the result is the type of $n. The first occurrence of a
+// parameter with a known type decides; a parameter without one is Text.
 func (s *Statement) ParamTypes(columns ColumnTypeFunc) []uint32 {
 	types := make([]uint32, s.Params)
 	table := s.targetTable()
@@ -31,7 +33,8 @@
 	return types
 }
 
-// target returns the first table that the statement names.
+// targetTable returns the first table that the statement names, without its
+// schema, or "" if there is none.
 func (s *Statement) targetTable() string {
 	for i, t := range s.Tokens {
 		if !t.Is("from") && !t.Is("into") && !(t.Is("update") && i == 0) {
@@ -48,6 +51,7 @@
 	return ""
 }
 
+// paramType returns the type of the parameter at tokens[i], or Unknown.
 func (s *Statement) paramType(i int, table string, columns ColumnTypeFunc) uint32 {
 	tokens := s.Tokens
 	if i+2 < len(tokens) && tokens[i+1].Is("::") {
@@ -73,7 +77,8 @@
 	return s.inListType(i, table, columns)
 }
 
-// inListType handles a parameter inside "column IN (...)".
+// inListType returns the type of a parameter inside "column IN (...)". Parameters
+// and commas are the only elements that may precede it in the list.
 func (s *Statement) inListType(i int, table string, columns ColumnTypeFunc) uint32 {
 	for j := i - 1; j >= 2; j-- {
 		t := s.Tokens[j]
@@ -88,6 +93,8 @@
 	return Unknown
 }
 
+// isBinaryOperator reports whether t is an operator whose operands are assumed to
+// have the same type.
 func isBinaryOperator(t Token) bool {
 	switch t.Text {
 	case "=", "<", ">", "<=", ">=", "<>", "!=", "+", "-":
@@ -96,7 +103,8 @@
 	return false
 }
 
-// insertTypes assigns the types of INSERT columns to the parameters of VALUES.
+// assignInsertTypes gives the parameters in the VALUES rows of an INSERT the types
+// of their columns. Without a column list they are the table's columns in order.
 func (s *Statement) assignInsertTypes(types []uint32, table string, columns ColumnTypeFunc) {
 	values := s.indexTopLevel("values")
 	into := s.indexTopLevel("into")
@@ -123,6 +131,8 @@
 	}
 }
 
+// assignRowTypes handles one row of VALUES. It skips elements that consist of more
+// than a parameter.
 func assignRowTypes(types []uint32, row []Token, table string, names []string, columns ColumnTypeFunc) {
 	for i, expr := range splitCommas(row) {
 		if len(expr) != 1 || expr[0].Kind != Param {
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -6,7 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ToSQLite renders tokens as SQL text for SQLite.
+// ToSQLite renders tokens as SQL text for SQLite. It returns an error for syntax
+// that has no equivalent in SQLite.
 func ToSQLite(tokens []Token) (string, error) {
 	out, err := rewrite(tokens)
 	if err != nil {
@@ -26,10 +27,15 @@
 	return b.String()
 }
 
+// isAdjacent reports whether two tokens are rendered without a space between them.
 func isAdjacent(left, right Token) bool {
 	return left.Is(".") || right.Is(".") || right.Is(",") || right.Is(")") || left.Is("(")
 }
 
+// rewrite translates PostgreSQL syntax: parameters $n become ?n, "::" becomes
+// CAST, schema prefixes and locking clauses are removed, and TABLE, TRUNCATE,
+// EXPLAIN and serial columns are replaced by their equivalents. A locking clause
+// ends the statement: tokens after it are dropped.
 func rewrite(tokens []Token) ([]Token, error) {
 	if len(tokens) > 0 && tokens[0].Is("truncate") {
 		tokens = rewriteTruncate(tokens)
@@ -69,10 +75,13 @@
 	return out, nil
 }
 
+// isTimeFunction reports whether tokens[i] is now or a word such as
+// current_timestamp.
 func isTimeFunction(tokens []Token, i int) bool {
 	return i < len(tokens) && (tokens[i].Is("now") || strings.HasPrefix(tokens[i].Text, "current_"))
 }
 
+// rewriteTruncate turns TRUNCATE into a DELETE of all rows.
 func rewriteTruncate(tokens []Token) []Token {
 	rest := tokens[1:]
 	if len(rest) > 0 && rest[0].Is("table") {
@@ -93,8 +102,9 @@
 		(tokens[i+1].Is("update") || tokens[i+1].Is("share"))
 }
 
-// castOperand turns the operand that ends out and the type after tokens[i]
-// ("::") into a CAST expression. It returns the index of the type's last token.
+// rewriteCast turns the operand at the end of out and the type after tokens[i]
+// ("::") into a CAST expression. It returns the new output and the index of the
+// type's last token.
 func rewriteCast(out, tokens []Token, i int) ([]Token, int, error) {
 	start := operandStart(out)
 	if start < 0 || i+1 >= len(tokens) {
@@ -108,6 +118,8 @@
 	return out, end, nil
 }
 
+// operandStart returns the index of the first token of the operand at the end of
+// out, or -1 if out is empty or its parentheses are unbalanced.
 func operandStart(out []Token) int {
 	last := len(out) - 1
 	if last < 0 {
@@ -125,6 +137,8 @@
 	return last
 }
 
+// openingParen returns the index of the parenthesis that opens the one at
+// tokens[closing], or -1.
 func openingParen(tokens []Token, closing int) int {
 	depth := 0
 	for i := closing; i >= 0; i-- {
@@ -141,7 +155,8 @@
 	return -1
 }
 
-// CloseParen returns the index of the parenthesis that closes tokens[open].
+// CloseParen returns the index of the parenthesis that closes the one at
+// tokens[open], or -1.
 func CloseParen(tokens []Token, open int) int {
 	depth := 0
 	for i := open; i < len(tokens); i++ {
@@ -166,8 +181,8 @@
 	return false
 }
 
-// readType reads a type name at tokens[i] and returns it with the index of its
-// last token.
+// readType reads the type name that starts at tokens[i]. It returns the name
+// without schema, modifiers and array bounds, and the index of the last token.
 func readType(tokens []Token, i int) (string, int) {
 	name := tokens[i].Name()
 	for i+2 < len(tokens) && tokens[i+1].Is(".") {
@@ -200,6 +215,7 @@
 	return name, min(i, len(tokens)-1)
 }
 
+// affinity returns the SQLite type name by which a PostgreSQL type is cast.
 func affinity(typeName string) string {
 	switch TypeOf(typeName) {
 	case Int2, Int4, Int8, Bool:
--- a/internal/standin/sqltext/statement.go
+++ b/internal/standin/sqltext/statement.go
@@ -5,12 +5,14 @@
 	"strings"
 )
 
-// Class tells how a statement is executed.
+// Class determines how the stand-in executes a statement.
 type Class uint8
 
 // Classes of statements.
 const (
 	Empty Class = iota
+	// Read is a statement that changes no data. Write changes data or the schema
+	// or, with FOR UPDATE or FOR SHARE, requests row locks.
 	Read
 	Write
 	Begin
@@ -30,7 +32,7 @@
 	Unsupported
 )
 
-// Statement is one statement of a query.
+// Statement is one statement of a query text.
 type Statement struct {
 	Tokens []Token
 	Class  Class
@@ -38,13 +40,14 @@
 	Tag string
 	// CountsRows reports that the tag is followed by a row count.
 	CountsRows bool
-	// Returning reports that a writing statement yields rows.
+	// Returning reports that a statement of class Write returns rows.
 	Returning bool
-	// Params is the number of the highest parameter.
+	// Params is the highest parameter number, so the count of parameters to bind.
 	Params int
 }
 
-// Parse splits a query text into its statements.
+// Parse splits a query text at its semicolons into statements. Statements without
+// a token are left out. Its only error is ErrUnterminated.
 func Parse(src string) ([]*Statement, error) {
 	tokens, err := Lex(src)
 	if err != nil {
@@ -76,7 +79,7 @@
 	return s
 }
 
-// First returns the first word of the statement.
+// First returns the text of the first token, or "" for an empty statement.
 func (s *Statement) First() string {
 	if len(s.Tokens) == 0 {
 		return ""
@@ -84,6 +87,7 @@
 	return s.Tokens[0].Text
 }
 
+// textAt returns the text of the token at i, or "" beyond the end.
 func (s *Statement) textAt(i int) string {
 	if i >= len(s.Tokens) {
 		return ""
@@ -111,6 +115,8 @@
 	}
 }
 
+// objectType returns the kind of object that CREATE, DROP or ALTER names, such as
+// "table".
 func (s *Statement) objectType() string {
 	for _, t := range s.Tokens[1:] {
 		switch t.Text {
@@ -122,6 +128,8 @@
 	return ""
 }
 
+// classifyDataChange handles INSERT, UPDATE and DELETE. The tag "INSERT 0" holds
+// the obsolete object identifier that precedes the row count.
 func (s *Statement) classifyDataChange(verb string) {
 	s.Class, s.CountsRows = Write, true
 	s.Tag = strings.ToUpper(verb)
@@ -131,6 +139,8 @@
 	s.Returning = s.indexTopLevel("returning") >= 0
 }
 
+// classifyQuery handles statements that start like a query. WITH followed by a
+// data change and a query with a locking clause are of class Write.
 func (s *Statement) classifyQuery(first string) {
 	s.Class, s.Tag, s.CountsRows = Read, "SELECT", true
 	if first == "explain" {
@@ -162,6 +172,7 @@
 	}
 }
 
+// classifyUtility handles transaction control and settings.
 func (s *Statement) classifyUtility(first string) {
 	tag := strings.ToUpper(first)
 	switch first {
@@ -198,7 +209,8 @@
 	s.Tag = tag
 }
 
-// topLevel returns the index of the first such word outside parentheses, or -1.
+// indexTopLevel returns the index of the word's first occurrence outside
+// parentheses, or -1.
 func (s *Statement) indexTopLevel(word string) int {
 	return indexTopLevel(s.Tokens, word)
 }
@@ -218,13 +230,14 @@
 	return -1
 }
 
-// YieldsRows reports whether the statement answers with rows.
+// YieldsRows reports whether the statement returns rows. COPY data does not count.
 func (s *Statement) YieldsRows() bool {
 	return s.Class == Read || s.Class == Show || s.Class == Write && s.Returning
 }
 
-// DescribeQuery returns a query with the same result columns as the statement and no
-// effect. For a statement with RETURNING it selects the list from the table.
+// DescribeQuery returns a query with the same result columns as the statement and
+// without its effect. For a data change with RETURNING the query selects the
+// returned expressions from the target table.
 func (s *Statement) DescribeQuery() []Token {
 	i := s.indexTopLevel("returning")
 	if s.Class != Write || i < 0 {
--- a/internal/standin/sqltext/types.go
+++ b/internal/standin/sqltext/types.go
@@ -6,8 +6,8 @@
 	"github.com/jackc/pgx/v5/pgtype"
 )
 
-// Object identifiers of the supported data types. Unknown is a type that the
-// text alone does not tell.
+// Object identifiers of the supported data types. Unknown stands for a type that
+// the statement's text does not determine.
 const (
 	Unknown     uint32 = 0
 	Bool        uint32 = pgtype.BoolOID
@@ -25,9 +25,10 @@
 	UUID        uint32 = pgtype.UUIDOID
 	JSON        uint32 = pgtype.JSONOID
 	JSONB       uint32 = pgtype.JSONBOID
-	LSN         uint32 = 3220
+	LSN         uint32 = 3220 // pg_lsn; pgtype has no constant for it
 )
 
+// typeNames maps the names and aliases of types to object identifiers.
 var typeNames = map[string]uint32{
 	"bool": Bool, "boolean": Bool, "bytea": Bytea, "blob": Bytea,
 	"int8": Int8, "bigint": Int8, "bigserial": Int8, "integer": Int4, "int": Int4, "int4": Int4, "serial": Int4,
@@ -38,8 +39,8 @@
 	"numeric": Numeric, "decimal": Numeric, "uuid": UUID, "json": JSON, "jsonb": JSONB, "pg_lsn": LSN,
 }
 
-// TypeOf returns the object identifier of a type name, or Text for a name that
-// is not known.
+// TypeOf returns the object identifier of a type name in any case, with or without
+// modifiers such as "(10)". It returns Text for an unknown name.
 func TypeOf(name string) uint32 {
 	name = strings.ToLower(strings.TrimSpace(name))
 	if before, _, found := strings.Cut(name, "("); found {
