--- a/internal/localfleet/plan.go
+++ b/internal/localfleet/plan.go
@@ -1,6 +1,6 @@
-// Package localfleet starts a fleet of real processes on loopback: hosts and
-// stand-in endpoints of the built program. Tests and benchmarks use it; it owns
-// the processes that it starts and the files below its folder.
+// Package localfleet starts a fleet of separate processes on loopback addresses:
+// hosts and stand-in endpoints, all run from the built program. It serves tests and
+// benchmarks. It owns the processes that it starts and the files below its folder.
 package localfleet
 
 import (
@@ -21,7 +21,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// Credentials of the endpoints.
+// Credentials and database of the endpoints.
 const (
 	ServiceUser     = "galenabridge"
 	ServicePassword = "endpoint-password"
@@ -31,48 +31,57 @@
 	fleetSecret = "local-fleet-secret"
 )
 
-// Options describe a fleet.
+// Options describe a fleet. Domains and Workspaces must not be empty.
 type Options struct {
 	// Program is the path of the built program.
 	Program string
-	// Dir is the folder for settings and data.
+	// Dir is the existing folder for settings and data.
 	Dir string
-	// Hosts is the number of hosts; the first ControlHosts of them vote.
+	// Hosts is the number of hosts, each with the entry role. The first
+	// ControlHosts of them also have the control role and are voters.
 	Hosts        int
 	ControlHosts int
-	Domains      []note.Domain
-	// Services need Name, Endpoints, Slots and Connections.
+	// Domains are assigned to hosts and to the endpoints of a service in turn.
+	Domains []note.Domain
+	// Services must have Name, Endpoints, Slots and Connections set; database
+	// and credentials are filled in.
 	Services   []note.Service
 	Workspaces []note.Workspace
-	// ReplayLag is the replay lag of the endpoints.
+	// ReplayLag is the replay lag of the replicas.
 	ReplayLag time.Duration
 	// Policy is passed to the hosts; empty means the default.
 	Policy   string
 	LogLevel string
-	// AdvertiseAddr returns the address under which others reach a node's address. Nil
-	// means the address itself.
+	// AdvertiseAddr returns the address by which other processes reach a listen
+	// address of a node, such as that of a proxy that injects network faults. Nil
+	// means the listen address itself.
 	AdvertiseAddr func(node, addr string) string
-	// OnStart is told of each process. Nil means nobody.
+	// OnStart is called after the start of each process. Nil means no call.
 	OnStart func(node string, p *Process)
 }
 
 // Host is a host of the fleet.
 type Host struct {
-	Name         string
-	Settings     config.Settings
+	Name     string
+	Settings config.Settings
+	// SettingsFile is the path of the file that holds Settings.
 	SettingsFile string
-	Proc         *Process
-	// admin is the front of the admin address.
+	// Proc is the latest process of the host, or nil before its first start.
+	Proc *Process
+	// adminAddr is the advertised admin address.
 	adminAddr string
 }
 
 // Endpoint is a stand-in endpoint of the fleet.
 type Endpoint struct {
 	ID, Service, Domain string
-	// Addr is the front of Listen, which all others use.
+	// Listen is the address that serves PostgreSQL's protocol, Addr the advertised
+	// address that leads to it, and Control the address of the control API.
 	Addr, Listen, Control string
-	Dir                   string
-	Proc                  *Process
+	// Dir is the data folder.
+	Dir string
+	// Proc is the latest process of the endpoint, or nil before its first start.
+	Proc *Process
 }
 
 // Fleet is a planned or running fleet.
@@ -80,14 +89,15 @@
 	opts      Options
 	Hosts     []*Host
 	Endpoints []*Endpoint
-	// Keys holds the secret of each key by its id. The first key of a workspace
-	// is "WORKSPACE-1".
+	// Keys holds the secret of each API key by the key's id. The id of a
+	// workspace's first key is the workspace's name followed by "-1".
 	Keys map[string]string
-	// LastNote is the number of the last note that Apply has brought into force.
+	// LastNote is the number of the last note that Start or Apply has applied.
 	LastNote uint64
 }
 
-// New plans a fleet and writes its settings.
+// New assigns addresses to the processes of a fleet and writes the settings of its
+// hosts. It starts no process.
 func New(opts Options) (*Fleet, error) {
 	if opts.AdvertiseAddr == nil {
 		opts.AdvertiseAddr = func(_, addr string) string { return addr }
@@ -105,6 +115,8 @@
 	return f, f.planEndpoints()
 }
 
+// planHosts creates the hosts and writes their settings, each with the same list of
+// control hosts.
 func (f *Fleet) planHosts() error {
 	var controls []config.ControlHost
 	for i := range f.opts.Hosts {
@@ -131,6 +143,7 @@
 	return nil
 }
 
+// planHost fills in the settings of the i-th host, except for the control hosts.
 func (f *Fleet) planHost(h *Host, i int) error {
 	addrs, err := freeAddrs(3)
 	if err != nil {
@@ -150,6 +163,7 @@
 	return nil
 }
 
+// planEndpoints creates the endpoints of all services.
 func (f *Fleet) planEndpoints() error {
 	for _, s := range f.opts.Services {
 		for i := range s.Endpoints {
@@ -168,20 +182,24 @@
 	return nil
 }
 
-// Ports are taken below the range that the system gives to outgoing connections.
+// Ports are drawn below the default range for outgoing connections on Linux, which
+// starts at 32768, so that no such connection occupies a port before its process
+// listens on it.
 const (
 	firstPort       = 12000
 	portCount       = 18000
 	maxPortAttempts = 1000
 )
 
-// ports remembers what this process has given out.
+// ports records the ports that this process has assigned, since nothing may listen
+// on them yet.
 var ports = struct {
 	sync.Mutex
 	taken map[int]bool
 }{taken: make(map[int]bool)}
 
-// freeAddrs returns loopback addresses that nothing listens on.
+// freeAddrs returns n loopback addresses on which nothing listens and which were not
+// returned before.
 func freeAddrs(n int) ([]string, error) {
 	ports.Lock()
 	defer ports.Unlock()
@@ -197,7 +215,7 @@
 			return addrs, nil
 		}
 	}
-	return nil, errors.New("no free port")
+	return nil, errors.New("no free loopback port found")
 }
 
 func isPortFree(addr string) bool {
@@ -209,7 +227,8 @@
 	return true
 }
 
-// firstNote describes the fleet; each workspace gets one key.
+// initialNote returns note 1, which adds all objects of the fleet. Each workspace
+// that is not open gets one key.
 func (f *Fleet) initialNote() note.Note {
 	n := note.Note{Number: 1, Title: "local fleet"}
 	n.Added.Domains = f.opts.Domains
@@ -226,14 +245,16 @@
 	return n
 }
 
-// NewKey makes a key and keeps its secret.
+// NewKey generates a key and adds its secret to Keys. The key is valid once a note
+// that adds it is applied.
 func (f *Fleet) NewKey(id, workspace string) note.Key {
 	secret := scramauth.NewKey()
 	f.Keys[id] = secret
 	return note.Key{ID: id, Workspace: workspace, Verifier: scramauth.Verifier(workspace, secret)}
 }
 
-// endpointArgs returns the command line of an endpoint.
+// endpointArgs returns the arguments that start an endpoint. A primary creates the
+// records table; a replica follows upstream.
 func (f *Fleet) endpointArgs(e *Endpoint, role standin.Role, upstream string) []string {
 	args := []string{
 		"standin", "--service", e.Service, "--id", e.ID, "--domain", e.Domain, "--listen", e.Listen,
--- a/internal/localfleet/process.go
+++ b/internal/localfleet/process.go
@@ -15,10 +15,11 @@
 	cmd  *exec.Cmd
 	out  output
 	done chan struct{}
-	err  error
+	err  error // valid once done is closed
 }
 
-// output collects what a process prints. It is safe for concurrent use.
+// output collects the standard output and standard error of a process. It is safe
+// for concurrent use.
 type output struct {
 	mu  sync.Mutex
 	buf bytes.Buffer
@@ -31,7 +32,7 @@
 	return o.buf.Write(p)
 }
 
-// startProcess starts the program.
+// startProcess starts the program and waits for its end in the background.
 func startProcess(program, name string, args []string) (*Process, error) {
 	p := &Process{Name: name, cmd: exec.Command(program, args...), done: make(chan struct{})}
 	p.cmd.Stdout, p.cmd.Stderr = &p.out, &p.out
@@ -48,14 +49,14 @@
 // PID returns the process id.
 func (p *Process) PID() int { return p.cmd.Process.Pid }
 
-// Output returns what the process has printed.
+// Output returns the output of the process so far.
 func (p *Process) Output() string {
 	p.out.mu.Lock()
 	defer p.out.mu.Unlock()
 	return p.out.buf.String()
 }
 
-// Alive reports whether the process has not ended.
+// Alive reports whether the process is still running.
 func (p *Process) Alive() bool {
 	select {
 	case <-p.done:
@@ -65,19 +66,20 @@
 	}
 }
 
-// Kill ends the process without warning.
+// Kill sends SIGKILL and waits for the end of the process.
 func (p *Process) Kill() {
-	_ = p.cmd.Process.Kill() // it may have ended
+	_ = p.cmd.Process.Kill() // fails only if the process has ended
 	<-p.done
 }
 
-// Terminate asks the process to shut down.
+// Terminate sends SIGTERM, which requests a graceful shutdown, and does not wait.
 func (p *Process) Terminate() error {
-	return errors.Wrapf(p.cmd.Process.Signal(syscall.SIGTERM), "stop %s", p.Name)
+	return errors.Wrapf(p.cmd.Process.Signal(syscall.SIGTERM), "send SIGTERM to %s", p.Name)
 }
 
-// Done is closed when the process has ended.
+// Done returns a channel that is closed when the process has ended.
 func (p *Process) Done() <-chan struct{} { return p.done }
 
-// Err returns how the process ended; it is valid once Done is closed.
+// Err returns nil if the process exited with status 0, or else the reason of its
+// end. It must only be called after Done is closed.
 func (p *Process) Err() error { return p.err }
--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -18,11 +18,12 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// pollInterval is the pause between attempts while the fleet starts.
+// pollInterval is the pause between two attempts of Poll.
 const pollInterval = 20 * time.Millisecond
 
-// Start starts all processes, applies the first note and waits until every
-// host serves every service to the first workspace.
+// Start starts all processes, applies the initial note and waits until every host
+// serves every service to the first workspace. change, if not nil, modifies the note
+// before it is sent.
 func (f *Fleet) Start(ctx context.Context, change func(*note.Note)) error {
 	for _, h := range f.Hosts {
 		if err := f.StartHost(h); err != nil {
@@ -57,6 +58,7 @@
 	return nil
 }
 
+// startEndpoints starts all endpoints. The first one of each service is the primary.
 func (f *Fleet) startEndpoints() error {
 	primaries := make(map[string]string)
 	for _, e := range f.Endpoints {
@@ -75,7 +77,7 @@
 }
 
 // StartEndpoint starts the process of an endpoint. With a data folder from an
-// earlier start the role is the one it had.
+// earlier start the endpoint resumes the stored role instead of the given one.
 func (f *Fleet) StartEndpoint(e *Endpoint, role standin.Role, upstream string) error {
 	p, err := startProcess(f.opts.Program, e.ID, f.endpointArgs(e, role, upstream))
 	if err != nil {
@@ -86,7 +88,7 @@
 	return nil
 }
 
-// Stop kills all processes.
+// Stop kills all processes and waits for their end.
 func (f *Fleet) Stop() {
 	for _, h := range f.Hosts {
 		if h.Proc != nil {
@@ -100,19 +102,21 @@
 	}
 }
 
+// applyUntilAccepted sends a note to the first host until it is accepted.
 func (f *Fleet) applyUntilAccepted(ctx context.Context, n note.Note) error {
 	err := Poll(ctx, func() error {
 		_, err := f.PostNote(ctx, f.Hosts[0], n)
 		return err
 	})
 	if err != nil {
-		return errors.Wrapf(err, "note %d", n.Number)
+		return errors.Wrapf(err, "apply note %d", n.Number)
 	}
 	f.LastNote = n.Number
 	return nil
 }
 
-// Poll repeats try until it succeeds or ctx ends; it returns the last error.
+// Poll calls try until it succeeds. If ctx ends first it returns the last error of
+// try.
 func Poll(ctx context.Context, try func() error) error {
 	for {
 		err := try()
@@ -121,13 +125,14 @@
 		}
 		select {
 		case <-ctx.Done():
-			return errors.Wrap(err, "gave up")
+			return errors.Wrap(err, "gave up retrying")
 		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// AwaitServing waits until every host answers reads of every service.
+// AwaitServing waits until every host answers reads of every service for the first
+// workspace.
 func (f *Fleet) AwaitServing(ctx context.Context) error {
 	workspace := f.opts.Workspaces[0].Name
 	for _, h := range f.Hosts {
@@ -141,6 +146,8 @@
 	return nil
 }
 
+// countRecords connects to url and reads the number of records, which shows that
+// reads are served.
 func countRecords(ctx context.Context, url string) error {
 	conn, err := pgx.Connect(ctx, url)
 	if err != nil {
@@ -151,12 +158,13 @@
 	return conn.QueryRow(ctx, "select count(*) from records").Scan(&n)
 }
 
-// URL returns the URL of a caller with the workspace's first key.
+// URL returns the URL by which a caller connects with the workspace's first key.
 func (f *Fleet) URL(h *Host, workspace, service string) string {
 	return CallerURL(h, workspace, f.Keys[workspace+"-1"], service)
 }
 
-// CallerURL returns the URL of a caller with any key.
+// CallerURL returns the URL by which a caller connects to a service through a host
+// with the given key.
 func CallerURL(h *Host, workspace, key, service string) string {
 	u := url.URL{
 		Scheme: "postgres", User: url.UserPassword(workspace, key), Host: h.Settings.Entry.Listen,
@@ -165,18 +173,20 @@
 	return u.String()
 }
 
-// DirectURL returns the URL of an endpoint, past the hosts.
+// DirectURL returns the URL of a direct connection to the endpoint, which bypasses
+// the hosts.
 func (e *Endpoint) DirectURL() string {
 	return fmt.Sprintf("postgres://%s:%s@%s/%s?sslmode=disable", ServiceUser, ServicePassword, e.Listen, Database)
 }
 
-// NoteResponse is the answer to an accepted note.
+// NoteResponse is the admin API's response to an accepted note.
 type NoteResponse struct {
-	Stamp    note.Stamp `json:"stamp"`
-	Repeated bool       `json:"repeated"`
+	Stamp note.Stamp `json:"stamp"`
+	// Repeated reports that the same note had been accepted before.
+	Repeated bool `json:"repeated"`
 }
 
-// StatusError is an answer over HTTP that is not a success.
+// StatusError is an HTTP response with a status of 400 or above.
 type StatusError struct {
 	Status int
 	Body   string
@@ -185,7 +195,8 @@
 // Error implements error.
 func (e *StatusError) Error() string { return fmt.Sprintf("HTTP %d: %s", e.Status, e.Body) }
 
-// PostNote sends a note to a host.
+// PostNote sends a note to a host once. It returns a StatusError if the host does
+// not accept the note.
 func (f *Fleet) PostNote(ctx context.Context, h *Host, n note.Note) (NoteResponse, error) {
 	body, err := json.Marshal(n)
 	if err != nil {
@@ -196,8 +207,8 @@
 	return answer, err
 }
 
-// Apply applies the next note through a host, sending it again until it is
-// accepted.
+// Apply sends the note after LastNote, filled in by change, to a host until it is
+// accepted or ctx ends.
 func (f *Fleet) Apply(ctx context.Context, h *Host, change func(*note.Note)) error {
 	n := note.Note{Number: f.LastNote + 1}
 	change(&n)
@@ -208,24 +219,24 @@
 	if err == nil {
 		f.LastNote = n.Number
 	}
-	return errors.Wrapf(err, "note %d", n.Number)
+	return errors.Wrapf(err, "apply note %d", n.Number)
 }
 
-// Catalog returns the catalog in force as a host shows it.
+// Catalog returns the current catalog as reported by a host.
 func (f *Fleet) Catalog(ctx context.Context, h *Host) (note.Catalog, error) {
 	var c note.Catalog
 	err := doJSON(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/notes/current", nil, &c)
 	return c, err
 }
 
-// ControlStatus returns the state of the control hosts as a host shows it.
+// ControlStatus returns the status of the control hosts as reported by a host.
 func (f *Fleet) ControlStatus(ctx context.Context, h *Host) (control.Status, error) {
 	var s control.Status
 	err := doJSON(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/status", nil, &s)
 	return s, err
 }
 
-// SetFaults sets fault switches of an endpoint.
+// SetFaults changes the faults that an endpoint simulates.
 func (e *Endpoint) SetFaults(ctx context.Context, r standin.FaultRequest) error {
 	body, err := json.Marshal(r)
 	if err != nil {
@@ -234,15 +245,15 @@
 	return doJSON(ctx, http.MethodPost, "http://"+e.Control+"/v1/faults", body, nil)
 }
 
-// Status returns the state of an endpoint.
+// Status returns the status that an endpoint reports.
 func (e *Endpoint) Status(ctx context.Context) (standin.Status, error) {
 	var s standin.Status
 	err := doJSON(ctx, http.MethodGet, "http://"+e.Control+"/v1/status", nil, &s)
 	return s, err
 }
 
-// Primary returns the endpoint of the newest timeline that takes itself for the
-// primary, or nil.
+// Primary returns the endpoint of a service that reports the primary role on the
+// newest timeline, or nil if none does. Endpoints that do not respond are skipped.
 func (f *Fleet) Primary(ctx context.Context, service string) *Endpoint {
 	var found *Endpoint
 	var newest uint32
@@ -258,6 +269,8 @@
 	return found
 }
 
+// doJSON sends an HTTP request and decodes the JSON response into out unless out is
+// nil or the response is empty.
 func doJSON(ctx context.Context, method, url string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
