--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -12,6 +12,7 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
+// loadProfiles returns the profiles that the repository ships.
 func loadProfiles(t *testing.T) []*Profile {
 	t.Helper()
 	paths, err := filepath.Glob("../../profiles/*.json")
@@ -78,8 +79,8 @@
 	}
 }
 
-// TestCheckStoredCountsEachKindOfViolation shows that the check fails on each kind of
-// broken promise.
+// Guards against a final check that misses lost writes, doubled writes or writes
+// stored although they were reported as not run.
 func TestCheckStoredCountsEachKindOfViolation(t *testing.T) {
 	sent := []*sentWrite{
 		{id: "kept", outcome: history.Acked}, {id: "lost", outcome: history.Acked}, {id: "twice", outcome: history.Acked},
@@ -112,13 +113,13 @@
 	}
 	var out bytes.Buffer
 	if n := Compare(&out, base(), base(), DefaultBounds); n != 0 {
-		t.Errorf("equal results break %d bounds:\n%s", n, out.String())
+		t.Errorf("equal results exceed %d bounds:\n%s", n, out.String())
 	}
 	for name, change := range worse {
 		r := base()
 		change(r)
 		if n := Compare(&out, base(), r, DefaultBounds); n != 1 {
-			t.Errorf("%s: %d bounds broken", name, n)
+			t.Errorf("%s: %d bounds exceeded, want 1", name, n)
 		}
 	}
 }
--- a/internal/bench/caller.go
+++ b/internal/bench/caller.go
@@ -10,8 +10,9 @@
 	"github.com/jackc/pgx/v5"
 )
 
-// caller runs the requests of one workspace one after another, each service
-// over its own connection, and roams between entry hosts.
+// caller performs requests of one workspace one after another. It holds one
+// connection for each service and reconnects through a random entry host with the
+// probability Workspace.Roam after each request.
 type caller struct {
 	runner     *runner
 	workspace  Workspace
@@ -23,9 +24,11 @@
 	conns      map[string]*pgx.Conn
 }
 
-// requestTimeout bounds one request including its connection.
+// requestTimeout bounds one request, including the time to connect.
 const requestTimeout = 30 * time.Second
 
+// run performs queued requests until ctx ends. Each request taken from the queue
+// is marked as done in runner.pending exactly once.
 func (c *caller) run(ctx context.Context) {
 	defer c.closeAll()
 	for {
@@ -42,6 +45,7 @@
 	}
 }
 
+// closeAll closes the caller's connections.
 func (c *caller) closeAll() {
 	for service, conn := range c.conns {
 		closeConn(conn)
@@ -52,9 +56,10 @@
 func closeConn(conn *pgx.Conn) {
 	ctx, cancel := context.WithTimeout(context.Background(), time.Second)
 	defer cancel()
-	_ = conn.Close(ctx) // the connection is of no further use
+	_ = conn.Close(ctx) // the connection is not used again
 }
 
+// handle performs a request and records it with its latency and outcome.
 func (c *caller) handle(ctx context.Context, req request) {
 	ctx, cancel := context.WithTimeout(ctx, requestTimeout)
 	defer cancel()
@@ -69,7 +74,7 @@
 	})
 }
 
-// do performs a request. It reports whether a replica answered.
+// execute performs a request. It reports whether a replica answered.
 func (c *caller) execute(ctx context.Context, req *request) (bool, error) {
 	conn, err := c.connection(ctx, req.service)
 	if err != nil {
@@ -88,6 +93,8 @@
 	return c.readBack(ctx, conn, req.written)
 }
 
+// connection returns the open connection to a service, or connects through a
+// random entry host.
 func (c *caller) connection(ctx context.Context, service string) (*pgx.Conn, error) {
 	if conn := c.conns[service]; conn != nil && !conn.IsClosed() {
 		return conn, nil
@@ -105,20 +112,22 @@
 	return conn, nil
 }
 
+// removeClosed forgets the connection to a service if it is closed.
 func (c *caller) removeClosed(service string) {
 	if conn := c.conns[service]; conn != nil && conn.IsClosed() {
 		delete(c.conns, service)
 	}
 }
 
-// newEntry names a record that no other caller writes.
+// newWrite returns a write with an id that no other caller uses.
 func (c *caller) newWrite(service string) *sentWrite {
 	c.writeCount++
 	id := c.name + "-" + strconv.Itoa(c.writeCount)
 	return &sentWrite{id: id, body: "body of " + id, service: service, workspace: c.workspace.Name}
 }
 
-// note records a write that failed before it was sent.
+// recordUnsent records a write that failed before it was sent, so that the final
+// check finds it if it is stored nonetheless.
 func (c *caller) recordUnsent(req *request, err error) {
 	if req.op != OpFile && req.op != OpCorrect {
 		return
@@ -128,6 +137,8 @@
 	c.writes.add(req.op, w)
 }
 
+// write inserts a row and records the outcome. An acknowledged record is read back
+// after the think time; corrections are only checked at the end of the run.
 func (c *caller) write(ctx context.Context, conn *pgx.Conn, req *request) error {
 	w := c.newWrite(req.service)
 	text := "insert into records (id, workspace, body) values ($1, $2, $3)"
@@ -143,13 +154,16 @@
 	return err
 }
 
-// followUp reads the entry back after the think time, through any caller.
+// scheduleReadBack queues a read of an acknowledged write after the think time.
+// Any caller of the workspace may perform it.
 func (c *caller) scheduleReadBack(w *sentWrite) {
 	at := time.Now().Add(time.Duration(c.workspace.Think))
 	c.runner.enqueueAt(at, c.queue, request{op: OpCheck, service: w.service, intended: at, written: w})
 }
 
-// check reads an entry that must be there; without one it reads nothing.
+// readBack reads an acknowledged write and counts a violation if its body is
+// missing or differs. Without a write (nil) it expects no row. The query returns a
+// nonce, which detects an answer that belongs to another request.
 func (c *caller) readBack(ctx context.Context, conn *pgx.Conn, w *sentWrite) (bool, error) {
 	id, want := "none", ""
 	if w != nil {
@@ -171,7 +185,7 @@
 		if got != nonce {
 			c.runner.recorder.recordViolation(func(v *Violations) {
 				v.Foreign++
-				v.addExample("request %s was answered with %s", nonce, got)
+				v.addExample("request %s received the answer to %s", nonce, got)
 			})
 		}
 	}
@@ -181,7 +195,7 @@
 	if found != want {
 		c.runner.recorder.recordViolation(func(v *Violations) {
 			v.Stale++
-			v.addExample("entry %s of %s reads %q", id, c.workspace.Name, found)
+			v.addExample("record %s of workspace %s reads %q", id, c.workspace.Name, found)
 		})
 	}
 	return replica, nil
@@ -190,7 +204,8 @@
 const historyQuery = `select pg_sleep(%.3f), pg_is_in_recovery(), workspace from records
 	where workspace = $1 order by id limit 100`
 
-// history reads many entries; all of them must be the workspace's own.
+// history reads many records and spends HistoryTime in the database. It counts a
+// violation for each record of another workspace.
 func (c *caller) history(ctx context.Context, conn *pgx.Conn) (bool, error) {
 	text := fmt.Sprintf(historyQuery, seconds(time.Duration(c.workspace.HistoryTime)))
 	rows, err := conn.Query(ctx, text, c.workspace.Name)
@@ -207,7 +222,7 @@
 		if workspace != c.workspace.Name {
 			c.runner.recorder.recordViolation(func(v *Violations) {
 				v.Foreign++
-				v.addExample("history of %s holds an entry of %s", c.workspace.Name, workspace)
+				v.addExample("history of workspace %s holds a record of workspace %s", c.workspace.Name, workspace)
 			})
 		}
 	}
--- a/internal/bench/check.go
+++ b/internal/bench/check.go
@@ -9,16 +9,18 @@
 	"github.com/pkg/errors"
 )
 
-// checkTimeout bounds the reading of all stored records.
+// checkTimeout bounds the final check of all workspaces and services.
 const checkTimeout = 5 * time.Minute
 
+// hash returns the FNV-1a hash of text, which seeds a caller's random numbers.
 func hash(text string) uint64 {
 	h := fnv.New64a()
 	_, _ = h.Write([]byte(text)) // never fails
 	return h.Sum64()
 }
 
-// checkAll compares all that was sent with what is stored.
+// checkAll compares the writes that were sent with the stored rows and adds
+// violations to res. It sets res.Checked once it has read all rows.
 func (r *runner) checkAll(ctx context.Context, res *Result) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
@@ -33,6 +35,8 @@
 	return nil
 }
 
+// checkWorkspace checks the records and corrections of one workspace in one
+// service.
 func (r *runner) checkWorkspace(ctx context.Context, res *Result, workspace, service string) error {
 	conn, err := pgx.Connect(ctx, r.target.CheckURL(workspace, service))
 	if err != nil {
@@ -63,6 +67,7 @@
 	return out
 }
 
+// countStoredIDs returns how many rows the table holds for each id of a workspace.
 func countStoredIDs(ctx context.Context, conn *pgx.Conn, table, workspace string) (map[string]int, error) {
 	rows, err := conn.Query(ctx, "select id from "+table+" where workspace = $1", workspace)
 	if err != nil {
--- a/internal/bench/classify.go
+++ b/internal/bench/classify.go
@@ -11,7 +11,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Causes of failure besides the names of result codes.
+// Causes of failure other than the names of result codes.
 const (
 	causeConnect    = "connect_failed"
 	causeConnection = "connection_lost"
@@ -19,10 +19,12 @@
 	causeDropped    = "generator_overrun"
 )
 
+// resultCode finds the code of a result in an error message of the proxy.
 var resultCode = regexp.MustCompile(`GB(\d{4})\b`)
 
-// classify returns what an error tells about its request and a name for its
-// cause.
+// classify returns the outcome of a request that ended with err, and the cause by
+// which the failure is counted. Only errors that exclude that the statement ran
+// count as NotRun; any other error leaves the outcome unknown.
 func classify(err error) (history.Outcome, string) {
 	if err == nil {
 		return history.Acked, ""
@@ -47,7 +49,7 @@
 	return history.Unknown, info.Name
 }
 
-// connectError wraps a failure to connect: the request was never sent.
+// connectError wraps a failure to connect, after which the request was not sent.
 type connectError struct{ error }
 
 func (e connectError) Unwrap() error { return e.error }
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -10,23 +10,25 @@
 	"github.com/pkg/errors"
 )
 
-// Bounds limit how much a result may be worse than another. A limit of zero is
-// not checked, except for violations, which are never allowed.
+// Bounds limit how much worse a result may be than an older one. A limit of zero
+// is not checked. Violations are never allowed and have no limit.
 type Bounds struct {
-	// P50Ratio and P99Ratio limit the latency of each class, as new / old.
+	// P50Ratio and P99Ratio limit the latency of each class, as newer / older.
 	P50Ratio float64 `json:"p50_ratio"`
 	P99Ratio float64 `json:"p99_ratio"`
-	// ReplicaShareDrop and WorstShareDrop limit how far shares may fall.
+	// ReplicaShareDrop and WorstShareDrop limit the decrease of a share, as the
+	// difference of two fractions.
 	ReplicaShareDrop float64 `json:"replica_share_drop"`
 	WorstShareDrop   float64 `json:"worst_share_drop"`
-	// GapRatio limits the longest time without an acknowledged write.
+	// GapRatio limits the longest time without an acknowledged write of each
+	// service, as newer / older.
 	GapRatio float64 `json:"gap_ratio"`
 }
 
-// DefaultBounds are the bounds of a comparison that names none.
+// DefaultBounds are used for a comparison without a bounds file.
 var DefaultBounds = Bounds{P50Ratio: 1.25, P99Ratio: 1.5, ReplicaShareDrop: 0.05, WorstShareDrop: 0.05, GapRatio: 1.5}
 
-// LoadBounds reads bounds from a JSON file.
+// LoadBounds reads bounds from a JSON file. Unknown fields are errors.
 func LoadBounds(path string) (Bounds, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -38,14 +40,15 @@
 	return b, errors.Wrap(dec.Decode(&b), "bounds")
 }
 
-// comparison collects the lines of a comparison.
+// comparison writes a line for each compared value and counts exceeded bounds.
 type comparison struct {
 	w        io.Writer
 	exceeded int
 }
 
-// Compare writes the differences between two results and returns the number of
-// bounds that the newer one breaks.
+// Compare writes the values of two results side by side and returns the number of
+// bounds that the newer one exceeds. Violations, or a final check that did not run,
+// count as one exceeded bound.
 func Compare(w io.Writer, older, newer *Result, b Bounds) int {
 	c := &comparison{w: w}
 	for _, class := range []string{"interactive", "correction", "bulk"} {
@@ -64,17 +67,21 @@
 	c.checkDrop("replica share", older.ReplicaShare, newer.ReplicaShare, b.ReplicaShareDrop)
 	c.checkDrop("worst share", older.WorstShare, newer.WorstShare, b.WorstShareDrop)
 	for _, service := range sortedKeys(older.LongestWriteGaps) {
-		c.checkRatio("write gap of "+service+" (s)", older.LongestWriteGaps[service], newer.LongestWriteGaps[service], b.GapRatio)
+		c.checkRatio("write gap of "+service+" (s)", older.LongestWriteGaps[service],
+			newer.LongestWriteGaps[service], b.GapRatio)
 	}
 	c.writeLine("violations", float64(older.Violations.Total()), float64(newer.Violations.Total()),
 		newer.Violations.Total() > 0 || !newer.Checked)
 	return c.exceeded
 }
 
+// checkRatio compares values that must not grow. An older value of zero has no
+// ratio and is not checked.
 func (c *comparison) checkRatio(name string, older, newer, limit float64) {
 	c.writeLine(name, older, newer, limit > 0 && older > 0 && newer/older > limit)
 }
 
+// checkDrop compares values that must not fall.
 func (c *comparison) checkDrop(name string, older, newer, limit float64) {
 	c.writeLine(name, older, newer, limit > 0 && older-newer > limit)
 }
--- a/internal/bench/direct.go
+++ b/internal/bench/direct.go
@@ -11,13 +11,13 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// Direct is a target without a proxy: the callers connect to the primaries of
-// groups of stand-in endpoints. It is the baseline of the proxy's cost.
+// Direct is a target without the proxy: callers connect to the primaries of groups
+// of stand-in endpoints. It serves as the baseline for the overhead of the proxy.
 type Direct struct {
 	groups map[string]*standin.Group
 }
 
-// NewDirect opens the groups of a profile.
+// NewDirect opens a group of stand-in endpoints for each service of a profile.
 func NewDirect(p *Profile, replayLag time.Duration) (*Direct, error) {
 	d := &Direct{groups: make(map[string]*standin.Group)}
 	callers := 0
@@ -40,7 +40,7 @@
 	return d, nil
 }
 
-// Run serves the groups until ctx ends.
+// Run serves the groups until ctx ends or one of them fails.
 func (d *Direct) Run(ctx context.Context) error {
 	var tasks run.Group
 	for _, g := range d.groups {
@@ -50,7 +50,8 @@
 	return tasks.Run()
 }
 
-// Target returns the target of a run.
+// Target returns the target of a run. The first endpoint of each group is the
+// primary; entry address and workspace are ignored.
 func (d *Direct) Target() Target {
 	url := func(service string) string {
 		addr := d.groups[service].Servers[0].Addr()
@@ -64,8 +65,8 @@
 	}
 }
 
-// Inject implements FaultInjector: without a proxy there is nobody to recover from a
-// fault.
+// Inject implements FaultInjector. It always fails, since nothing recovers from a
+// fault without the proxy.
 func (d *Direct) Inject(context.Context, Action, string) error {
-	return errors.New("faults need the proxy")
+	return errors.New("faults require the proxy")
 }
--- a/internal/bench/fault.go
+++ b/internal/bench/fault.go
@@ -12,21 +12,23 @@
 	"github.com/galenabridge/galenabridge/internal/config"
 )
 
-// Action names a fault.
+// Action identifies a kind of fault or its end.
 type Action string
 
-// Actions. Each service or host is named by the fault's target.
+// Actions. Fault.Target names the service, host, domain or workspace.
 const (
-	// IsolatePrimary cuts the primary of a service off from callers, replicas
-	// and announcements; HealEndpoints clears the faults of its endpoints.
+	// IsolatePrimary cuts the connections of a service's primary to callers and
+	// replicas and suppresses its announcements. HealEndpoints clears all faults
+	// of the service's endpoints.
 	IsolatePrimary Action = "isolate_primary"
 	HealEndpoints  Action = "heal_endpoints"
-	// KillHost stops an entry host without warning.
+	// KillHost kills the process of a host without a graceful shutdown.
 	KillHost Action = "kill_host"
-	// DomainOut takes a failure domain out of use, DomainIn back into use.
+	// DomainOut takes a failure domain out of use; DomainIn puts it back.
 	DomainOut Action = "domain_out"
 	DomainIn  Action = "domain_in"
-	// SurgeOn multiplies the load of a workspace until SurgeOff.
+	// SurgeOn multiplies the offered load of a workspace by its Surge until
+	// SurgeOff.
 	SurgeOn  Action = "surge_on"
 	SurgeOff Action = "surge_off"
 )
@@ -39,7 +41,8 @@
 	return false
 }
 
-// ParseFault reads "AT=ACTION:TARGET", such as "10s=kill_host:host-2".
+// ParseFault parses "AT=ACTION:TARGET", such as "10s=kill_host:host-2". AT is the
+// time since the start of the load.
 func ParseFault(text string) (Fault, error) {
 	at, rest, ok := strings.Cut(text, "=")
 	if !ok {
@@ -57,13 +60,14 @@
 	return f, nil
 }
 
-// FaultInjector causes faults in the system under load.
+// FaultInjector injects faults into the system under load.
 type FaultInjector interface {
-	// Inject performs the action. It returns an error when it cannot.
+	// Inject performs an action, or returns an error if it cannot be performed.
 	Inject(ctx context.Context, action Action, target string) error
 }
 
-// surges holds the present load factor of each workspace.
+// surges records for each workspace whether a surge is active. It is safe for
+// concurrent use.
 type surges map[string]*atomic.Bool
 
 func newSurges(workspaces []Workspace) surges {
@@ -74,8 +78,8 @@
 	return s
 }
 
-// set handles the actions that concern the load itself. It reports whether the
-// action is one of them.
+// set starts or ends the surge of a workspace. It reports whether the action
+// concerns a surge at all; such an action for an unknown workspace is ignored.
 func (s surges) set(action Action, target string) bool {
 	if action != SurgeOn && action != SurgeOff {
 		return false
@@ -86,7 +90,7 @@
 	return true
 }
 
-// factor returns what the offered load of w is multiplied by.
+// factor returns the factor by which the offered load of w is multiplied.
 func (s surges) factor(w Workspace) float64 {
 	if s[w.Name].Load() && w.Surge > 0 {
 		return w.Surge
@@ -94,7 +98,8 @@
 	return 1
 }
 
-// causeFaults performs the scheduled faults in order of their time.
+// injectFaults performs the faults of the profile at their times until ctx ends.
+// Each one is recorded with the error of its injection, if any.
 func (r *runner) injectFaults(ctx context.Context) {
 	faults := append([]Fault(nil), r.profile.Faults...)
 	sort.SliceStable(faults, func(i, j int) bool { return faults[i].At < faults[j].At })
@@ -112,6 +117,7 @@
 	}
 }
 
+// sleepUntil waits until at. It returns false if ctx ends first.
 func sleepUntil(ctx context.Context, at time.Time) bool {
 	timer := time.NewTimer(time.Until(at))
 	defer timer.Stop()
--- a/internal/bench/generator.go
+++ b/internal/bench/generator.go
@@ -6,32 +6,37 @@
 	"time"
 )
 
-// request is one operation with its intended start.
+// request is one operation to perform at its intended start.
 type request struct {
 	op       Operation
 	service  string
 	intended time.Time
-	// entry is the entry that a follow-up check reads.
+	// written is the acknowledged write that this request reads back. If it is
+	// nil, an OpCheck request reads a random acknowledged write.
 	written *sentWrite
 }
 
-// maxBacklog bounds the requests of a workspace that wait for a caller. Beyond
-// it requests count as dropped by the generator.
+// maxBacklog bounds the requests of a workspace that wait for a caller. Further
+// requests are dropped and counted under causeDropped.
 const maxBacklog = 100_000
 
-// arrivals draws the intended starts of a workspace's requests as a Poisson
-// process and queues them for its callers.
+// generator draws the intended starts of a workspace's requests from a Poisson
+// process and queues each request at its start for the workspace's callers,
+// whether or not earlier requests have finished.
 type generator struct {
 	workspace  Workspace
 	services   []string
 	rng        *rand.Rand
 	loadFactor func() float64
 	queue      chan request
-	onQueued   func()
-	onDropped  func(request)
+	// onQueued is called before a request enters the queue, so that a caller
+	// cannot finish it before it is counted as pending.
+	onQueued  func()
+	onDropped func(request)
 }
 
-// run queues requests until end.
+// run queues requests from start to end. A change of the load factor applies from
+// the next arrival. A workspace without offered load gets no requests.
 func (g *generator) run(ctx context.Context, start, end time.Time) {
 	next := start
 	for {
@@ -47,6 +52,7 @@
 	}
 }
 
+// enqueue queues a request without waiting, or drops it if the queue is full.
 func (g *generator) enqueue(r request) {
 	if len(g.queue) == cap(g.queue) {
 		g.onDropped(r)
@@ -56,7 +62,8 @@
 	g.queue <- r
 }
 
-// draw chooses an operation by the weights of the mix.
+// drawOperation draws an operation with a probability proportional to its weight
+// in the mix.
 func (g *generator) drawOperation() Operation {
 	sum := 0.0
 	for _, op := range operations {
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -21,10 +21,11 @@
 	barWidth   = 14 * vg.Millimeter
 )
 
-// SavePlots writes the plots of a result as PNG files into dir.
+// SavePlots writes the plots of a result as PNG files into dir, which it creates if
+// needed.
 func (r *Result) SavePlots(dir string) error {
 	if err := os.MkdirAll(dir, 0o755); err != nil {
-		return errors.Wrap(err, "report folder")
+		return errors.Wrap(err, "create report folder")
 	}
 	for name, draw := range map[string]func(*plot.Plot) error{
 		"latency.png":  r.drawLatency,
@@ -62,6 +63,8 @@
 	return nil
 }
 
+// addLine adds a line in the i-th color to plot and legend. It adds nothing without
+// points.
 func addLine(p *plot.Plot, i int, name string, points plotter.XYs) error {
 	if len(points) == 0 {
 		return nil
@@ -89,7 +92,7 @@
 	return addBars(p, names, values)
 }
 
-// drawReplicas plots the share of reads that replicas served.
+// drawReplicas plots the shares of reads that replicas and the primary served.
 func (r *Result) drawReplicas(p *plot.Plot) error {
 	p.Title.Text = r.Profile + ": reads by server"
 	p.Y.Min, p.Y.Max = 0, 1
@@ -110,7 +113,7 @@
 	return nil
 }
 
-// drawRefusals plots the refusals by cause and second.
+// drawRefusals plots the failed requests of each second by cause.
 func (r *Result) drawRefusals(p *plot.Plot) error {
 	p.Title.Text = r.Profile + ": refusals by cause"
 	p.X.Label.Text, p.Y.Label.Text = "time (s)", "refusals per second"
--- a/internal/bench/profile.go
+++ b/internal/bench/profile.go
@@ -1,9 +1,12 @@
-// Package bench drives a fleet with an open-loop load and checks the answers.
-// Requests start at times drawn beforehand, whether or not earlier ones have
-// been answered, and each latency counts from the intended start, so that a
-// stalled system is not spared the requests it held up. The package owns the
-// callers' connections of a run and the files of its report; it does not start
-// or configure the system under load.
+// Package bench drives a system with an open-loop load and checks the answers.
+// The intended start of a request does not depend on the answers to earlier ones,
+// and its latency counts from the intended start, so that the requests delayed by
+// a stall are measured with their delay (no coordinated omission). After the load
+// the stored rows are compared with the writes that were sent.
+//
+// The package owns the callers' connections and the files of its report. Its load
+// runs against any Target: a running system, stand-in endpoints without the proxy
+// (Direct) or a local fleet that it starts (System).
 package bench
 
 import (
@@ -19,28 +22,30 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// Operation is a kind of request.
+// Operation is a kind of request. A read of OpCheck or OpHistory may be served by a
+// replica.
 type Operation string
 
 // Operations.
 const (
-	// OpFile inserts an entry and reads it back after the think time.
+	// OpFile inserts a record and reads it back after the think time.
 	OpFile Operation = "file"
-	// OpCorrect inserts a correction, which may not run twice.
+	// OpCorrect inserts a correction, which must not run twice.
 	OpCorrect Operation = "correct"
-	// OpCheck reads an entry that the workspace has filed.
+	// OpCheck reads an acknowledged record of the workspace.
 	OpCheck Operation = "check"
-	// OpHistory reads many entries and takes its time.
+	// OpHistory is a slow read of many records.
 	OpHistory Operation = "history"
 )
 
+// operations lists all operations in the order in which the generator weighs them.
 var operations = []Operation{OpFile, OpCorrect, OpCheck, OpHistory}
 
 // Profile describes a deployment and its load.
 type Profile struct {
 	Name    string   `json:"name" validate:"required"`
 	Domains []Domain `json:"domains" validate:"required,min=1,dive"`
-	// Hosts is the number of entry hosts.
+	// Hosts is the number of hosts, all of which have the entry role.
 	Hosts      int         `json:"hosts" validate:"gte=1"`
 	Services   []Service   `json:"services" validate:"required,min=1,dive"`
 	Workspaces []Workspace `json:"workspaces" validate:"required,min=1,dive"`
@@ -53,7 +58,7 @@
 	Region string `json:"region" validate:"required"`
 }
 
-// Service is a database group.
+// Service is a database served by a primary and its replicas.
 type Service struct {
 	Name        string `json:"name" validate:"required"`
 	Endpoints   int    `json:"endpoints" validate:"gte=1"`
@@ -61,41 +66,44 @@
 	Connections int    `json:"connections" validate:"gte=1"`
 }
 
-// Workspace is the load of one workspace.
+// Workspace describes the limits and the load of one workspace.
 type Workspace struct {
 	Name  string     `json:"name" validate:"required"`
 	Class note.Class `json:"class" validate:"oneof=interactive correction bulk"`
-	// Rate and Burst are what the release note allows, in statements per second
-	// and statements.
+	// Rate and Burst are the limits in the release note, in statements per second
+	// and in statements.
 	Rate  float64 `json:"rate" validate:"gt=0"`
 	Burst float64 `json:"burst" validate:"gte=1"`
-	// Offered is the load in operations per second.
+	// Offered is the offered load in operations per second.
 	Offered float64 `json:"offered" validate:"gte=0"`
-	// Surge multiplies the offered load of a workspace during a surge fault.
+	// Surge multiplies the offered load during a surge; 0 means no change.
 	Surge float64 `json:"surge,omitempty" validate:"gte=0"`
-	// Mix weighs the operations.
+	// Mix holds the relative weight of each operation.
 	Mix map[Operation]float64 `json:"mix" validate:"required"`
-	// Callers is the number of connections at once.
+	// Callers is the number of concurrent callers, each with a connection to
+	// every service that it uses.
 	Callers int `json:"callers" validate:"gte=1"`
-	// Think is the time from an acknowledged entry to the read that checks it.
+	// Think is the think time between an acknowledged record and its read back.
 	Think config.Duration `json:"think,omitempty"`
 	// HistoryTime is the time that a history read spends in the database.
 	HistoryTime config.Duration `json:"history_time,omitempty"`
-	// Roam is the probability that a caller reconnects through another host
-	// after an operation.
-	Roam     float64  `json:"roam,omitempty" validate:"gte=0,lte=1"`
+	// Roam is the probability that a caller reconnects, through a host drawn at
+	// random, after an operation.
+	Roam float64 `json:"roam,omitempty" validate:"gte=0,lte=1"`
+	// Services are the services that the workspace uses; empty means all.
 	Services []string `json:"services,omitempty"`
 }
 
-// Fault is a fault to cause during the run.
+// Fault is a fault to inject during the run.
 type Fault struct {
+	// At is the time since the start of the load.
 	At     config.Duration `json:"at"`
 	Action Action          `json:"action" validate:"required"`
-	// Target is a service, host, domain or workspace, by action.
+	// Target is a service, host, domain or workspace, depending on the action.
 	Target string `json:"target,omitempty"`
 }
 
-// LoadProfile reads and checks the profile at path.
+// LoadProfile reads and validates the profile at path.
 func LoadProfile(path string) (*Profile, error) {
 	data, err := os.ReadFile(path)
 	if err != nil {
@@ -104,7 +112,7 @@
 	return ParseProfile(data)
 }
 
-// ParseProfile decodes and checks a profile. Unknown fields are errors.
+// ParseProfile decodes and validates a profile. Unknown fields are errors.
 func ParseProfile(data []byte) (*Profile, error) {
 	var p Profile
 	dec := json.NewDecoder(bytes.NewReader(data))
@@ -118,6 +126,8 @@
 	return &p, p.validate()
 }
 
+// validate checks what the tags cannot express: names of services, operations and
+// actions, and the weights of the mixes.
 func (p *Profile) validate() error {
 	services := make(map[string]bool)
 	for _, s := range p.Services {
@@ -132,17 +142,17 @@
 		sum := 0.0
 		for op, weight := range w.Mix {
 			if !op.isValid() || weight < 0 {
-				return errors.Errorf("profile: workspace %s: mix: %s: %v", w.Name, op, weight)
+				return errors.Errorf("profile: workspace %s: mix: operation %s is unknown or its weight %v is negative", w.Name, op, weight)
 			}
 			sum += weight
 		}
 		if sum <= 0 {
-			return errors.Errorf("profile: workspace %s: empty mix", w.Name)
+			return errors.Errorf("profile: workspace %s: mix has no positive weight", w.Name)
 		}
 	}
 	for _, f := range p.Faults {
 		if !f.Action.isValid() {
-			return errors.Errorf("profile: unknown fault %s", f.Action)
+			return errors.Errorf("profile: unknown fault action %s", f.Action)
 		}
 	}
 	return nil
--- a/internal/bench/recorder.go
+++ b/internal/bench/recorder.go
@@ -10,7 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// Range and precision of histograms, in microseconds.
+// Range of the latency histograms in microseconds, and their precision in
+// significant decimal digits.
 const (
 	lowestLatency  = 1
 	highestLatency = 120_000_000
@@ -21,7 +22,7 @@
 	return hdrhistogram.New(lowestLatency, highestLatency, latencyDigits)
 }
 
-// sample is one finished request.
+// sample is the measurement of one finished or dropped request.
 type sample struct {
 	workspace string
 	class     note.Class
@@ -34,7 +35,8 @@
 	replica   bool
 }
 
-// tally counts the requests of one workspace, class or operation.
+// counters counts the requests of one workspace, class or operation. latency
+// covers the served ones only.
 type counters struct {
 	latency  *hdrhistogram.Histogram
 	offered  int
@@ -53,10 +55,11 @@
 		return
 	}
 	c.served++
-	_ = c.latency.RecordValue(min(s.finished.Sub(s.intended).Microseconds()+1, highestLatency)) // in range
+	// The value is within the histogram's range, so that recording does not fail.
+	_ = c.latency.RecordValue(min(s.finished.Sub(s.intended).Microseconds()+1, highestLatency))
 }
 
-// second holds the requests that finished within one second of the run.
+// secondCounters counts the requests that finished within one second of the run.
 type secondCounters struct {
 	classes  map[note.Class]*counters
 	refusals map[string]int
@@ -72,8 +75,9 @@
 	seconds    []*secondCounters
 	reads      int
 	replicas   int
-	// lastWrite and gaps follow the longest time without an acknowledged write,
-	// by service.
+	// lastWrite and gaps hold, by service, the last acknowledged write and the
+	// longest time without one. The first gap starts with the run; the time after
+	// the last acknowledged write is not counted.
 	lastWrite  map[string]time.Time
 	gaps       map[string]time.Duration
 	violations Violations
@@ -83,10 +87,12 @@
 func newRecorder(start time.Time) *recorder {
 	return &recorder{
 		start: start, workspaces: make(map[string]*counters), classes: make(map[note.Class]*counters),
-		ops: make(map[Operation]*counters), lastWrite: make(map[string]time.Time), gaps: make(map[string]time.Duration),
+		ops: make(map[Operation]*counters), lastWrite: make(map[string]time.Time),
+		gaps: make(map[string]time.Duration),
 	}
 }
 
+// countersOf returns the counters of key and creates them if needed.
 func countersOf[K comparable](m map[K]*counters, key K) *counters {
 	c, ok := m[key]
 	if !ok {
@@ -96,6 +102,7 @@
 	return c
 }
 
+// recordRequest counts a finished or dropped request.
 func (r *recorder) recordRequest(s sample) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -119,6 +126,7 @@
 	}
 }
 
+// recordWrite updates the longest write gap. The caller must hold r.mu.
 func (r *recorder) recordWrite(s sample) {
 	last, ok := r.lastWrite[s.service]
 	if !ok {
@@ -128,6 +136,8 @@
 	r.lastWrite[s.service] = s.finished
 }
 
+// secondAt returns the counters of the second that contains at. Times before the
+// start belong to the first second. The caller must hold r.mu.
 func (r *recorder) secondAt(at time.Time) *secondCounters {
 	i := max(int(at.Sub(r.start)/time.Second), 0)
 	for len(r.seconds) <= i {
@@ -136,6 +146,7 @@
 	return r.seconds[i]
 }
 
+// recordViolation applies a change to the violations under the lock.
 func (r *recorder) recordViolation(change func(*Violations)) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -148,7 +159,7 @@
 	r.faults = append(r.faults, e)
 }
 
-// progress returns the figures of the progress line.
+// progress returns the totals for the progress line.
 func (r *recorder) progress() (served, refused, violations int) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -16,12 +16,13 @@
 
 // Target is the system under load.
 type Target struct {
-	// Addrs are the entry hosts' addresses.
+	// Addrs are the caller addresses of the entry hosts; there must be at least
+	// one.
 	Addrs []string
-	// URL returns the connection URL of a workspace's caller.
+	// URL returns the URL by which a workspace's caller connects to a service
+	// through the host at addr.
 	URL func(addr, workspace, service string) string
-	// CheckURL returns the URL over which the stored records are read at the
-	// end.
+	// CheckURL returns the URL by which the stored rows are read after the load.
 	CheckURL      func(workspace, service string) string
 	FaultInjector FaultInjector
 }
@@ -32,7 +33,7 @@
 	Target   Target
 	Duration time.Duration
 	Seed     uint64
-	// Progress receives a line a second; nil means none.
+	// Progress receives a line every second; nil disables it.
 	Progress io.Writer
 }
 
@@ -45,20 +46,23 @@
 	surges    surges
 	writeLogs map[string]*writeLog
 
-	// pending counts the requests that are queued or in progress.
+	// pending counts the requests that are scheduled, queued or in progress.
 	pending sync.WaitGroup
 }
 
 const (
 	progressInterval = time.Second
-	// drainTimeout bounds the wait for requests in progress at the end.
+	// drainTimeout bounds the wait for pending requests after the load. It
+	// exceeds requestTimeout, so that every request in progress can end.
 	drainTimeout = 40 * time.Second
 	setupTimeout = 60 * time.Second
 )
 
 const correctionsTable = "create table if not exists corrections (id text, workspace text, body text)"
 
-// Run drives the target and returns the measurements.
+// Run drives the target with the profile's load, injects its faults and compares
+// the stored rows with the writes that were sent. If only this comparison fails, it
+// returns the measurements along with the error.
 func Run(ctx context.Context, opts Options) (*Result, error) {
 	if err := createTables(ctx, opts); err != nil {
 		return nil, err
@@ -78,7 +82,7 @@
 	return res, nil
 }
 
-// setUp creates the table that the checks need in each service.
+// createTables creates the table of corrections in each service.
 func createTables(ctx context.Context, opts Options) error {
 	ctx, cancel := context.WithTimeout(ctx, setupTimeout)
 	defer cancel()
@@ -97,7 +101,8 @@
 	return nil
 }
 
-// workspaceFor returns a workspace that may use the service.
+// workspaceFor returns a workspace that uses the service, or the first one if none
+// does.
 func workspaceFor(p *Profile, service string) string {
 	for _, w := range p.Workspaces {
 		for _, name := range p.services(w) {
@@ -109,7 +114,9 @@
 	return p.Workspaces[0].Name
 }
 
-// drive runs the load until end and waits for the requests in progress.
+// runLoad runs generators, callers and faults until end. It then waits for the
+// pending requests, at most for drainTimeout; requests that are still queued after
+// that count as dropped.
 func (r *runner) runLoad(ctx context.Context, opts Options, end time.Time) {
 	runCtx, stop := context.WithDeadline(ctx, end.Add(drainTimeout))
 	defer stop()
@@ -144,7 +151,7 @@
 	}
 }
 
-// awaitPending waits until every request has been answered or ctx ends.
+// awaitPending waits until no request is pending or ctx ends.
 func (r *runner) awaitPending(ctx context.Context) {
 	done := make(chan struct{})
 	go func() {
@@ -157,7 +164,7 @@
 	}
 }
 
-// dropQueued counts the requests that no caller came to.
+// dropQueued counts the requests left in the queue as dropped.
 func (r *runner) dropQueued(w Workspace, queue <-chan request) {
 	for {
 		select {
@@ -170,7 +177,11 @@
 	}
 }
 
-func (r *runner) startCallers(ctx context.Context, wg *sync.WaitGroup, w Workspace, writes *writeLog, queue chan request, seed uint64) {
+// startCallers starts the callers of a workspace. The seed and the caller's name
+// determine the random numbers of each caller.
+func (r *runner) startCallers(
+	ctx context.Context, wg *sync.WaitGroup, w Workspace, writes *writeLog, queue chan request, seed uint64,
+) {
 	for i := range w.Callers {
 		name := fmt.Sprintf("%s-%d-%d", w.Name, seed, i)
 		c := &caller{
@@ -181,6 +192,8 @@
 	}
 }
 
+// recordDropped counts a request that was never sent, because the queue was full or
+// the run ended.
 func (r *runner) recordDropped(w Workspace, req request) {
 	r.recorder.recordRequest(sample{
 		workspace: w.Name, class: w.Class, op: req.op, service: req.service, intended: req.intended,
@@ -188,18 +201,20 @@
 	})
 }
 
-// later queues a request at its intended start.
+// enqueueAt queues a request at its intended start. The request is pending from
+// now on, so that the end of the run waits for it.
 func (r *runner) enqueueAt(at time.Time, queue chan<- request, req request) {
 	r.pending.Add(1)
 	time.AfterFunc(time.Until(at), func() {
 		select {
 		case queue <- req:
-		default: // the backlog is full; the entry is still checked at the end
+		default: // the queue is full; the final check still covers the write
 			r.pending.Done()
 		}
 	})
 }
 
+// reportProgress writes a progress line to w every second until ctx ends.
 func (r *runner) reportProgress(ctx context.Context, w io.Writer) {
 	if w == nil {
 		return
--- a/internal/bench/summary.go
+++ b/internal/bench/summary.go
@@ -11,15 +11,15 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// NoFaults is the FaultInjector of a system that cannot be disturbed.
+// NoFaults is the FaultInjector of a target that does not support faults.
 type NoFaults struct{}
 
-// Inject implements FaultInjector.
+// Inject implements FaultInjector. It always fails.
 func (NoFaults) Inject(context.Context, Action, string) error {
-	return errors.New("this target has no fault switches")
+	return errors.New("this target does not support fault injection")
 }
 
-// Summarize writes the main figures of a result as tables.
+// Summarize writes the main measurements of a result as tables.
 func Summarize(w io.Writer, r *Result) {
 	fmt.Fprintf(w, "%s, %.0f s, seed %d, policy %s\n\n", r.Profile, r.Duration, r.Seed, r.Policy)
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -12,7 +12,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// System is a fleet of real processes on loopback that is started for a run.
+// System is a local fleet of separate processes that is started for a run.
 type System struct {
 	fleet   *localfleet.Fleet
 	profile *Profile
@@ -31,17 +31,19 @@
 }
 
 const (
-	// systemControls is the number of control hosts.
+	// systemControlHosts is the number of control hosts, unless the profile has
+	// fewer hosts.
 	systemControlHosts = 3
 	startTimeout       = 2 * time.Minute
 	faultTimeout       = 30 * time.Second
 )
 
-// StartSystem starts the fleet of a profile and waits until it serves.
+// StartSystem starts the fleet of a profile and waits until every host serves every
+// service.
 func StartSystem(ctx context.Context, opts SystemOptions) (*System, error) {
 	dir, err := os.MkdirTemp("", "bridgebench-")
 	if err != nil {
-		return nil, errors.Wrap(err, "folder of the fleet")
+		return nil, errors.Wrap(err, "create fleet folder")
 	}
 	s := &System{profile: opts.Profile, dir: dir}
 	if err := s.start(ctx, opts); err != nil {
@@ -67,7 +69,7 @@
 	return s.fleet.Start(ctx, nil)
 }
 
-// Stop ends the fleet and removes its folder.
+// Stop kills the processes of the fleet and removes its folder.
 func (s *System) Stop() {
 	if s.fleet != nil {
 		s.fleet.Stop()
@@ -75,7 +77,8 @@
 	os.RemoveAll(s.dir)
 }
 
-// Target returns the target of a run.
+// Target returns the target of a run. Stored rows are read directly from the
+// primary of a service; CheckURL returns "" if the service has none.
 func (s *System) Target() Target {
 	t := Target{
 		FaultInjector: s,
@@ -97,6 +100,7 @@
 	return t
 }
 
+// hostAt returns the host with this caller address, or the first host.
 func (s *System) hostAt(addr string) *localfleet.Host {
 	for _, h := range s.fleet.Hosts {
 		if h.Settings.Entry.Listen == addr {
@@ -151,9 +155,10 @@
 			return nil
 		}
 	}
-	return errors.Errorf("no host %s", name)
+	return errors.Errorf("unknown host %s", name)
 }
 
+// setDomainOut takes a failure domain out of use or back into use with a note.
 func (s *System) setDomainOut(ctx context.Context, name string, out bool) error {
 	for _, d := range s.profile.noteDomains() {
 		if d.Name != name {
@@ -162,7 +167,7 @@
 		d.Out = out
 		return s.fleet.Apply(ctx, s.fleet.Hosts[0], func(n *note.Note) { n.Changed.Domains = []note.Domain{d} })
 	}
-	return errors.Errorf("no domain %s", name)
+	return errors.Errorf("unknown domain %s", name)
 }
 
 func (p *Profile) noteDomains() []note.Domain {
--- a/internal/bench/writelog.go
+++ b/internal/bench/writelog.go
@@ -8,7 +8,7 @@
 	"github.com/galenabridge/galenabridge/internal/history"
 )
 
-// entry is a record or correction that a caller has sent.
+// sentWrite is a record or correction that a caller has tried to insert.
 type sentWrite struct {
 	id        string
 	body      string
@@ -17,19 +17,21 @@
 	outcome   history.Outcome
 }
 
-// ledger remembers what the callers of one workspace have sent, for the checks.
-// It is safe for concurrent use.
+// writeLog holds the writes of one workspace's callers and their outcomes, which
+// the checks compare with the stored rows. It is safe for concurrent use.
 type writeLog struct {
 	mu          sync.Mutex
 	records     []*sentWrite
 	corrections []*sentWrite
-	acked       map[string][]*sentWrite
+	// acked holds the acknowledged records by service.
+	acked map[string][]*sentWrite
 }
 
 func newWriteLog() *writeLog {
 	return &writeLog{acked: make(map[string][]*sentWrite)}
 }
 
+// add adds a write whose outcome is set already.
 func (l *writeLog) add(op Operation, w *sentWrite) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -43,7 +45,8 @@
 	}
 }
 
-// pick returns an acknowledged entry of the service, or nil when there is none.
+// randomAcked returns a random acknowledged record of the service, or nil if there
+// is none.
 func (l *writeLog) randomAcked(service string, rng *rand.Rand) *sentWrite {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -54,14 +57,21 @@
 	return acked[rng.IntN(len(acked))]
 }
 
-// Violations counts broken promises.
+// Violations counts violations of the proxy's guarantees.
 type Violations struct {
-	Lost      int `json:"lost"`
-	Doubled   int `json:"doubled"`
+	// Lost counts acknowledged writes that are not stored.
+	Lost int `json:"lost"`
+	// Doubled counts writes that are stored more than once.
+	Doubled int `json:"doubled"`
+	// RanAnyway counts writes that are stored although their error reported that
+	// they did not run.
 	RanAnyway int `json:"ran_although_not_run"`
-	Stale     int `json:"stale_reads"`
-	Foreign   int `json:"foreign_answers"`
-	// Examples names the first violations.
+	// Stale counts reads that did not return what they had to: an acknowledged
+	// record, or no row if there was none.
+	Stale int `json:"stale_reads"`
+	// Foreign counts answers to another request and records of another workspace.
+	Foreign int `json:"foreign_answers"`
+	// Examples describes the first maxExamples violations.
 	Examples []string `json:"examples,omitempty"`
 }
 
@@ -78,9 +88,9 @@
 	}
 }
 
-// checkStored compares what was sent with how often each id is stored. With
-// ids that the database keeps unique, doubled entries cannot show; corrections
-// have no such key.
+// checkStored compares the sent writes with the number of stored rows of each id.
+// Doubled writes can only be found among corrections: the table of records has a
+// unique id, which prevents them.
 func (v *Violations) checkStored(kind string, sent []*sentWrite, stored map[string]int) {
 	writes := make([]history.Write, len(sent))
 	for i, w := range sent {
