--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -222,8 +222,8 @@
 	return errors.Wrapf(err, "apply note %d", n.Number)
 }
 
-// Catalog returns the current catalog as reported by a host.
-func (f *Fleet) Catalog(ctx context.Context, h *Host) (note.Catalog, error) {
+// CurrentCatalog returns the current catalog as reported by a host.
+func (f *Fleet) CurrentCatalog(ctx context.Context, h *Host) (note.Catalog, error) {
 	var c note.Catalog
 	err := doJSON(ctx, http.MethodGet, "http://"+h.Settings.Admin.Listen+"/v1/notes/current", nil, &c)
 	return c, err
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -22,7 +22,7 @@
 func (f *fleet) awaitNumber(h *host, number uint64) {
 	f.t.Helper()
 	eventually(f.t, fmt.Sprintf("note %d in force at %s", number, h.Name), func() bool {
-		c, err := f.Catalog(f.context(), h)
+		c, err := f.CurrentCatalog(f.context(), h)
 		return err == nil && c.Stamp.Number == number
 	})
 }
--- a/test/integration/soak_test.go
+++ b/test/integration/soak_test.go
@@ -276,7 +276,7 @@
 	deadline := time.Now().Add(patience)
 	for i := 0; time.Now().Before(deadline); i++ {
 		h := s.Hosts[i%controlCount]
-		c, err := s.Catalog(s.context(), h)
+		c, err := s.CurrentCatalog(s.context(), h)
 		if err != nil {
 			time.Sleep(50 * time.Millisecond)
 			continue
