--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -12,7 +12,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// System is a fleet of real processes on loopback that is started for a run.
+// System is a local fleet of separate processes that is started for a run.
 type System struct {
 	fleet   *localfleet.Fleet
 	profile *Profile
@@ -31,17 +31,19 @@
 }
 
 const (
-	// systemControls is the number of control hosts.
-	systemControls = 3
-	startTimeout   = 2 * time.Minute
-	causeTimeout   = 30 * time.Second
+	// systemControlHosts is the number of control hosts, unless the profile has
+	// fewer hosts.
+	systemControlHosts = 3
+	startTimeout       = 2 * time.Minute
+	faultTimeout       = 30 * time.Second
 )
 
-// StartSystem starts the fleet of a profile and waits until it serves.
+// StartSystem starts the fleet of a profile and waits until every host serves every
+// service.
 func StartSystem(ctx context.Context, opts SystemOptions) (*System, error) {
 	dir, err := os.MkdirTemp("", "bridgebench-")
 	if err != nil {
-		return nil, errors.Wrap(err, "folder of the fleet")
+		return nil, errors.Wrap(err, "create fleet folder")
 	}
 	s := &System{profile: opts.Profile, dir: dir}
 	if err := s.start(ctx, opts); err != nil {
@@ -55,7 +57,7 @@
 	p := opts.Profile
 	var err error
 	s.fleet, err = localfleet.New(localfleet.Options{
-		Program: opts.Program, Dir: s.dir, Hosts: p.Hosts, ControlHosts: min(systemControls, p.Hosts),
+		Program: opts.Program, Dir: s.dir, Hosts: p.Hosts, ControlHosts: min(systemControlHosts, p.Hosts),
 		Domains: p.noteDomains(), Services: p.noteServices(), Workspaces: p.noteWorkspaces(),
 		ReplayLag: opts.ReplayLag, Policy: opts.Policy, LogLevel: "warn",
 	})
@@ -67,7 +69,7 @@
 	return s.fleet.Start(ctx, nil)
 }
 
-// Stop ends the fleet and removes its folder.
+// Stop kills the processes of the fleet and removes its folder.
 func (s *System) Stop() {
 	if s.fleet != nil {
 		s.fleet.Stop()
@@ -75,7 +77,8 @@
 	os.RemoveAll(s.dir)
 }
 
-// Target returns the target of a run.
+// Target returns the target of a run. Stored rows are read directly from the
+// primary of a service; CheckURL returns "" if the service has none.
 func (s *System) Target() Target {
 	t := Target{
 		FaultInjector: s,
@@ -83,7 +86,7 @@
 			return s.fleet.URL(s.hostAt(addr), workspace, service)
 		},
 		CheckURL: func(_, service string) string {
-			ctx, cancel := context.WithTimeout(context.Background(), causeTimeout)
+			ctx, cancel := context.WithTimeout(context.Background(), faultTimeout)
 			defer cancel()
 			if e := s.fleet.Primary(ctx, service); e != nil {
 				return e.DirectURL()
@@ -97,6 +100,7 @@
 	return t
 }
 
+// hostAt returns the host with this caller address, or the first host.
 func (s *System) hostAt(addr string) *localfleet.Host {
 	for _, h := range s.fleet.Hosts {
 		if h.Settings.Entry.Listen == addr {
@@ -108,7 +112,7 @@
 
 // Inject implements FaultInjector.
 func (s *System) Inject(ctx context.Context, action Action, target string) error {
-	ctx, cancel := context.WithTimeout(ctx, causeTimeout)
+	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
 	switch action {
 	case IsolatePrimary:
@@ -118,7 +122,7 @@
 	case KillHost:
 		return s.killHost(target)
 	case DomainOut, DomainIn:
-		return s.setDomain(ctx, target, action == DomainOut)
+		return s.setDomainOut(ctx, target, action == DomainOut)
 	}
 	return errors.Errorf("unknown action %s", action)
 }
@@ -151,10 +155,11 @@
 			return nil
 		}
 	}
-	return errors.Errorf("no host %s", name)
+	return errors.Errorf("unknown host %s", name)
 }
 
-func (s *System) setDomain(ctx context.Context, name string, out bool) error {
+// setDomainOut takes a failure domain out of use or back into use with a note.
+func (s *System) setDomainOut(ctx context.Context, name string, out bool) error {
 	for _, d := range s.profile.noteDomains() {
 		if d.Name != name {
 			continue
@@ -162,13 +167,13 @@
 		d.Out = out
 		return s.fleet.Apply(ctx, s.fleet.Hosts[0], func(n *note.Note) { n.Changed.Domains = []note.Domain{d} })
 	}
-	return errors.Errorf("no domain %s", name)
+	return errors.Errorf("unknown domain %s", name)
 }
 
 func (p *Profile) noteDomains() []note.Domain {
 	var out []note.Domain
-	for _, a := range p.Domains {
-		out = append(out, note.Domain{Name: a.Name, Region: a.Region})
+	for _, d := range p.Domains {
+		out = append(out, note.Domain{Name: d.Name, Region: d.Region})
 	}
 	return out
 }
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -6,7 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// ToSQLite renders tokens as SQL text for SQLite.
+// ToSQLite renders tokens as SQL text for SQLite. It returns an error for syntax
+// that has no equivalent in SQLite.
 func ToSQLite(tokens []Token) (string, error) {
 	out, err := rewrite(tokens)
 	if err != nil {
@@ -18,7 +19,7 @@
 func render(tokens []Token) string {
 	var b strings.Builder
 	for i, t := range tokens {
-		if i > 0 && !tight(tokens[i-1], t) {
+		if i > 0 && !isAdjacent(tokens[i-1], t) {
 			b.WriteByte(' ')
 		}
 		b.WriteString(t.Text)
@@ -26,13 +27,18 @@
 	return b.String()
 }
 
-func tight(left, right Token) bool {
+// isAdjacent reports whether two tokens are rendered without a space between them.
+func isAdjacent(left, right Token) bool {
 	return left.Is(".") || right.Is(".") || right.Is(",") || right.Is(")") || left.Is("(")
 }
 
+// rewrite translates PostgreSQL syntax: parameters $n become ?n, "::" becomes
+// CAST, schema prefixes and locking clauses are removed, and TABLE, TRUNCATE,
+// EXPLAIN and serial columns are replaced by their equivalents. A locking clause
+// ends the statement: tokens after it are dropped.
 func rewrite(tokens []Token) ([]Token, error) {
 	if len(tokens) > 0 && tokens[0].Is("truncate") {
-		tokens = truncate(tokens)
+		tokens = rewriteTruncate(tokens)
 	}
 	if len(tokens) > 1 && tokens[0].Is("table") {
 		tokens = append([]Token{{Word, "select"}, {Op, "*"}, {Word, "from"}}, tokens[1:]...)
@@ -49,7 +55,7 @@
 			out = append(out, Token{Param, "?" + t.Text[1:]})
 		case t.Is("::"):
 			var err error
-			if out, i, err = castOperand(out, tokens, i); err != nil {
+			if out, i, err = rewriteCast(out, tokens, i); err != nil {
 				return nil, err
 			}
 		case t.Is("ilike"):
@@ -60,7 +66,7 @@
 			return out, nil
 		case create && (t.Is("serial") || t.Is("bigserial")):
 			out = append(out, Token{Word, "integer"})
-		case create && t.Is("default") && isNow(tokens, i+1):
+		case create && t.Is("default") && isTimeFunction(tokens, i+1):
 			return nil, errors.New("a default that depends on the time is not supported")
 		default:
 			out = append(out, t)
@@ -69,11 +75,14 @@
 	return out, nil
 }
 
-func isNow(tokens []Token, i int) bool {
+// isTimeFunction reports whether tokens[i] is now or a word such as
+// current_timestamp.
+func isTimeFunction(tokens []Token, i int) bool {
 	return i < len(tokens) && (tokens[i].Is("now") || strings.HasPrefix(tokens[i].Text, "current_"))
 }
 
-func truncate(tokens []Token) []Token {
+// rewriteTruncate turns TRUNCATE into a DELETE of all rows.
+func rewriteTruncate(tokens []Token) []Token {
 	rest := tokens[1:]
 	if len(rest) > 0 && rest[0].Is("table") {
 		rest = rest[1:]
@@ -93,9 +102,10 @@
 		(tokens[i+1].Is("update") || tokens[i+1].Is("share"))
 }
 
-// castOperand turns the operand that ends out and the type after tokens[i]
-// ("::") into a CAST expression. It returns the index of the type's last token.
-func castOperand(out, tokens []Token, i int) ([]Token, int, error) {
+// rewriteCast turns the operand at the end of out and the type after tokens[i]
+// ("::") into a CAST expression. It returns the new output and the index of the
+// type's last token.
+func rewriteCast(out, tokens []Token, i int) ([]Token, int, error) {
 	start := operandStart(out)
 	if start < 0 || i+1 >= len(tokens) {
 		return nil, 0, errors.New("syntax error at or near \"::\"")
@@ -108,13 +118,15 @@
 	return out, end, nil
 }
 
+// operandStart returns the index of the first token of the operand at the end of
+// out, or -1 if out is empty or its parentheses are unbalanced.
 func operandStart(out []Token) int {
 	last := len(out) - 1
 	if last < 0 {
 		return -1
 	}
 	if out[last].Is(")") {
-		last = openParen(out, last)
+		last = openingParen(out, last)
 		if last > 0 && out[last-1].Kind == Word && !isKeyword(out[last-1].Text) {
 			last--
 		}
@@ -125,7 +137,9 @@
 	return last
 }
 
-func openParen(tokens []Token, closing int) int {
+// openingParen returns the index of the parenthesis that opens the one at
+// tokens[closing], or -1.
+func openingParen(tokens []Token, closing int) int {
 	depth := 0
 	for i := closing; i >= 0; i-- {
 		if tokens[i].Is(")") {
@@ -141,7 +155,8 @@
 	return -1
 }
 
-// CloseParen returns the index of the parenthesis that closes tokens[open].
+// CloseParen returns the index of the parenthesis that closes the one at
+// tokens[open], or -1.
 func CloseParen(tokens []Token, open int) int {
 	depth := 0
 	for i := open; i < len(tokens); i++ {
@@ -166,8 +181,8 @@
 	return false
 }
 
-// readType reads a type name at tokens[i] and returns it with the index of its
-// last token.
+// readType reads the type name that starts at tokens[i]. It returns the name
+// without schema, modifiers and array bounds, and the index of the last token.
 func readType(tokens []Token, i int) (string, int) {
 	name := tokens[i].Name()
 	for i+2 < len(tokens) && tokens[i+1].Is(".") {
@@ -200,6 +215,7 @@
 	return name, min(i, len(tokens)-1)
 }
 
+// affinity returns the SQLite type name by which a PostgreSQL type is cast.
 func affinity(typeName string) string {
 	switch TypeOf(typeName) {
 	case Int2, Int4, Int8, Bool:
