--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -31,7 +31,7 @@
 }
 
 // announceAnswer names the primary that the fleet has agreed on.
-type announceAnswer struct {
+type announceResponse struct {
 	Term        uint64 `json:"term"`
 	Primary     string `json:"primary"`
 	PrimaryAddr string `json:"primary_addr"`
@@ -46,14 +46,14 @@
 	client := s.announceClient()
 	defer client.CloseIdleConnections()
 	for i := 0; ; {
-		answer, err := s.post(ctx, client, s.opts.Admins[i%len(s.opts.Admins)])
+		response, err := s.postAnnouncement(ctx, client, s.opts.Admins[i%len(s.opts.Admins)])
 		if err != nil {
 			s.opts.Logger.Debug("standin_announce_failed", "id", s.opts.ID, "err", err.Error())
 			i++
 		} else {
-			s.learn(ctx, answer)
+			s.handleAnnounceResponse(ctx, response)
 		}
-		if err := waitChange(ctx, nil, nil, s.opts.AnnounceInterval); err != nil {
+		if err := waitForChange(ctx, nil, nil, s.opts.AnnounceInterval); err != nil {
 			return err
 		}
 	}
@@ -66,7 +66,7 @@
 		if err != nil {
 			return nil, err
 		}
-		return newGatedConn(conn, s.faults, LinkAnnouncements), nil
+		return newFaultConn(conn, s.faults, LinkAnnouncements), nil
 	}
 	return &http.Client{
 		Timeout:   announceTimeout,
@@ -75,66 +75,66 @@
 }
 
 func (s *Server) announcement() Announcement {
-	role, number, flushed, _ := s.Position()
+	role, timelineID, flushed, _ := s.Position()
 	addr := s.opts.Advertise
 	if addr == "" {
 		addr = s.Addr()
 	}
 	return Announcement{
 		Service: s.opts.Service, ID: s.opts.ID, Addr: addr, Domain: s.opts.Domain,
-		Role: role, Timeline: number, LSN: flushed.String(),
+		Role: role, Timeline: timelineID, LSN: flushed.String(),
 	}
 }
 
-func (s *Server) post(ctx context.Context, client *http.Client, admin string) (announceAnswer, error) {
-	var answer announceAnswer
+func (s *Server) postAnnouncement(ctx context.Context, client *http.Client, admin string) (announceResponse, error) {
+	var response announceResponse
 	body, err := json.Marshal(s.announcement())
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	req, err := http.NewRequestWithContext(ctx, http.MethodPost, "http://"+admin+announcePath, bytes.NewReader(body))
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	req.Header.Set("Content-Type", "application/json")
 	res, err := client.Do(req)
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	defer res.Body.Close()
 	data, err := io.ReadAll(io.LimitReader(res.Body, maxAnnounceBytes))
 	if err != nil {
-		return answer, err
+		return response, err
 	}
 	if res.StatusCode != http.StatusOK {
-		return answer, errors.Errorf("announcement answered %s: %s", res.Status, data)
+		return response, errors.Errorf("announcement answered %s: %s", res.Status, data)
 	}
-	return answer, json.Unmarshal(data, &answer)
+	return response, json.Unmarshal(data, &response)
 }
 
 // learn acts on the primary that an answer names: a replica follows it, and a
 // primary steps down once the named one proves to be on a newer timeline.
-func (s *Server) learn(ctx context.Context, answer announceAnswer) {
-	if answer.Primary == "" || answer.Primary == s.opts.ID || answer.PrimaryAddr == "" {
+func (s *Server) handleAnnounceResponse(ctx context.Context, response announceResponse) {
+	if response.Primary == "" || response.Primary == s.opts.ID || response.PrimaryAddr == "" {
 		return
 	}
 	if !s.isPrimary() {
-		s.SetUpstream(answer.PrimaryAddr)
+		s.SetUpstream(response.PrimaryAddr)
 		return
 	}
-	newer, err := s.replacedBy(ctx, answer.PrimaryAddr)
+	newer, err := s.isNewerPrimary(ctx, response.PrimaryAddr)
 	if err != nil || !newer {
-		s.opts.Logger.Debug("standin_primary_named", "id", s.opts.ID, "primary", answer.Primary, "err", fmt.Sprint(err))
+		s.opts.Logger.Debug("standin_primary_named", "id", s.opts.ID, "primary", response.Primary, "err", fmt.Sprint(err))
 		return
 	}
-	if err := s.demote(answer.PrimaryAddr); err != nil {
+	if err := s.demote(response.PrimaryAddr); err != nil {
 		s.opts.Logger.Error("standin_demote_failed", "id", s.opts.ID, "err", err.Error())
 	}
 }
 
 // replacedBy reports whether the endpoint at addr is a primary on a newer
 // timeline.
-func (s *Server) replacedBy(ctx context.Context, addr string) (bool, error) {
+func (s *Server) isNewerPrimary(ctx context.Context, addr string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
 	conn, err := s.dial(ctx, addr, false)
@@ -150,9 +150,9 @@
 		return false, errors.New("unexpected answer of the named primary")
 	}
 	row := results[0].Rows[0]
-	var number uint32
-	if err := json.Unmarshal(row[1], &number); err != nil {
+	var timelineID uint32
+	if err := json.Unmarshal(row[1], &timelineID); err != nil {
 		return false, errors.Wrap(err, "timeline")
 	}
-	return string(row[0]) == "f" && number > s.wal.current(), nil
+	return string(row[0]) == "f" && timelineID > s.wal.currentTimeline(), nil
 }
--- a/internal/standin/auth.go
+++ b/internal/standin/auth.go
@@ -9,9 +9,9 @@
 )
 
 const (
-	mechanism      = "SCRAM-SHA-256"
-	scramIters     = 4096
-	scramSaltBytes = 16
+	scramMechanism  = "SCRAM-SHA-256"
+	scramIterations = 4096
+	scramSaltBytes  = 16
 )
 
 // newScramServer returns a server that knows the one password of the endpoint.
@@ -24,7 +24,7 @@
 	if _, err := rand.Read(salt); err != nil {
 		return nil, errors.Wrap(err, "salt")
 	}
-	stored, err := client.GetStoredCredentialsWithError(scram.KeyFactors{Salt: string(salt), Iters: scramIters})
+	stored, err := client.GetStoredCredentialsWithError(scram.KeyFactors{Salt: string(salt), Iters: scramIterations})
 	if err != nil {
 		return nil, errors.Wrap(err, "password")
 	}
@@ -34,23 +34,23 @@
 // authenticate checks the user of a start-up message and its password.
 func (s *session) authenticate(user string) error {
 	if user != s.srv.opts.User {
-		return fatal(stateBadPassword, "password authentication failed for user %q", user)
+		return fatalErrorf(sqlStateInvalidPassword, "password authentication failed for user %q", user)
 	}
 	if s.srv.opts.Password == "" {
 		return nil
 	}
-	if err := s.scram(); err != nil {
-		var known *stateError
-		if errors.As(err, &known) {
-			return known
+	if err := s.authenticateSCRAM(); err != nil {
+		var sqlErr *sqlError
+		if errors.As(err, &sqlErr) {
+			return sqlErr
 		}
-		return fatal(stateBadPassword, "password authentication failed for user %q", user)
+		return fatalErrorf(sqlStateInvalidPassword, "password authentication failed for user %q", user)
 	}
 	return nil
 }
 
-func (s *session) scram() error {
-	s.be.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{mechanism}})
+func (s *session) authenticateSCRAM() error {
+	s.be.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{scramMechanism}})
 	if err := s.flushAuth(pgproto3.AuthTypeSASL); err != nil {
 		return err
 	}
@@ -59,8 +59,8 @@
 		return err
 	}
 	initial, ok := msg.(*pgproto3.SASLInitialResponse)
-	if !ok || initial.AuthMechanism != mechanism {
-		return fatal(stateProtocol, "expected a SASL initial response for %s", mechanism)
+	if !ok || initial.AuthMechanism != scramMechanism {
+		return fatalErrorf(sqlStateProtocolViolation, "expected a SASL initial response for %s", scramMechanism)
 	}
 	conv := s.srv.scram.NewConversation()
 	challenge, err := conv.Step(string(initial.Data))
@@ -76,16 +76,16 @@
 	}
 	final, ok := msg.(*pgproto3.SASLResponse)
 	if !ok {
-		return fatal(stateProtocol, "expected a SASL response")
+		return fatalErrorf(sqlStateProtocolViolation, "expected a SASL response")
 	}
-	proof, err := conv.Step(string(final.Data))
+	serverFinal, err := conv.Step(string(final.Data))
 	if err != nil {
 		return err
 	}
 	if !conv.Valid() {
 		return errors.New("proof not valid")
 	}
-	s.be.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(proof)})
+	s.be.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(serverFinal)})
 	return nil
 }
 
--- a/internal/standin/concurrency_test.go
+++ b/internal/standin/concurrency_test.go
@@ -12,9 +12,9 @@
 	writesPerSession = 50
 )
 
-// TestConcurrentTransactionsAreIsolated moves an amount between two rows from
+// TestConcurrentTransactionsIsolated moves an amount between two rows from
 // many sessions while readers check that the sum never changes.
-func TestConcurrentTransactionsAreIsolated(t *testing.T) {
+func TestConcurrentTransactionsIsolated(t *testing.T) {
 	group := startGroup(t, nil)
 	setup := connect(t, group.Servers[0])
 	mustExec(t, setup, "create table accounts(id int4 primary key, amount int8)")
@@ -40,7 +40,7 @@
 				}
 				var sum int64
 				err = reader.QueryRow(ctx, "select coalesce(sum(amount), 2000)::int8 from accounts").Scan(&sum)
-				if err != nil && state(err) != "42P01" { // a replica may not have the table yet
+				if err != nil && sqlState(err) != "42P01" { // a replica may not have the table yet
 					return err
 				}
 				if err == nil && sum != 2000 {
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -76,7 +76,7 @@
 		s.faults.DropAfterCommit(*r.DropAfterCommit)
 	}
 	if r.PartitionedLinks != nil {
-		s.faults.cutOnly(*r.PartitionedLinks)
+		s.faults.setPartitions(*r.PartitionedLinks)
 	}
 	if r.ReplayLagMS != nil {
 		s.SetReplayLag(milliseconds(*r.ReplayLagMS))
@@ -92,10 +92,10 @@
 func milliseconds(n int) time.Duration { return time.Duration(n) * time.Millisecond }
 
 func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
-	role, number, flushed, replayed := s.Position()
+	role, timelineID, flushed, replayed := s.Position()
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Status{ // the client may have gone
-		ID: s.opts.ID, Addr: s.Addr(), Role: role, Timeline: number,
+		ID: s.opts.ID, Addr: s.Addr(), Role: role, Timeline: timelineID,
 		Flushed: flushed.String(), Replayed: replayed.String(), Sleeping: s.sleeping.Load(),
 	})
 }
--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -26,13 +26,13 @@
 	for _, t := range tokens {
 		spec.binary = spec.binary || t.Is("binary")
 		if t.Is("csv") {
-			return spec, errState(stateUnsupported, "COPY in CSV format is not supported by the stand-in")
+			return spec, sqlErrorf(sqlStateNotSupported, "COPY in CSV format is not supported by the stand-in")
 		}
 	}
 	if len(tokens) > 0 && tokens[0].Is("(") {
 		end := sqltext.CloseParen(tokens, 0)
 		if end < 0 {
-			return spec, errState(stateSyntax, "syntax error in COPY")
+			return spec, sqlErrorf(sqlStateSyntax, "syntax error in COPY")
 		}
 		spec.query = tokens[1:end]
 		return spec, nil
@@ -41,7 +41,7 @@
 		tokens = tokens[2:]
 	}
 	if len(tokens) == 0 {
-		return spec, errState(stateSyntax, "syntax error in COPY")
+		return spec, sqlErrorf(sqlStateSyntax, "syntax error in COPY")
 	}
 	spec.table = tokens[0].Name()
 	if len(tokens) > 1 && tokens[1].Is("(") {
@@ -72,22 +72,22 @@
 		return nil, err
 	}
 	if spec.binary {
-		return nil, errState(stateUnsupported, "COPY TO in binary format is not supported by the stand-in")
+		return nil, sqlErrorf(sqlStateNotSupported, "COPY TO in binary format is not supported by the stand-in")
 	}
 	text := ""
 	if spec.query != nil {
 		inner := &sqltext.Statement{Tokens: spec.query}
-		text, err = s.engineText(ctx, inner, nil)
+		text, err = s.engineSQL(ctx, inner, nil)
 	} else {
 		text = spec.selectText()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := s.ensureRead(ctx); err != nil {
+	if err := s.ensureSnapshot(ctx); err != nil {
 		return nil, err
 	}
-	set, err := s.readText(ctx, text, nil)
+	set, err := s.queryEngine(ctx, text, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -126,13 +126,13 @@
 	if err := s.ensureWrite(ctx, "COPY FROM"); err != nil {
 		return nil, err
 	}
-	shape, err := query(ctx, s.db, spec.selectText()+" limit 0", nil)
+	target, err := query(ctx, s.db, spec.selectText()+" limit 0", nil)
 	if err != nil {
 		return nil, err
 	}
-	reader := &copyReader{session: s, columns: shape.columns, binary: spec.binary}
-	reader.insert = insertText(spec.table, shape.columns)
-	response := &pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, len(shape.columns))}
+	reader := &copyReader{session: s, columns: target.columns, binary: spec.binary}
+	reader.insert = insertText(spec.table, target.columns)
+	response := &pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, len(target.columns))}
 	if spec.binary {
 		response.OverallFormat = byte(binaryFormat)
 		for i := range response.ColumnFormatCodes {
@@ -141,7 +141,7 @@
 	}
 	s.be.Send(response)
 	if err := s.be.Flush(); err != nil {
-		return nil, errGoodbye
+		return nil, errConnectionClosed
 	}
 	if err := reader.run(ctx); err != nil {
 		return nil, err
--- a/internal/standin/copyreader.go
+++ b/internal/standin/copyreader.go
@@ -22,10 +22,10 @@
 	insert  string
 	binary  bool
 
-	buf    []byte
-	header bool
-	ended  bool
-	count  int64
+	buf        []byte
+	headerRead bool
+	ended      bool
+	count      int64
 }
 
 // run reads messages up to CopyDone.
@@ -33,7 +33,7 @@
 	for {
 		msg, err := c.session.be.Receive()
 		if err != nil {
-			return errGoodbye
+			return errConnectionClosed
 		}
 		switch m := msg.(type) {
 		case *pgproto3.CopyData:
@@ -44,12 +44,12 @@
 		case *pgproto3.CopyDone:
 			return c.consume(ctx, true)
 		case *pgproto3.CopyFail:
-			return errState(stateCanceled, "COPY from stdin failed: %s", m.Message)
+			return sqlErrorf(sqlStateQueryCanceled, "COPY from stdin failed: %s", m.Message)
 		case *pgproto3.Sync, *pgproto3.Flush:
 		case *pgproto3.Terminate:
-			return errGoodbye
+			return errConnectionClosed
 		default:
-			return errState(stateProtocol, "unexpected message %T during COPY from stdin", msg)
+			return sqlErrorf(sqlStateProtocolViolation, "unexpected message %T during COPY from stdin", msg)
 		}
 	}
 }
@@ -69,21 +69,21 @@
 		} else {
 			c.buf = nil
 		}
-		if err := c.textLine(ctx, strings.TrimSuffix(string(line), "\r")); err != nil {
+		if err := c.insertTextLine(ctx, strings.TrimSuffix(string(line), "\r")); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *copyReader) textLine(ctx context.Context, line string) error {
+func (c *copyReader) insertTextLine(ctx context.Context, line string) error {
 	if line == `\.` {
 		c.ended = true
 		return nil
 	}
 	fields := strings.Split(line, "\t")
 	if len(fields) != len(c.columns) {
-		return errState(stateBadCopy, "row %d has %d columns in place of %d", c.count+1, len(fields), len(c.columns))
+		return sqlErrorf(sqlStateBadCopyFormat, "row %d has %d columns in place of %d", c.count+1, len(fields), len(c.columns))
 	}
 	args := make([]any, len(fields))
 	for i, field := range fields {
@@ -96,7 +96,7 @@
 		}
 		args[i] = arg
 	}
-	return c.row(ctx, args)
+	return c.insertRow(ctx, args)
 }
 
 func unescapeCopy(field string) string {
@@ -125,44 +125,44 @@
 }
 
 func (c *copyReader) consumeBinary(ctx context.Context, final bool) error {
-	if !c.header {
+	if !c.headerRead {
 		if len(c.buf) < copyHeaderBytes {
-			return c.cutShort(final)
+			return c.checkTruncated(final)
 		}
 		if !bytes.HasPrefix(c.buf, []byte(copySignature)) {
-			return errState(stateBadCopy, "COPY file signature not recognized")
+			return sqlErrorf(sqlStateBadCopyFormat, "COPY file signature not recognized")
 		}
-		c.buf, c.header = c.buf[copyHeaderBytes:], true
+		c.buf, c.headerRead = c.buf[copyHeaderBytes:], true
 	}
 	for !c.ended {
-		args, size, err := c.tuple()
+		args, size, err := c.decodeTuple()
 		if err != nil {
 			return err
 		}
 		if size == 0 {
-			return c.cutShort(final)
+			return c.checkTruncated(final)
 		}
 		c.buf = c.buf[size:]
 		if c.ended {
 			return nil
 		}
-		if err := c.row(ctx, args); err != nil {
+		if err := c.insertRow(ctx, args); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-func (c *copyReader) cutShort(final bool) error {
+func (c *copyReader) checkTruncated(final bool) error {
 	if final && len(c.buf) > 0 {
-		return errState(stateBadCopy, "unexpected end of COPY data")
+		return sqlErrorf(sqlStateBadCopyFormat, "unexpected end of COPY data")
 	}
 	return nil
 }
 
 // tuple decodes the row at the start of the buffer. A size of zero means that
 // the row is not complete.
-func (c *copyReader) tuple() (args []any, size int, err error) {
+func (c *copyReader) decodeTuple() (args []any, size int, err error) {
 	if len(c.buf) < 2 {
 		return nil, 0, nil
 	}
@@ -173,7 +173,7 @@
 		return nil, size, nil
 	}
 	if fields != len(c.columns) {
-		return nil, 0, errState(stateBadCopy, "row has %d columns in place of %d", fields, len(c.columns))
+		return nil, 0, sqlErrorf(sqlStateBadCopyFormat, "row has %d columns in place of %d", fields, len(c.columns))
 	}
 	args = make([]any, fields)
 	for i := range args {
@@ -197,7 +197,7 @@
 }
 
 // row inserts one row.
-func (c *copyReader) row(ctx context.Context, args []any) error {
+func (c *copyReader) insertRow(ctx context.Context, args []any) error {
 	if _, err := exec(ctx, c.session.db, c.insert, args); err != nil {
 		return err
 	}
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -20,13 +20,13 @@
 // writes holds writer from its first write to its end. Commits exclude reads
 // through reads; every read outside a writing transaction holds its read lock.
 type engine struct {
-	dir    string
-	db     *sql.DB
-	writer chan struct{}
-	reads  sync.RWMutex
+	dir      string
+	db       *sql.DB
+	writeSem chan struct{}
+	commitMu sync.RWMutex
 
-	columnsMu sync.Mutex
-	columns   map[string]map[string]uint32
+	columnsMu   sync.Mutex
+	columnTypes map[string]map[string]uint32
 }
 
 func openEngine() (*engine, error) {
@@ -39,8 +39,8 @@
 		os.RemoveAll(dir)
 		return nil, errors.Wrap(err, "open database")
 	}
-	e := &engine{dir: dir, db: db, writer: make(chan struct{}, 1)}
-	e.forgetColumns()
+	e := &engine{dir: dir, db: db, writeSem: make(chan struct{}, 1)}
+	e.invalidateColumns()
 	return e, nil
 }
 
@@ -50,16 +50,16 @@
 }
 
 // lockWriter waits for the right to write.
-func (e *engine) lockWriter(ctx context.Context) error {
+func (e *engine) lockWrite(ctx context.Context) error {
 	select {
-	case e.writer <- struct{}{}:
+	case e.writeSem <- struct{}{}:
 		return nil
 	case <-ctx.Done():
 		return ctx.Err()
 	}
 }
 
-func (e *engine) unlockWriter() { <-e.writer }
+func (e *engine) unlockWrite() { <-e.writeSem }
 
 // rowSet is the materialized result of a statement.
 type rowSet struct {
@@ -126,25 +126,25 @@
 	return &rowSet{affected: n}, err
 }
 
-func (e *engine) forgetColumns() {
+func (e *engine) invalidateColumns() {
 	e.columnsMu.Lock()
 	defer e.columnsMu.Unlock()
-	e.columns = make(map[string]map[string]uint32)
+	e.columnTypes = make(map[string]map[string]uint32)
 }
 
 // columnType returns the data type of a table's column. A name such as "#2"
 // means the third column.
 func (e *engine) columnType(ctx context.Context, conn *sql.Conn, table, name string) uint32 {
 	e.columnsMu.Lock()
-	known, ok := e.columns[table]
+	types, ok := e.columnTypes[table]
 	e.columnsMu.Unlock()
 	if !ok {
-		known = readColumns(ctx, conn, table)
+		types = readColumns(ctx, conn, table)
 		e.columnsMu.Lock()
-		e.columns[table] = known
+		e.columnTypes[table] = types
 		e.columnsMu.Unlock()
 	}
-	return known[name]
+	return types[name]
 }
 
 func readColumns(ctx context.Context, conn *sql.Conn, table string) map[string]uint32 {
--- a/internal/standin/errors.go
+++ b/internal/standin/errors.go
@@ -13,58 +13,58 @@
 
 // SQLSTATE values that the stand-in answers with.
 const (
-	stateSyntax            = "42601"
-	stateUndefinedTable    = "42P01"
-	stateUndefinedColumn   = "42703"
-	stateUndefinedFunction = "42883"
-	stateDuplicateTable    = "42P07"
-	stateUnique            = "23505"
-	stateNotNull           = "23502"
-	stateForeignKey        = "23503"
-	stateCheck             = "23514"
-	stateReadOnly          = "25006"
-	stateFailedTx          = "25P02"
-	stateNoTx              = "25P01"
-	stateUndefinedObject   = "42704"
-	stateActiveTx          = "25001"
-	stateNoSavepoint       = "3B001"
-	stateNoStatement       = "26000"
-	stateNoPortal          = "34000"
-	stateCanceled          = "57014"
-	stateShutdown          = "57P01"
-	stateStarting          = "57P03"
-	stateTooMany           = "53300"
-	stateBadPassword       = "28P01"
-	stateNoDatabase        = "3D000"
-	stateProtocol          = "08P01"
-	stateBadText           = "22P02"
-	stateBadCopy           = "22P04"
-	stateUnsupported       = "0A000"
-	stateNotPrerequisite   = "55000"
-	stateInternal          = "XX000"
+	sqlStateSyntax                 = "42601"
+	sqlStateUndefinedTable         = "42P01"
+	sqlStateUndefinedColumn        = "42703"
+	sqlStateUndefinedFunction      = "42883"
+	sqlStateDuplicateTable         = "42P07"
+	sqlStateUniqueViolation        = "23505"
+	sqlStateNotNullViolation       = "23502"
+	sqlStateForeignKeyViolation    = "23503"
+	sqlStateCheckViolation         = "23514"
+	sqlStateReadOnlyTx             = "25006"
+	sqlStateFailedTx               = "25P02"
+	sqlStateNoActiveTx             = "25P01"
+	sqlStateUndefinedObject        = "42704"
+	sqlStateActiveTx               = "25001"
+	sqlStateInvalidSavepoint       = "3B001"
+	sqlStateInvalidStatementName   = "26000"
+	sqlStateInvalidCursorName      = "34000"
+	sqlStateQueryCanceled          = "57014"
+	sqlStateAdminShutdown          = "57P01"
+	sqlStateCannotConnectNow       = "57P03"
+	sqlStateTooManyConnections     = "53300"
+	sqlStateInvalidPassword        = "28P01"
+	sqlStateInvalidDatabase        = "3D000"
+	sqlStateProtocolViolation      = "08P01"
+	sqlStateInvalidText            = "22P02"
+	sqlStateBadCopyFormat          = "22P04"
+	sqlStateNotSupported           = "0A000"
+	sqlStateNotInPrerequisiteState = "55000"
+	sqlStateInternal               = "XX000"
 )
 
 // stateError is an error with its SQLSTATE.
-type stateError struct {
+type sqlError struct {
 	state   string
 	message string
 	fatal   bool
 }
 
 // Error implements error.
-func (e *stateError) Error() string { return e.message + " (" + e.state + ")" }
+func (e *sqlError) Error() string { return e.message + " (" + e.state + ")" }
 
-func errState(state, format string, args ...any) *stateError {
-	return &stateError{state: state, message: fmt.Sprintf(format, args...)}
+func sqlErrorf(state, format string, args ...any) *sqlError {
+	return &sqlError{state: state, message: fmt.Sprintf(format, args...)}
 }
 
-func fatal(state, format string, args ...any) *stateError {
-	e := errState(state, format, args...)
+func fatalErrorf(state, format string, args ...any) *sqlError {
+	e := sqlErrorf(state, format, args...)
 	e.fatal = true
 	return e
 }
 
-func (e *stateError) response() *pgproto3.ErrorResponse {
+func (e *sqlError) response() *pgproto3.ErrorResponse {
 	severity := "ERROR"
 	if e.fatal {
 		severity = "FATAL"
@@ -74,58 +74,58 @@
 	}
 }
 
-var constraintStates = map[int]string{
-	sqlite3.SQLITE_CONSTRAINT_UNIQUE:     stateUnique,
-	sqlite3.SQLITE_CONSTRAINT_PRIMARYKEY: stateUnique,
-	sqlite3.SQLITE_CONSTRAINT_NOTNULL:    stateNotNull,
-	sqlite3.SQLITE_CONSTRAINT_FOREIGNKEY: stateForeignKey,
-	sqlite3.SQLITE_CONSTRAINT_CHECK:      stateCheck,
-	sqlite3.SQLITE_INTERRUPT:             stateCanceled,
-	sqlite3.SQLITE_MISMATCH:              stateBadText,
-	sqlite3.SQLITE_READONLY:              stateReadOnly,
+var sqliteCodeStates = map[int]string{
+	sqlite3.SQLITE_CONSTRAINT_UNIQUE:     sqlStateUniqueViolation,
+	sqlite3.SQLITE_CONSTRAINT_PRIMARYKEY: sqlStateUniqueViolation,
+	sqlite3.SQLITE_CONSTRAINT_NOTNULL:    sqlStateNotNullViolation,
+	sqlite3.SQLITE_CONSTRAINT_FOREIGNKEY: sqlStateForeignKeyViolation,
+	sqlite3.SQLITE_CONSTRAINT_CHECK:      sqlStateCheckViolation,
+	sqlite3.SQLITE_INTERRUPT:             sqlStateQueryCanceled,
+	sqlite3.SQLITE_MISMATCH:              sqlStateInvalidText,
+	sqlite3.SQLITE_READONLY:              sqlStateReadOnlyTx,
 }
 
-var messageStates = []struct{ part, state string }{
-	{"no such table", stateUndefinedTable},
-	{"no such column", stateUndefinedColumn},
-	{"has no column named", stateUndefinedColumn},
-	{"no such function", stateUndefinedFunction},
-	{"wrong number of arguments to function", stateUndefinedFunction},
-	{"already exists", stateDuplicateTable},
-	{"syntax error", stateSyntax},
-	{"incomplete input", stateSyntax},
-	{"unrecognized token", stateSyntax},
-	{"missing argument", stateProtocol},
-	{"missing named argument", stateProtocol},
-	{"not supported", stateUnsupported},
+var sqliteMessageStates = []struct{ substring, state string }{
+	{"no such table", sqlStateUndefinedTable},
+	{"no such column", sqlStateUndefinedColumn},
+	{"has no column named", sqlStateUndefinedColumn},
+	{"no such function", sqlStateUndefinedFunction},
+	{"wrong number of arguments to function", sqlStateUndefinedFunction},
+	{"already exists", sqlStateDuplicateTable},
+	{"syntax error", sqlStateSyntax},
+	{"incomplete input", sqlStateSyntax},
+	{"unrecognized token", sqlStateSyntax},
+	{"missing argument", sqlStateProtocolViolation},
+	{"missing named argument", sqlStateProtocolViolation},
+	{"not supported", sqlStateNotSupported},
 }
 
 // toState gives an error of the SQL engine or of the context its SQLSTATE.
-func toState(err error) *stateError {
-	var known *stateError
-	if errors.As(err, &known) {
-		return known
+func toSQLError(err error) *sqlError {
+	var sqlErr *sqlError
+	if errors.As(err, &sqlErr) {
+		return sqlErr
 	}
 	if errors.Is(err, context.DeadlineExceeded) {
-		return errState(stateCanceled, "canceling statement due to statement timeout")
+		return sqlErrorf(sqlStateQueryCanceled, "canceling statement due to statement timeout")
 	}
 	if errors.Is(err, context.Canceled) {
-		return errState(stateCanceled, "canceling statement due to user request")
+		return sqlErrorf(sqlStateQueryCanceled, "canceling statement due to user request")
 	}
 	message := err.Error()
-	var engine *sqlite.Error
-	if errors.As(err, &engine) {
-		if state, ok := constraintStates[engine.Code()]; ok {
-			return errState(state, "%s", message)
+	var sqliteErr *sqlite.Error
+	if errors.As(err, &sqliteErr) {
+		if state, ok := sqliteCodeStates[sqliteErr.Code()]; ok {
+			return sqlErrorf(state, "%s", message)
 		}
 	}
-	for _, m := range messageStates {
-		if strings.Contains(message, m.part) {
-			return errState(m.state, "%s", message)
+	for _, m := range sqliteMessageStates {
+		if strings.Contains(message, m.substring) {
+			return sqlErrorf(m.state, "%s", message)
 		}
 	}
-	if engine != nil && engine.Code() == sqlite3.SQLITE_ERROR {
-		return errState(stateSyntax, "%s", message)
+	if sqliteErr != nil && sqliteErr.Code() == sqlite3.SQLITE_ERROR {
+		return sqlErrorf(sqlStateSyntax, "%s", message)
 	}
-	return errState(stateInternal, "%s", message)
+	return sqlErrorf(sqlStateInternal, "%s", message)
 }
--- a/internal/standin/extended.go
+++ b/internal/standin/extended.go
@@ -7,27 +7,27 @@
 )
 
 // prepared is a prepared statement. Its statement is nil for an empty query.
-type prepared struct {
+type preparedStatement struct {
 	st     *sqltext.Statement
 	params []uint32
 	// columns are the result columns; planned tells whether they are known.
-	columns []column
-	planned bool
+	columns         []column
+	columnsResolved bool
 }
 
 // portal is a bound statement.
 type portal struct {
-	prepared *prepared
-	args     []any
-	formats  []int16
+	statement *preparedStatement
+	args      []any
+	formats   []int16
 	// set is the result once the statement has run, next its first unsent row.
-	set  *rowSet
-	tag  string
-	next int
+	result  *rowSet
+	tag     string
+	nextRow int
 }
 
 // extended serves one message of the extended protocol.
-func (s *session) extended(msg pgproto3.FrontendMessage) error {
+func (s *session) handleExtended(msg pgproto3.FrontendMessage) error {
 	s.openTx()
 	switch m := msg.(type) {
 	case *pgproto3.Parse:
@@ -42,38 +42,38 @@
 		s.closeObject(m)
 		return nil
 	}
-	return errState(stateProtocol, "unexpected message %T", msg)
+	return sqlErrorf(sqlStateProtocolViolation, "unexpected message %T", msg)
 }
 
 func (s *session) parse(m *pgproto3.Parse) error {
 	statements, err := sqltext.Parse(m.Query)
 	if err != nil {
-		return errState(stateSyntax, "%v", err)
+		return sqlErrorf(sqlStateSyntax, "%v", err)
 	}
 	if len(statements) > 1 {
-		return errState(stateSyntax, "cannot insert multiple commands into a prepared statement")
+		return sqlErrorf(sqlStateSyntax, "cannot insert multiple commands into a prepared statement")
 	}
-	if _, taken := s.prepared[m.Name]; taken && m.Name != "" {
-		return errState("42P05", "prepared statement %q already exists", m.Name)
+	if _, taken := s.statements[m.Name]; taken && m.Name != "" {
+		return sqlErrorf("42P05", "prepared statement %q already exists", m.Name)
 	}
-	p := &prepared{}
+	p := &preparedStatement{}
 	if len(statements) == 1 {
 		p.st = statements[0]
 		if s.tx.failed && p.st.Class != sqltext.Commit && p.st.Class != sqltext.Rollback && p.st.Class != sqltext.RollbackTo {
-			return errFailedTx()
+			return failedTxError()
 		}
 		p.params = s.paramTypes(p.st, m.ParameterOIDs)
 	}
-	s.prepared[m.Name] = p
+	s.statements[m.Name] = p
 	s.be.Send(&pgproto3.ParseComplete{})
 	return nil
 }
 
-func (s *session) paramTypes(st *sqltext.Statement, given []uint32) []uint32 {
+func (s *session) paramTypes(st *sqltext.Statement, declared []uint32) []uint32 {
 	types := st.ParamTypes(func(table, name string) uint32 {
 		return s.eng.columnType(s.ctx, s.db, table, name)
 	})
-	for i, oid := range given {
+	for i, oid := range declared {
 		if i < len(types) && oid != sqltext.Unknown {
 			types[i] = oid
 		}
@@ -82,12 +82,12 @@
 }
 
 func (s *session) bind(m *pgproto3.Bind) error {
-	p, ok := s.prepared[m.PreparedStatement]
+	p, ok := s.statements[m.PreparedStatement]
 	if !ok {
-		return errState(stateNoStatement, "prepared statement %q does not exist", m.PreparedStatement)
+		return sqlErrorf(sqlStateInvalidStatementName, "prepared statement %q does not exist", m.PreparedStatement)
 	}
 	if len(m.Parameters) != len(p.params) {
-		return errState(stateProtocol, "bind message supplies %d parameters, but prepared statement %q requires %d",
+		return sqlErrorf(sqlStateProtocolViolation, "bind message supplies %d parameters, but prepared statement %q requires %d",
 			len(m.Parameters), m.PreparedStatement, len(p.params))
 	}
 	args := make([]any, len(m.Parameters))
@@ -99,7 +99,7 @@
 		args[i] = arg
 	}
 	s.portals[m.DestinationPortal] = &portal{
-		prepared: p, args: args, formats: append([]int16(nil), m.ResultFormatCodes...),
+		statement: p, args: args, formats: append([]int16(nil), m.ResultFormatCodes...),
 	}
 	s.be.Send(&pgproto3.BindComplete{})
 	return nil
@@ -107,22 +107,22 @@
 
 func (s *session) describe(m *pgproto3.Describe) error {
 	if m.ObjectType == 'S' {
-		p, ok := s.prepared[m.Name]
+		p, ok := s.statements[m.Name]
 		if !ok {
-			return errState(stateNoStatement, "prepared statement %q does not exist", m.Name)
+			return sqlErrorf(sqlStateInvalidStatementName, "prepared statement %q does not exist", m.Name)
 		}
 		s.be.Send(&pgproto3.ParameterDescription{ParameterOIDs: p.params})
 		return s.describeRows(p, nil)
 	}
 	portal, ok := s.portals[m.Name]
 	if !ok {
-		return errState(stateNoPortal, "portal %q does not exist", m.Name)
+		return sqlErrorf(sqlStateInvalidCursorName, "portal %q does not exist", m.Name)
 	}
-	return s.describeRows(portal.prepared, portal.formats)
+	return s.describeRows(portal.statement, portal.formats)
 }
 
-func (s *session) describeRows(p *prepared, formats []int16) error {
-	if err := s.plan(p); err != nil {
+func (s *session) describeRows(p *preparedStatement, formats []int16) error {
+	if err := s.resolveColumns(p); err != nil {
 		return err
 	}
 	if p.columns == nil {
@@ -136,13 +136,13 @@
 func (s *session) execute(m *pgproto3.Execute) error {
 	portal, ok := s.portals[m.Portal]
 	if !ok {
-		return errState(stateNoPortal, "portal %q does not exist", m.Portal)
+		return sqlErrorf(sqlStateInvalidCursorName, "portal %q does not exist", m.Portal)
 	}
-	if portal.prepared.st == nil {
+	if portal.statement.st == nil {
 		s.be.Send(&pgproto3.EmptyQueryResponse{})
 		return nil
 	}
-	if portal.set == nil {
+	if portal.result == nil {
 		if err := s.runPortal(portal); err != nil {
 			return err
 		}
@@ -153,34 +153,34 @@
 func (s *session) runPortal(portal *portal) error {
 	ctx, done := s.statementContext()
 	defer done()
-	p := portal.prepared
+	p := portal.statement
 	if p.st.YieldsRows() && !s.tx.failed {
-		if err := s.plan(p); err != nil {
+		if err := s.resolveColumns(p); err != nil {
 			return err
 		}
 	}
-	set, tag, err := s.run(ctx, p.st, portal.args)
+	set, tag, err := s.runStatement(ctx, p.st, portal.args)
 	if err != nil {
 		return err
 	}
 	if p.columns != nil && len(set.columns) != len(p.columns) {
-		return errState(stateUnsupported, "cached plan must not change result type")
+		return sqlErrorf(sqlStateNotSupported, "cached plan must not change result type")
 	}
-	portal.set, portal.tag = set, tag
+	portal.result, portal.tag = set, tag
 	return nil
 }
 
 // sendPortal sends up to limit rows; zero means all that are left.
 func (s *session) sendPortal(portal *portal, limit int) error {
-	rows := portal.set.rows[portal.next:]
+	rows := portal.result.rows[portal.nextRow:]
 	suspended := limit > 0 && len(rows) >= limit
 	if suspended {
 		rows = rows[:limit]
 	}
-	if err := s.sendRows(portal.prepared.columns, rows, portal.formats); err != nil {
+	if err := s.sendRows(portal.statement.columns, rows, portal.formats); err != nil {
 		return err
 	}
-	portal.next += len(rows)
+	portal.nextRow += len(rows)
 	if suspended {
 		s.be.Send(&pgproto3.PortalSuspended{})
 		return nil
@@ -191,7 +191,7 @@
 
 func (s *session) closeObject(m *pgproto3.Close) {
 	if m.ObjectType == 'S' {
-		delete(s.prepared, m.Name)
+		delete(s.statements, m.Name)
 	} else {
 		delete(s.portals, m.Name)
 	}
@@ -200,14 +200,14 @@
 
 // sync ends the implicit transaction of the messages before it.
 func (s *session) sync() error {
-	s.skipping = false
+	s.skipUntilSync = false
 	if !s.tx.block {
 		if _, err := s.commit(); err != nil {
-			if err := s.fail(err, false); err != nil {
+			if err := s.reportError(err, false); err != nil {
 				return err
 			}
 		}
 		s.portals = make(map[string]*portal)
 	}
-	return s.ready()
+	return s.sendReady()
 }
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -20,16 +20,16 @@
 // Faults are the fault switches of an endpoint. All are off at first. It is
 // safe for concurrent use.
 type Faults struct {
-	mu      sync.Mutex
-	stalled bool
-	late    time.Duration
-	drops   int
-	cut     map[Link]bool
-	changed chan struct{}
+	mu           sync.Mutex
+	stalled      bool
+	delay        time.Duration
+	pendingDrops int
+	partitioned  map[Link]bool
+	changed      chan struct{}
 }
 
 func newFaults() *Faults {
-	return &Faults{cut: make(map[Link]bool), changed: make(chan struct{})}
+	return &Faults{partitioned: make(map[Link]bool), changed: make(chan struct{})}
 }
 
 func (f *Faults) update(set func()) {
@@ -47,54 +47,54 @@
 
 // DelayResponses delays each response by d. Zero means no delay.
 func (f *Faults) DelayResponses(d time.Duration) {
-	f.update(func() { f.late = d })
+	f.update(func() { f.delay = d })
 }
 
 // DropAfterCommit closes the connection instead of answering after each of the
 // next n commits of writing transactions.
 func (f *Faults) DropAfterCommit(n int) {
-	f.update(func() { f.drops = n })
+	f.update(func() { f.pendingDrops = n })
 }
 
 // Partition holds all traffic of a link while its connections stay open.
 func (f *Faults) Partition(link Link, on bool) {
-	f.update(func() { f.cut[link] = on })
+	f.update(func() { f.partitioned[link] = on })
 }
 
 // Clear turns every fault off.
 func (f *Faults) Clear() {
 	f.update(func() {
-		f.stalled, f.late, f.drops = false, 0, 0
-		f.cut = make(map[Link]bool)
+		f.stalled, f.delay, f.pendingDrops = false, 0, 0
+		f.partitioned = make(map[Link]bool)
 	})
 }
 
-func (f *Faults) lateness() time.Duration {
+func (f *Faults) responseDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	return f.late
+	return f.delay
 }
 
 // takeDrop reports whether the answer to a commit is to be dropped.
-func (f *Faults) takeDrop() bool {
+func (f *Faults) consumeDrop() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
-	if f.drops == 0 {
+	if f.pendingDrops == 0 {
 		return false
 	}
-	f.drops--
+	f.pendingDrops--
 	return true
 }
 
 // await waits while the link is cut or, on the callers' link, the endpoint is
 // stalled.
-func (f *Faults) await(ctx context.Context, link Link) error {
+func (f *Faults) waitForLink(ctx context.Context, link Link) error {
 	for {
 		f.mu.Lock()
-		held := f.cut[link] || f.stalled && link == LinkCallers
+		blocked := f.partitioned[link] || f.stalled && link == LinkCallers
 		changed := f.changed
 		f.mu.Unlock()
-		if !held {
+		if !blocked {
 			return ctx.Err()
 		}
 		select {
@@ -106,7 +106,7 @@
 }
 
 // gatedConn is a connection whose traffic is held while its link is cut.
-type gatedConn struct {
+type faultConn struct {
 	net.Conn
 	faults *Faults
 	ctx    context.Context
@@ -116,59 +116,59 @@
 	link Link
 }
 
-func newGatedConn(conn net.Conn, faults *Faults, link Link) *gatedConn {
+func newFaultConn(conn net.Conn, faults *Faults, link Link) *faultConn {
 	ctx, cancel := context.WithCancel(context.Background())
-	return &gatedConn{Conn: conn, faults: faults, ctx: ctx, cancel: cancel, link: link}
+	return &faultConn{Conn: conn, faults: faults, ctx: ctx, cancel: cancel, link: link}
 }
 
-func (c *gatedConn) setLink(link Link) {
+func (c *faultConn) setLink(link Link) {
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	c.link = link
 }
 
-func (c *gatedConn) await() error {
+func (c *faultConn) waitForLink() error {
 	c.mu.Lock()
 	link := c.link
 	c.mu.Unlock()
 	if link == "" {
 		return nil
 	}
-	if err := c.faults.await(c.ctx, link); err != nil {
+	if err := c.faults.waitForLink(c.ctx, link); err != nil {
 		return net.ErrClosed
 	}
 	return nil
 }
 
 // Read implements net.Conn.
-func (c *gatedConn) Read(p []byte) (int, error) {
+func (c *faultConn) Read(p []byte) (int, error) {
 	n, err := c.Conn.Read(p)
 	if err != nil {
 		return n, err
 	}
-	return n, c.await()
+	return n, c.waitForLink()
 }
 
 // Write implements net.Conn.
-func (c *gatedConn) Write(p []byte) (int, error) {
-	if err := c.await(); err != nil {
+func (c *faultConn) Write(p []byte) (int, error) {
+	if err := c.waitForLink(); err != nil {
 		return 0, err
 	}
 	return c.Conn.Write(p)
 }
 
 // Close implements net.Conn.
-func (c *gatedConn) Close() error {
+func (c *faultConn) Close() error {
 	c.cancel()
 	return c.Conn.Close()
 }
 
 // cutOnly cuts the given links and restores the others.
-func (f *Faults) cutOnly(links []Link) {
+func (f *Faults) setPartitions(links []Link) {
 	f.update(func() {
-		f.cut = make(map[Link]bool)
+		f.partitioned = make(map[Link]bool)
 		for _, link := range links {
-			f.cut[link] = true
+			f.partitioned[link] = true
 		}
 	})
 }
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -10,7 +10,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-func TestDropAfterCommitKeepsTheWrite(t *testing.T) {
+func TestDropAfterCommitKeepsWrite(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
 	conn := connect(t, primary)
@@ -18,13 +18,13 @@
 	if _, err := conn.Exec(testContext(t), "insert into records(id) values ('a')"); err == nil {
 		t.Fatal("the commit was answered")
 	}
-	if n := count(t, connect(t, primary)); n != 1 {
+	if n := countRecords(t, connect(t, primary)); n != 1 {
 		t.Errorf("%d records, want 1", n)
 	}
 }
 
 // pending starts a query and returns the channel of its result.
-func pending(conn *pgx.Conn) <-chan error {
+func startQuery(conn *pgx.Conn) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		_, err := conn.Exec(context.Background(), "select 1")
@@ -33,7 +33,7 @@
 	return done
 }
 
-func TestHeldTrafficIsDeliveredAfterwards(t *testing.T) {
+func TestStallAndPartitionDeliverHeldTrafficOnceCleared(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
 	faults := map[string]func(bool){
@@ -43,7 +43,7 @@
 	for name, set := range faults {
 		conn := connect(t, primary)
 		set(true)
-		done := pending(conn)
+		done := startQuery(conn)
 		select {
 		case err := <-done:
 			t.Errorf("%s: answered: %v", name, err)
@@ -56,7 +56,7 @@
 	}
 }
 
-func TestPartitionSparesOtherLinks(t *testing.T) {
+func TestPartitionLeavesOtherLinksOpen(t *testing.T) {
 	group := startGroup(t, nil)
 	primary, replica := group.Servers[0], group.Servers[1]
 	conn := connect(t, primary)
@@ -67,19 +67,19 @@
 		t.Error("the cut link delivered a transaction")
 	}
 	primary.Faults().Clear()
-	eventually(t, "flush after the link is back", func() bool {
+	waitFor(t, "flush after the link is back", func() bool {
 		_, _, got, _ := replica.Position()
 		return got == flushed
 	})
 }
 
-func TestKilledEndpointResumesFromItsFolder(t *testing.T) {
+func TestKilledEndpointResumesFromDataDir(t *testing.T) {
 	opts := standin.Options{Service: "ledger", Password: password, RecordsTable: true, DataDir: t.TempDir()}
 	first, err := standin.New(opts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, first.Run)
+	runServer(t, first.Run)
 	mustExec(t, connect(t, first), "insert into records(id, body) values ('a', $1)", "text")
 	_, _, flushed, _ := first.Position()
 	first.Kill()
@@ -88,7 +88,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, second.Run)
+	runServer(t, second.Run)
 	var body string
 	err = connect(t, second).QueryRow(testContext(t), "select body from records where id = 'a'").Scan(&body)
 	if _, _, got, _ := second.Position(); err != nil || body != "text" || got != flushed {
--- a/internal/standin/functions.go
+++ b/internal/standin/functions.go
@@ -14,16 +14,16 @@
 // functions resolves the server's own functions and views for one execution.
 // Values such as the time are fixed before the statement is logged, so that a
 // replay gives the same rows.
-type functions struct {
+type functionEnv struct {
 	s    *session
 	ctx  context.Context
 	args []any
 }
 
-const null = "null"
+const nullLiteral = "null"
 
 // Param implements sqltext.Env.
-func (f *functions) Param(n string) string {
+func (f *functionEnv) Param(n string) string {
 	i, err := strconv.Atoi(n)
 	if err != nil || i < 1 || i > len(f.args) || f.args[i-1] == nil {
 		return ""
@@ -32,7 +32,7 @@
 }
 
 // Function implements sqltext.Env.
-func (f *functions) Function(name string, args []string) (string, bool, error) {
+func (f *functionEnv) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep":
 		return f.sleep(args)
@@ -41,26 +41,26 @@
 	case "set_config":
 		return f.setConfig(args)
 	}
-	return f.pure(name, args)
+	return f.resolveReadOnly(name, args)
 }
 
 // pure resolves functions without an effect.
-func (f *functions) pure(name string, args []string) (string, bool, error) {
+func (f *functionEnv) resolveReadOnly(name string, args []string) (string, bool, error) {
 	srv := f.s.srv
 	switch name {
 	case "pg_is_in_recovery":
 		return boolLiteral(!srv.isPrimary()), true, nil
 	case "pg_current_wal_lsn", "pg_current_wal_flush_lsn", "pg_current_wal_insert_lsn":
 		if !srv.isPrimary() {
-			return "", true, errState(stateNotPrerequisite, "recovery is in progress")
+			return "", true, sqlErrorf(sqlStateNotInPrerequisiteState, "recovery is in progress")
 		}
 		return lsnLiteral(srv.log().flushed()), true, nil
 	case "pg_last_wal_receive_lsn":
-		return f.onReplica(srv.log().flushed()), true, nil
+		return f.replicaLSN(srv.log().flushed()), true, nil
 	case "pg_last_wal_replay_lsn":
-		return f.onReplica(srv.log().replayedTo()), true, nil
+		return f.replicaLSN(srv.log().replayedLSN()), true, nil
 	case "pg_last_xact_replay_timestamp":
-		return timeLiteral(srv.log().replayedAt()), true, nil
+		return timeLiteral(srv.log().replayedCommitTime()), true, nil
 	case "pg_backend_pid":
 		return strconv.Itoa(int(f.s.pid)), true, nil
 	case "pg_wal_lsn_diff":
@@ -68,10 +68,10 @@
 	case "current_setting":
 		return f.currentSetting(args)
 	}
-	return f.environment(name)
+	return f.resolveBuiltin(name)
 }
 
-func (f *functions) environment(name string) (string, bool, error) {
+func (f *functionEnv) resolveBuiltin(name string) (string, bool, error) {
 	switch name {
 	case "now", "current_timestamp", "clock_timestamp", "statement_timestamp", "transaction_timestamp":
 		return timeLiteral(time.Now()), true, nil
@@ -95,27 +95,27 @@
 	return "", false, nil
 }
 
-func (f *functions) onReplica(l LSN) string {
+func (f *functionEnv) replicaLSN(l LSN) string {
 	if f.s.srv.isPrimary() {
-		return null
+		return nullLiteral
 	}
 	return lsnLiteral(l)
 }
 
-func (f *functions) sleep(args []string) (string, bool, error) {
+func (f *functionEnv) sleep(args []string) (string, bool, error) {
 	if len(args) != 1 {
 		return "", false, nil
 	}
 	seconds, err := strconv.ParseFloat(args[0], 64)
 	if err != nil {
-		return "", true, errState(stateBadText, "pg_sleep: %v", err)
+		return "", true, sqlErrorf(sqlStateInvalidText, "pg_sleep: %v", err)
 	}
 	f.s.srv.sleeping.Add(1)
 	defer f.s.srv.sleeping.Add(-1)
 	return "''", true, sleep(f.ctx, time.Duration(seconds*float64(time.Second)))
 }
 
-func (f *functions) setConfig(args []string) (string, bool, error) {
+func (f *functionEnv) setConfig(args []string) (string, bool, error) {
 	if len(args) != 3 {
 		return "", false, nil
 	}
@@ -123,7 +123,7 @@
 	return sqltext.Quote(args[1]), true, nil
 }
 
-func (f *functions) currentSetting(args []string) (string, bool, error) {
+func (f *functionEnv) currentSetting(args []string) (string, bool, error) {
 	if len(args) == 0 {
 		return "", false, nil
 	}
@@ -132,24 +132,24 @@
 		return sqltext.Quote(value), true, nil
 	}
 	if len(args) > 1 && isOn(args[1]) {
-		return null, true, nil
+		return nullLiteral, true, nil
 	}
-	return "", true, errState(stateUndefinedObject, "unrecognized configuration parameter %q", args[0])
+	return "", true, sqlErrorf(sqlStateUndefinedObject, "unrecognized configuration parameter %q", args[0])
 }
 
 // Relation implements sqltext.Env.
-func (f *functions) Relation(name string) (sqltext.Relation, bool) {
+func (f *functionEnv) Relation(name string) (sqltext.Relation, bool) {
 	log := f.s.srv.log()
 	switch name {
 	case "pg_control_checkpoint":
 		return sqltext.Relation{
 			Columns: []string{"checkpoint_lsn", "timeline_id"},
-			Rows:    [][]string{{lsnLiteral(log.flushed()), strconv.Itoa(int(log.current()))}},
+			Rows:    [][]string{{lsnLiteral(log.flushed()), strconv.Itoa(int(log.currentTimeline()))}},
 		}, true
 	case "pg_stat_replication":
-		return f.s.srv.standbyRelation(), true
+		return f.s.srv.statReplication(), true
 	case "pg_stat_wal_receiver":
-		return f.s.srv.receiverRelation(), true
+		return f.s.srv.statWALReceiver(), true
 	}
 	return sqltext.Relation{}, false
 }
@@ -165,7 +165,7 @@
 
 func timeLiteral(t time.Time) string {
 	if t.IsZero() {
-		return null
+		return nullLiteral
 	}
 	return sqltext.Quote(t.UTC().Format(timeLayout))
 }
@@ -188,26 +188,26 @@
 	}
 	a, err := ParseLSN(args[0])
 	if err != nil {
-		return "", true, errState(stateBadText, "%v", err)
+		return "", true, sqlErrorf(sqlStateInvalidText, "%v", err)
 	}
 	b, err := ParseLSN(args[1])
 	if err != nil {
-		return "", true, errState(stateBadText, "%v", err)
+		return "", true, sqlErrorf(sqlStateInvalidText, "%v", err)
 	}
 	return strconv.FormatInt(int64(a)-int64(b), 10), true, nil
 }
 
 // probe resolves functions while result columns are looked for: nothing takes
 // effect and nothing waits.
-type probe struct{ functions }
+type describeEnv struct{ functionEnv }
 
 // Function implements sqltext.Env.
-func (p *probe) Function(name string, args []string) (string, bool, error) {
+func (p *describeEnv) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep", "set_config", "current_setting", "pg_current_wal_lsn", "pg_wal_lsn_diff":
 		return "''", true, nil
 	case "pg_promote":
 		return boolLiteral(true), true, nil
 	}
-	return p.pure(name, args)
+	return p.resolveReadOnly(name, args)
 }
--- a/internal/standin/helpers_test.go
+++ b/internal/standin/helpers_test.go
@@ -12,7 +12,7 @@
 )
 
 // patience bounds every wait for a condition.
-const patience = 60 * time.Second
+const waitTimeout = 60 * time.Second
 
 const password = "ledger secret"
 
@@ -29,11 +29,11 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, group.Run)
+	runServer(t, group.Run)
 	return group
 }
 
-func run(t *testing.T, task func(context.Context) error) {
+func runServer(t *testing.T, task func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -53,7 +53,7 @@
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -77,18 +77,18 @@
 }
 
 // eventually waits until condition holds.
-func eventually(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, patience)
+			t.Fatalf("%s: not within %s", what, waitTimeout)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func count(t *testing.T, conn *pgx.Conn) int64 {
+func countRecords(t *testing.T, conn *pgx.Conn) int64 {
 	t.Helper()
 	var n int64
 	if err := conn.QueryRow(testContext(t), "select count(*) from records").Scan(&n); err != nil {
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -72,33 +72,33 @@
 }
 
 func (o *Options) setDefaults() {
-	setString(&o.Listen, DefaultListen)
-	setString(&o.User, DefaultUser)
-	setString(&o.Database, DefaultDatabase)
-	setString(&o.ID, "standin")
-	setString(&o.Service, DefaultDatabase)
+	defaultString(&o.Listen, DefaultListen)
+	defaultString(&o.User, DefaultUser)
+	defaultString(&o.Database, DefaultDatabase)
+	defaultString(&o.ID, "standin")
+	defaultString(&o.Service, DefaultDatabase)
 	if o.Role == "" {
 		o.Role = RolePrimary
 	}
 	if o.MaxConnections == 0 {
 		o.MaxConnections = DefaultMaxConnections
 	}
-	setDuration(&o.ConnectDelay, DefaultConnectDelay)
-	setDuration(&o.ReplicationDelay, DefaultReplicationDelay)
-	setDuration(&o.ReplayLag, 0)
-	setDuration(&o.AnnounceInterval, DefaultAnnounceInterval)
+	defaultDuration(&o.ConnectDelay, DefaultConnectDelay)
+	defaultDuration(&o.ReplicationDelay, DefaultReplicationDelay)
+	defaultDuration(&o.ReplayLag, 0)
+	defaultDuration(&o.AnnounceInterval, DefaultAnnounceInterval)
 	if o.Logger == nil {
 		o.Logger = log.New(io.Discard)
 	}
 }
 
-func setString(field *string, value string) {
+func defaultString(field *string, value string) {
 	if *field == "" {
 		*field = value
 	}
 }
 
-func setDuration(field *time.Duration, value time.Duration) {
+func defaultDuration(field *time.Duration, value time.Duration) {
 	switch {
 	case *field == 0:
 		*field = value
--- a/internal/standin/plan.go
+++ b/internal/standin/plan.go
@@ -8,28 +8,28 @@
 )
 
 // plan finds the result columns of a prepared statement without running it.
-func (s *session) plan(p *prepared) error {
-	if p.planned || p.st == nil || !p.st.YieldsRows() {
+func (s *session) resolveColumns(p *preparedStatement) error {
+	if p.columnsResolved || p.st == nil || !p.st.YieldsRows() {
 		return nil
 	}
 	if s.tx.failed {
-		return errFailedTx()
+		return failedTxError()
 	}
-	columns, err := s.resultColumns(p.st)
+	columns, err := s.inferColumns(p.st)
 	if err != nil {
 		return err
 	}
-	p.columns, p.planned = columns, true
+	p.columns, p.columnsResolved = columns, true
 	return nil
 }
 
-func (s *session) resultColumns(st *sqltext.Statement) ([]column, error) {
+func (s *session) inferColumns(st *sqltext.Statement) ([]column, error) {
 	if st.Class == sqltext.Show {
 		return []column{{name: settingName(st.Tokens), oid: sqltext.Text}}, nil
 	}
 	tokens := st.Shape()
 	if st.Volatile() {
-		expanded, err := sqltext.Expand(tokens, &probe{functions{s: s, ctx: s.ctx}})
+		expanded, err := sqltext.Expand(tokens, &describeEnv{functionEnv{s: s, ctx: s.ctx}})
 		if err != nil {
 			return nil, err
 		}
@@ -37,10 +37,10 @@
 	}
 	text, err := sqltext.SQLite(tokens)
 	if err != nil {
-		return nil, errState(stateUnsupported, "%v", err)
+		return nil, sqlErrorf(sqlStateNotSupported, "%v", err)
 	}
 	if st.First() == "explain" {
-		set, err := s.readText(s.ctx, text, make([]any, st.Params))
+		set, err := s.queryEngine(s.ctx, text, make([]any, st.Params))
 		if err != nil {
 			return nil, err
 		}
@@ -54,7 +54,7 @@
 // the first row's value tells.
 func (s *session) probeColumns(ctx context.Context, st *sqltext.Statement, text string) ([]column, error) {
 	nulls := make([]any, st.Params)
-	set, err := s.readText(ctx, "select * from ("+text+") limit 0", nulls)
+	set, err := s.queryEngine(ctx, "select * from ("+text+") limit 0", nulls)
 	if err != nil {
 		return nil, err
 	}
@@ -62,18 +62,18 @@
 		set.columns[i].name, _, _ = strings.Cut(set.columns[i].name, ":")
 	}
 	nameColumns(st, set.columns)
-	if st.Class == sqltext.Read && hasUnknown(set.columns) {
-		sample, err := s.readText(ctx, "select * from ("+text+") limit 1", nulls)
+	if st.Class == sqltext.Read && hasUnknownType(set.columns) {
+		firstRow, err := s.queryEngine(ctx, "select * from ("+text+") limit 1", nulls)
 		if err != nil {
 			return nil, err
 		}
-		set.rows = sample.rows
+		set.rows = firstRow.rows
 	}
 	s.finishColumns(st, set)
 	return set.columns, nil
 }
 
-func hasUnknown(columns []column) bool {
+func hasUnknownType(columns []column) bool {
 	for _, c := range columns {
 		if c.oid == sqltext.Unknown {
 			return true
--- a/internal/standin/protocol_test.go
+++ b/internal/standin/protocol_test.go
@@ -14,7 +14,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-func state(err error) string {
+func sqlState(err error) string {
 	var pg *pgconn.PgError
 	if errors.As(err, &pg) {
 		return pg.Code
@@ -72,14 +72,14 @@
 	for _, c := range cases {
 		for _, mode := range []pgx.QueryExecMode{pgx.QueryExecModeDescribeExec, pgx.QueryExecModeSimpleProtocol} {
 			_, err := conn.Exec(testContext(t), c.text, mode)
-			if got := state(err); got != c.want {
+			if got := sqlState(err); got != c.want {
 				t.Errorf("%s (%v): got %s, want %s", c.text, mode, got, c.want)
 			}
 		}
 	}
 }
 
-func TestTransactionStates(t *testing.T) {
+func TestTransactionStatus(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	status := func(want byte) {
@@ -94,34 +94,34 @@
 	mustExec(t, conn, "insert into records(id) values ('kept')")
 	mustExec(t, conn, "savepoint s")
 	mustExec(t, conn, "insert into records(id) values ('undone')")
-	if _, err := conn.Exec(testContext(t), "select * from missing"); state(err) != "42P01" {
+	if _, err := conn.Exec(testContext(t), "select * from missing"); sqlState(err) != "42P01" {
 		t.Fatal(err)
 	}
 	status('E')
-	if _, err := conn.Exec(testContext(t), "select 1"); state(err) != "25P02" {
+	if _, err := conn.Exec(testContext(t), "select 1"); sqlState(err) != "25P02" {
 		t.Fatal(err)
 	}
 	mustExec(t, conn, "rollback to savepoint s")
 	status('T')
 	mustExec(t, conn, "commit")
 	status('I')
-	if n := count(t, conn); n != 1 {
+	if n := countRecords(t, conn); n != 1 {
 		t.Errorf("%d records, want 1", n)
 	}
 	// A failed statement undoes the whole of a multi-statement query.
 	_, err := conn.Exec(testContext(t), "insert into records(id) values ('x'); select * from missing",
 		pgx.QueryExecModeSimpleProtocol)
-	if state(err) != "42P01" || count(t, conn) != 1 {
-		t.Errorf("err %v, %d records", err, count(t, conn))
+	if sqlState(err) != "42P01" || countRecords(t, conn) != 1 {
+		t.Errorf("err %v, %d records", err, countRecords(t, conn))
 	}
 	mustExec(t, conn, "start transaction read only")
-	if _, err := conn.Exec(testContext(t), "delete from records"); state(err) != "25006" {
+	if _, err := conn.Exec(testContext(t), "delete from records"); sqlState(err) != "25006" {
 		t.Error(err)
 	}
 	mustExec(t, conn, "rollback")
 }
 
-func TestPipelineAndPartialRows(t *testing.T) {
+func TestPipelinedBatchAndReturning(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	batch := &pgx.Batch{}
@@ -170,12 +170,12 @@
 		t.Errorf("got %q, want %q", out.String(), want)
 	}
 	_, err = conn.PgConn().CopyFrom(testContext(t), strings.NewReader("e\tw\tx\ty\na\tw\tx\ty\n"), "copy records from stdin")
-	if state(err) != "23505" || count(t, conn) != 4 {
-		t.Errorf("a failed COPY left %d records: %v", count(t, conn), err)
+	if sqlState(err) != "23505" || countRecords(t, conn) != 4 {
+		t.Errorf("a failed COPY left %d records: %v", countRecords(t, conn), err)
 	}
 }
 
-func TestCancel(t *testing.T) {
+func TestCancelRequestEndsStatement(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	done := make(chan error, 1)
@@ -189,7 +189,7 @@
 		}
 		select {
 		case err := <-done:
-			if state(err) != "57014" {
+			if sqlState(err) != "57014" {
 				t.Fatal(err)
 			}
 			return
@@ -198,11 +198,11 @@
 	}
 }
 
-func TestStatementTimeout(t *testing.T) {
+func TestStatementTimeoutEndsStatement(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	mustExec(t, conn, "set statement_timeout = 20")
-	if _, err := conn.Exec(testContext(t), "select pg_sleep(600)"); state(err) != "57014" {
+	if _, err := conn.Exec(testContext(t), "select pg_sleep(600)"); sqlState(err) != "57014" {
 		t.Fatal(err)
 	}
 	mustExec(t, conn, "discard all")
@@ -212,7 +212,7 @@
 	}
 }
 
-func TestRefusedConnections(t *testing.T) {
+func TestConnectionRefusalSQLSTATE(t *testing.T) {
 	group := startGroup(t, func(o *standin.Options) { o.MaxConnections = 1 })
 	server := group.Servers[0]
 	connect(t, server)
@@ -227,7 +227,7 @@
 		if err == nil {
 			conn.Close(context.Background())
 		}
-		if got := state(err); got != c.want {
+		if got := sqlState(err); got != c.want {
 			t.Errorf("%s: got %s, want %s", c.url, got, c.want)
 		}
 	}
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -16,32 +16,32 @@
 )
 
 const (
-	followRetry    = 100 * time.Millisecond
-	connectTimeout = 5 * time.Second
-	startStreaming = "START_REPLICATION"
+	followRetryDelay = 100 * time.Millisecond
+	connectTimeout   = 5 * time.Second
+	startReplication = "START_REPLICATION"
 )
 
 // follow streams the primary's log while this endpoint is a replica.
 func (s *Server) follow(ctx context.Context) error {
 	for {
-		role, upstream, changed := s.watch()
+		role, upstream, changed := s.watchRole()
 		if role != RoleReplica || upstream == "" || upstream == s.Addr() {
-			if err := waitChange(ctx, changed, nil, -1); err != nil {
+			if err := waitForChange(ctx, changed, nil, -1); err != nil {
 				return err
 			}
 			continue
 		}
-		if err := s.followOnce(ctx, upstream, changed); err != nil {
+		if err := s.followUpstream(ctx, upstream, changed); err != nil {
 			s.opts.Logger.Debug("standin_follow_failed", "id", s.opts.ID, "upstream", upstream, "err", err.Error())
 		}
-		if err := waitChange(ctx, nil, nil, followRetry); err != nil {
+		if err := waitForChange(ctx, nil, nil, followRetryDelay); err != nil {
 			return err
 		}
 	}
 }
 
 // followOnce streams until the connection or this endpoint's role ends.
-func (s *Server) followOnce(ctx context.Context, upstream string, changed <-chan struct{}) error {
+func (s *Server) followUpstream(ctx context.Context, upstream string, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
 	go func() {
@@ -92,35 +92,35 @@
 		if err != nil {
 			return nil, err
 		}
-		return newGatedConn(conn, s.faults, LinkReplication), nil
+		return newFaultConn(conn, s.faults, LinkReplication), nil
 	}
 	return pgconn.ConnectConfig(ctx, config)
 }
 
 // receive runs the replica's side of a stream.
 func (s *Server) receive(ctx context.Context, fe *pgproto3.Frontend) error {
-	fe.SendQuery(&pgproto3.Query{String: startStreaming})
+	fe.SendQuery(&pgproto3.Query{String: startReplication})
 	if err := fe.Flush(); err != nil {
 		return err
 	}
 	if err := expectCopyBoth(fe); err != nil {
 		return err
 	}
-	request := followRequest{ID: s.opts.ID, History: s.wal.timelines(), Flushed: s.wal.flushed()}
-	if err := sendFollow(fe, request); err != nil {
+	request := replicationRequest{ID: s.opts.ID, History: s.wal.timelines(), Flushed: s.wal.flushed()}
+	if err := sendCopyData(fe, request); err != nil {
 		return err
 	}
 	var first streamMessage
-	if err := receiveStream(fe, &first); err != nil {
+	if err := receiveStreamMessage(fe, &first); err != nil {
 		return err
 	}
-	if err := s.align(ctx, first); err != nil {
+	if err := s.reconcileLog(ctx, first); err != nil {
 		return err
 	}
 	acks := make(chan struct{})
 	go func() {
 		defer close(acks)
-		s.sendStatus(ctx, fe)
+		s.reportStatus(ctx, fe)
 	}()
 	err := s.receiveRecords(fe)
 	<-acks
@@ -137,12 +137,12 @@
 		case *pgproto3.CopyBothResponse:
 			return nil
 		case *pgproto3.ErrorResponse:
-			return errState(m.Code, "%s", m.Message)
+			return sqlErrorf(m.Code, "%s", m.Message)
 		}
 	}
 }
 
-func sendFollow(fe *pgproto3.Frontend, v any) error {
+func sendCopyData(fe *pgproto3.Frontend, v any) error {
 	data, err := cbor.Marshal(v)
 	if err != nil {
 		return err
@@ -151,24 +151,24 @@
 	return fe.Flush()
 }
 
-func receiveStream(fe *pgproto3.Frontend, m *streamMessage) error {
+func receiveStreamMessage(fe *pgproto3.Frontend, m *streamMessage) error {
 	msg, err := fe.Receive()
 	if err != nil {
 		return err
 	}
 	data, ok := msg.(*pgproto3.CopyData)
 	if !ok {
-		return errState(stateProtocol, "unexpected message %T", msg)
+		return sqlErrorf(sqlStateProtocolViolation, "unexpected message %T", msg)
 	}
-	return decoding.Unmarshal(data.Data, m)
+	return cborDecoding.Unmarshal(data.Data, m)
 }
 
 // align drops what the primary's history does not have and takes it over.
-func (s *Server) align(ctx context.Context, first streamMessage) error {
+func (s *Server) reconcileLog(ctx context.Context, first streamMessage) error {
 	s.mu.Lock()
-	following := s.role == RoleReplica && !s.promoting
+	isReplica := s.role == RoleReplica && !s.promoting
 	s.mu.Unlock()
-	if !following {
+	if !isReplica {
 		return errors.New("no longer a replica")
 	}
 	if s.wal.flushed() > first.From {
@@ -176,13 +176,13 @@
 			return err
 		}
 	}
-	return s.wal.adopt(first.History)
+	return s.wal.adoptHistory(first.History)
 }
 
 func (s *Server) receiveRecords(fe *pgproto3.Frontend) error {
 	for {
 		var m streamMessage
-		if err := receiveStream(fe, &m); err != nil {
+		if err := receiveStreamMessage(fe, &m); err != nil {
 			return err
 		}
 		if err := s.flushRecords(m.Records); err != nil {
@@ -202,26 +202,26 @@
 }
 
 // sendStatus reports this replica's positions whenever they change.
-func (s *Server) sendStatus(ctx context.Context, fe *pgproto3.Frontend) {
+func (s *Server) reportStatus(ctx context.Context, fe *pgproto3.Frontend) {
 	for {
 		changed := s.wal.watch()
-		status := followStatus{Flushed: s.wal.flushed(), Replayed: s.wal.replayedTo()}
-		if err := sendFollow(fe, status); err != nil {
+		status := replicationStatus{Flushed: s.wal.flushed(), Replayed: s.wal.replayedLSN()}
+		if err := sendCopyData(fe, status); err != nil {
 			return
 		}
-		if err := waitChange(ctx, changed, nil, -1); err != nil {
+		if err := waitForChange(ctx, changed, nil, -1); err != nil {
 			return
 		}
 	}
 }
 
 // receiverRelation returns the view pg_stat_wal_receiver.
-func (s *Server) receiverRelation() sqltext.Relation {
+func (s *Server) statWALReceiver() sqltext.Relation {
 	rel := sqltext.Relation{Columns: strings.Fields("status received_tli flushed_lsn sender")}
-	role, upstream, _ := s.watch()
+	role, upstream, _ := s.watchRole()
 	if role == RoleReplica && upstream != "" {
 		rel.Rows = [][]string{{
-			"'streaming'", strconv.Itoa(int(s.wal.current())), lsnLiteral(s.wal.flushed()), sqltext.Quote(upstream),
+			"'streaming'", strconv.Itoa(int(s.wal.currentTimeline())), lsnLiteral(s.wal.flushed()), sqltext.Quote(upstream),
 		}}
 	}
 	return rel
--- a/internal/standin/replay.go
+++ b/internal/standin/replay.go
@@ -15,19 +15,19 @@
 func (s *Server) replay(ctx context.Context) error {
 	for {
 		changed := s.wal.watch()
-		role, _, roleChanged := s.watch()
+		role, _, roleChanged := s.watchRole()
 		wait := time.Duration(-1)
 		if role == RoleReplica {
-			due, next := s.due(time.Now())
+			due, next := s.dueRecords(time.Now())
 			if len(due) > 0 {
-				if err := s.apply(ctx, due); err != nil {
+				if err := s.replayRecords(ctx, due); err != nil {
 					return err
 				}
 				continue
 			}
 			wait = next
 		}
-		if err := waitChange(ctx, changed, roleChanged, wait); err != nil {
+		if err := waitForChange(ctx, changed, roleChanged, wait); err != nil {
 			return err
 		}
 	}
@@ -35,7 +35,7 @@
 
 // waitChange waits for a change of the log or the role, or for d unless it is
 // negative.
-func waitChange(ctx context.Context, changed, roleChanged <-chan struct{}, d time.Duration) error {
+func waitForChange(ctx context.Context, changed, roleChanged <-chan struct{}, d time.Duration) error {
 	var expired <-chan time.Time
 	if d >= 0 {
 		timer := time.NewTimer(d)
@@ -54,9 +54,9 @@
 
 // due returns the transactions to replay now, or the time until the next one;
 // a negative time means that there is none.
-func (s *Server) due(now time.Time) ([]record, time.Duration) {
-	records := s.wal.after(s.wal.replayedTo(), replayBatch)
-	lag := time.Duration(s.lag.Load())
+func (s *Server) dueRecords(now time.Time) ([]record, time.Duration) {
+	records := s.wal.recordsAfter(s.wal.replayedLSN(), replayBatch)
+	lag := time.Duration(s.replayLag.Load())
 	n := 0
 	for n < len(records) && now.Sub(records[n].flushedAt) >= lag {
 		n++
@@ -73,11 +73,11 @@
 // replayAll applies all that is flushed, due or not.
 func (s *Server) replayAll(ctx context.Context) error {
 	for {
-		records := s.wal.after(s.wal.replayedTo(), replayBatch)
+		records := s.wal.recordsAfter(s.wal.replayedLSN(), replayBatch)
 		if len(records) == 0 {
 			return nil
 		}
-		if err := s.apply(ctx, records); err != nil {
+		if err := s.replayRecords(ctx, records); err != nil {
 			return err
 		}
 	}
@@ -85,16 +85,16 @@
 
 // apply replays the records that follow the replayed position, in one engine
 // transaction.
-func (s *Server) apply(ctx context.Context, records []record) error {
+func (s *Server) replayRecords(ctx context.Context, records []record) error {
 	eng := s.engine()
-	if err := eng.lockWriter(ctx); err != nil {
+	if err := eng.lockWrite(ctx); err != nil {
 		return err
 	}
-	defer eng.unlockWriter()
+	defer eng.unlockWrite()
 	if eng != s.engine() {
 		return nil
 	}
-	for len(records) > 0 && records[0].End <= s.wal.replayedTo() {
+	for len(records) > 0 && records[0].End <= s.wal.replayedLSN() {
 		records = records[1:]
 	}
 	if len(records) == 0 {
@@ -105,10 +105,10 @@
 		return errors.Wrap(err, "replay")
 	}
 	defer conn.Close()
-	return s.applyOn(eng, conn, records)
+	return s.replayOn(eng, conn, records)
 }
 
-func (s *Server) applyOn(eng *engine, conn *sql.Conn, records []record) error {
+func (s *Server) replayOn(eng *engine, conn *sql.Conn, records []record) error {
 	ctx := context.Background() // a replay is not cut short
 	if _, err := conn.ExecContext(ctx, "begin immediate"); err != nil {
 		return errors.Wrap(err, "replay")
@@ -121,9 +121,9 @@
 			}
 		}
 	}
-	eng.forgetColumns()
-	eng.reads.Lock()
-	defer eng.reads.Unlock()
+	eng.invalidateColumns()
+	eng.commitMu.Lock()
+	defer eng.commitMu.Unlock()
 	if _, err := conn.ExecContext(ctx, "commit"); err != nil {
 		return errors.Wrap(err, "replay")
 	}
--- a/internal/standin/replication_test.go
+++ b/internal/standin/replication_test.go
@@ -11,7 +11,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-func TestReplicasFollowAndRefuseWrites(t *testing.T) {
+func TestReplicasReplayAndRejectWrites(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := connect(t, group.Servers[0])
 	mustExec(t, primary, "create table extra(id bigserial primary key, at timestamptz)")
@@ -27,7 +27,7 @@
 	}
 	for _, s := range group.Servers[1:] {
 		replica := connect(t, s)
-		eventually(t, "replay", func() bool {
+		waitFor(t, "replay", func() bool {
 			var replayed string
 			err := replica.QueryRow(testContext(t), "select pg_last_wal_replay_lsn()").Scan(&replayed)
 			return err == nil && replayed == current
@@ -36,7 +36,7 @@
 		if err := replica.QueryRow(testContext(t), "select at::text from extra").Scan(&got); err != nil || got != want {
 			t.Errorf("replayed %q, want %q: %v", got, want, err)
 		}
-		if _, err := replica.Exec(testContext(t), "insert into records(id) values ('b')"); state(err) != "25006" {
+		if _, err := replica.Exec(testContext(t), "insert into records(id) values ('b')"); sqlState(err) != "25006" {
 			t.Error(err)
 		}
 		var recovering bool
@@ -45,7 +45,7 @@
 			t.Error(recovering, err)
 		}
 	}
-	eventually(t, "flush reported to the primary", func() bool {
+	waitFor(t, "flush reported to the primary", func() bool {
 		var n int64
 		err := primary.QueryRow(testContext(t),
 			"select count(*) from pg_stat_replication where flush_lsn = $1 and replay_lsn = $1", current).Scan(&n)
@@ -53,12 +53,12 @@
 	})
 }
 
-func TestFlushComesBeforeReplay(t *testing.T) {
+func TestReplicaFlushesBeforeReplay(t *testing.T) {
 	group := startGroup(t, func(o *standin.Options) { o.ReplayLag = time.Hour })
 	mustExec(t, connect(t, group.Servers[0]), "insert into records(id) values ('a')")
 	_, _, flushed, _ := group.Servers[0].Position()
 	replica := group.Servers[1]
-	eventually(t, "flush", func() bool {
+	waitFor(t, "flush", func() bool {
 		_, _, got, _ := replica.Position()
 		return got == flushed
 	})
@@ -68,10 +68,10 @@
 	replica.SetReplayLag(0)
 	mustExec(t, connect(t, group.Servers[0]), "insert into records(id) values ('b')")
 	conn := connect(t, replica)
-	eventually(t, "replay", func() bool { return count(t, conn) == 2 })
+	waitFor(t, "replay", func() bool { return countRecords(t, conn) == 2 })
 }
 
-func TestPromotionKeepsFlushedAndDropsTail(t *testing.T) {
+func TestPromotionKeepsFlushedDropsUnflushed(t *testing.T) {
 	var named atomic.Pointer[standin.Server]
 	admin := startAdmin(t, &named)
 	group := startGroup(t, func(o *standin.Options) {
@@ -81,7 +81,7 @@
 	conn := connect(t, old)
 	mustExec(t, conn, "insert into records(id) values ('kept')")
 	_, _, flushed, _ := old.Position()
-	eventually(t, "flush", func() bool {
+	waitFor(t, "flush", func() bool {
 		_, _, got, _ := next.Position()
 		return got == flushed
 	})
@@ -90,28 +90,28 @@
 
 	promoted := connect(t, next)
 	mustExec(t, promoted, "select pg_promote()")
-	if n := count(t, promoted); n != 1 {
+	if n := countRecords(t, promoted); n != 1 {
 		t.Errorf("%d records after promotion, want 1", n)
 	}
-	if role, number, _, _ := next.Position(); role != standin.RolePrimary || number != 2 {
-		t.Errorf("role %s, timeline %d", role, number)
+	if role, timelineID, _, _ := next.Position(); role != standin.RolePrimary || timelineID != 2 {
+		t.Errorf("role %s, timeline %d", role, timelineID)
 	}
 	mustExec(t, conn, "insert into records(id) values ('lost too')") // it still believes that it is the primary
 	mustExec(t, promoted, "insert into records(id) values ('new')")
 
 	old.Faults().Clear()
 	named.Store(next)
-	eventually(t, "demotion", func() bool {
-		role, number, _, _ := old.Position()
-		return role == standin.RoleReplica && number == 2
+	waitFor(t, "demotion", func() bool {
+		role, timelineID, _, _ := old.Position()
+		return role == standin.RoleReplica && timelineID == 2
 	})
 	old.SetReplayLag(0)
-	var again int64
-	eventually(t, "old primary rebuilt", func() bool {
+	var restored int64
+	waitFor(t, "old primary rebuilt", func() bool {
 		fresh := connect(t, old)
 		defer fresh.Close(testContext(t))
-		err := fresh.QueryRow(testContext(t), "select count(*) from records where id in ('kept', 'new')").Scan(&again)
-		return err == nil && again == 2 && count(t, fresh) == 2
+		err := fresh.QueryRow(testContext(t), "select count(*) from records where id in ('kept', 'new')").Scan(&restored)
+		return err == nil && restored == 2 && countRecords(t, fresh) == 2
 	})
 }
 
--- a/internal/standin/role.go
+++ b/internal/standin/role.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-const recordsTable = "create table records(id text primary key, workspace text, body text, filed_at text)"
+const createRecordsTable = "create table records(id text primary key, workspace text, body text, filed_at text)"
 
 // recover replays the log kept on disk and, on a primary, creates the table of
 // records when it is wanted and the log is empty.
-func (s *Server) recover() error {
+func (s *Server) restore() error {
 	if s.wal.flushed() > firstLSN {
 		if err := s.replayAll(s.ctx); err != nil {
 			return err
@@ -22,10 +22,10 @@
 	if !s.opts.RecordsTable || !s.isPrimary() || s.wal.flushed() > firstLSN {
 		return nil
 	}
-	if _, err := s.engine().db.ExecContext(s.ctx, recordsTable); err != nil {
+	if _, err := s.engine().db.ExecContext(s.ctx, createRecordsTable); err != nil {
 		return errors.Wrap(err, "create table")
 	}
-	_, err := s.wal.appendLocal([]change{{SQL: recordsTable}})
+	_, err := s.wal.appendLocal([]change{{SQL: createRecordsTable}})
 	return err
 }
 
@@ -35,21 +35,21 @@
 	s.roleMu.Lock()
 	defer s.roleMu.Unlock()
 	if s.isPrimary() {
-		return errState(stateNotPrerequisite, "recovery is not in progress")
+		return sqlErrorf(sqlStateNotInPrerequisiteState, "recovery is not in progress")
 	}
 	s.setPromoting(true)
 	defer s.setPromoting(false)
 	if err := s.replayAll(ctx); err != nil {
 		return err
 	}
-	number, err := s.wal.branch(s.opts.ID)
+	timelineID, err := s.wal.startTimeline(s.opts.ID)
 	if err != nil {
 		return err
 	}
 	if err := s.setRole(RolePrimary); err != nil {
 		return err
 	}
-	s.opts.Logger.Info("standin_promoted", "id", s.opts.ID, "timeline", number, "lsn", s.wal.flushed())
+	s.opts.Logger.Info("standin_promoted", "id", s.opts.ID, "timeline", timelineID, "lsn", s.wal.flushed())
 	return nil
 }
 
@@ -84,7 +84,7 @@
 		return err
 	}
 	s.SetUpstream(upstream)
-	s.disconnect()
+	s.terminateSessions()
 	s.opts.Logger.Info("standin_demoted", "id", s.opts.ID, "upstream", upstream)
 	return nil
 }
@@ -101,7 +101,7 @@
 }
 
 // disconnect ends all sessions.
-func (s *Server) disconnect() {
+func (s *Server) terminateSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, session := range s.sessions {
@@ -113,16 +113,16 @@
 // which the rest of the log is replayed.
 func (s *Server) rebuild(ctx context.Context, l LSN) error {
 	old := s.engine()
-	s.disconnect()
-	if err := old.lockWriter(ctx); err != nil {
+	s.terminateSessions()
+	if err := old.lockWrite(ctx); err != nil {
 		return err
 	}
-	defer old.unlockWriter()
+	defer old.unlockWrite()
 	fresh, err := openEngine()
 	if err != nil {
 		return err
 	}
-	lost := s.wal.flushed()
+	oldEnd := s.wal.flushed()
 	if _, err := s.wal.truncate(l); err != nil {
 		fresh.close()
 		return err
@@ -130,8 +130,8 @@
 	s.mu.Lock()
 	s.eng = fresh
 	s.mu.Unlock()
-	s.disconnect()
+	s.terminateSessions()
 	old.close()
-	s.opts.Logger.Warn("standin_log_dropped", "id", s.opts.ID, "from", l, "to", lost)
+	s.opts.Logger.Warn("standin_log_dropped", "id", s.opts.ID, "from", l, "to", oldEnd)
 	return nil
 }
--- a/internal/standin/sender.go
+++ b/internal/standin/sender.go
@@ -17,7 +17,7 @@
 
 // followRequest is what a replica asks for: the stream after the last position
 // that its log has in common with the primary's.
-type followRequest struct {
+type replicationRequest struct {
 	ID      string     `cbor:"1,keyasint"`
 	History []timeline `cbor:"2,keyasint"`
 	Flushed LSN        `cbor:"3,keyasint"`
@@ -32,7 +32,7 @@
 }
 
 // followStatus reports a replica's positions to its primary.
-type followStatus struct {
+type replicationStatus struct {
 	Flushed  LSN `cbor:"1,keyasint"`
 	Replayed LSN `cbor:"2,keyasint"`
 }
@@ -40,21 +40,21 @@
 // standby is a replica that is streaming from this primary.
 type standby struct {
 	id     string
-	status followStatus
+	status replicationStatus
 }
 
 // sendReplication serves START_REPLICATION until the connection ends.
-func (s *session) sendReplication(st *sqltext.Statement) error {
+func (s *session) serveReplication(st *sqltext.Statement) error {
 	if !s.srv.isPrimary() {
-		return errState(stateNotPrerequisite, "recovery is in progress")
+		return sqlErrorf(sqlStateNotInPrerequisiteState, "recovery is in progress")
 	}
 	s.be.Send(&pgproto3.CopyBothResponse{})
 	if err := s.be.Flush(); err != nil {
-		return errGoodbye
+		return errConnectionClosed
 	}
-	var request followRequest
-	if err := s.receiveCopy(&request); err != nil {
-		return errGoodbye
+	var request replicationRequest
+	if err := s.receiveCopyData(&request); err != nil {
+		return errConnectionClosed
 	}
 	sb := &standby{id: request.ID}
 	s.srv.addStandby(sb)
@@ -68,25 +68,25 @@
 	s.conn.Close()
 	<-ctx.Done()
 	s.srv.opts.Logger.Debug("standin_stream_ended", "id", s.srv.opts.ID, "replica", sb.id, "err", fmt.Sprint(err))
-	return errGoodbye
+	return errConnectionClosed
 }
 
-func (s *session) receiveCopy(v any) error {
+func (s *session) receiveCopyData(v any) error {
 	msg, err := s.be.Receive()
 	if err != nil {
 		return err
 	}
 	data, ok := msg.(*pgproto3.CopyData)
 	if !ok {
-		return errState(stateProtocol, "unexpected message %T", msg)
+		return sqlErrorf(sqlStateProtocolViolation, "unexpected message %T", msg)
 	}
-	return decoding.Unmarshal(data.Data, v)
+	return cborDecoding.Unmarshal(data.Data, v)
 }
 
 func (s *session) receiveStatus(sb *standby) {
 	for {
-		var status followStatus
-		if err := s.receiveCopy(&status); err != nil {
+		var status replicationStatus
+		if err := s.receiveCopyData(&status); err != nil {
 			return
 		}
 		s.srv.mu.Lock()
@@ -97,31 +97,31 @@
 
 // stream sends the log from the common position on, as long as this endpoint is
 // the primary. It always returns an error.
-func (s *session) stream(ctx context.Context, request followRequest) error {
+func (s *session) stream(ctx context.Context, request replicationRequest) error {
 	log := s.srv.log()
 	history := log.timelines()
-	sent := commonPoint(history, request.History, min(request.Flushed, log.flushed()))
-	if err := s.sendCopy(streamMessage{History: history, From: sent}); err != nil {
+	sent := commonPosition(history, request.History, min(request.Flushed, log.flushed()))
+	if err := s.sendStreamMessage(streamMessage{History: history, From: sent}); err != nil {
 		return err
 	}
 	for {
 		changed := log.watch()
-		role, _, roleChanged := s.srv.watch()
+		role, _, roleChanged := s.srv.watchRole()
 		if role != RolePrimary {
-			return errState(stateNotPrerequisite, "no longer the primary")
+			return sqlErrorf(sqlStateNotInPrerequisiteState, "no longer the primary")
 		}
-		records := log.after(sent, sendBatch)
+		records := log.recordsAfter(sent, sendBatch)
 		if len(records) == 0 {
-			if err := waitChange(ctx, changed, roleChanged, -1); err != nil {
+			if err := waitForChange(ctx, changed, roleChanged, -1); err != nil {
 				return err
 			}
 			continue
 		}
 		last := records[len(records)-1]
-		if err := s.awaitDelay(ctx, last); err != nil {
+		if err := s.waitReplicationDelay(ctx, last); err != nil {
 			return err
 		}
-		if err := s.sendCopy(streamMessage{Records: records}); err != nil {
+		if err := s.sendStreamMessage(streamMessage{Records: records}); err != nil {
 			return err
 		}
 		sent = last.End
@@ -129,12 +129,12 @@
 }
 
 // awaitDelay waits until the replication delay has passed since the commit of r.
-func (s *session) awaitDelay(ctx context.Context, r record) error {
-	delay := time.Duration(s.srv.delay.Load())
+func (s *session) waitReplicationDelay(ctx context.Context, r record) error {
+	delay := time.Duration(s.srv.replicationDelay.Load())
 	return sleep(ctx, delay-time.Since(r.flushedAt))
 }
 
-func (s *session) sendCopy(m streamMessage) error {
+func (s *session) sendStreamMessage(m streamMessage) error {
 	data, err := cbor.Marshal(m)
 	if err != nil {
 		return err
@@ -156,13 +156,13 @@
 }
 
 // standbyRelation returns the view pg_stat_replication.
-func (s *Server) standbyRelation() sqltext.Relation {
+func (s *Server) statReplication() sqltext.Relation {
 	rel := sqltext.Relation{Columns: strings.Fields(
 		"application_name state sent_lsn write_lsn flush_lsn replay_lsn sync_state")}
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for sb := range s.standbys {
-		flushed, replayed := null, null
+		flushed, replayed := nullLiteral, nullLiteral
 		if sb.status.Flushed > 0 {
 			flushed, replayed = lsnLiteral(sb.status.Flushed), lsnLiteral(sb.status.Replayed)
 		}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -14,13 +14,13 @@
 
 // Server is one endpoint.
 type Server struct {
-	opts   Options
-	ln     net.Listener
-	faults *Faults
-	scram  *scram.Server
-	wal    *wal
-	lag    atomic.Int64 // replay lag in nanoseconds
-	delay  atomic.Int64 // replication delay in nanoseconds
+	opts             Options
+	ln               net.Listener
+	faults           *Faults
+	scram            *scram.Server
+	wal              *wal
+	replayLag        atomic.Int64 // replay lag in nanoseconds
+	replicationDelay atomic.Int64 // replication delay in nanoseconds
 	// sleeping counts the running calls of pg_sleep.
 	sleeping atomic.Int64
 
@@ -31,26 +31,26 @@
 	// roleMu serializes promotions and demotions.
 	roleMu sync.Mutex
 
-	mu        sync.Mutex
-	role      Role
-	promoting bool
-	upstream  string
-	eng       *engine
-	sessions  map[uint32]*session
-	callers   int
-	nextPID   uint32
-	standbys  map[*standby]struct{}
-	changed   chan struct{}
+	mu          sync.Mutex
+	role        Role
+	promoting   bool
+	upstream    string
+	eng         *engine
+	sessions    map[uint32]*session
+	callerCount int
+	nextPID     uint32
+	standbys    map[*standby]struct{}
+	roleChanged chan struct{}
 }
 
 // New opens an endpoint and its listener. Run serves it.
 func New(opts Options) (*Server, error) {
 	opts.setDefaults()
-	log, err := openWAL(opts.DataDir)
+	wal, err := openWAL(opts.DataDir)
 	if err != nil {
 		return nil, err
 	}
-	verifier, err := newScramServer(opts.User, opts.Password)
+	scramServer, err := newScramServer(opts.User, opts.Password)
 	if err != nil {
 		return nil, err
 	}
@@ -65,10 +65,10 @@
 	}
 	ctx, cancel := context.WithCancel(context.Background())
 	s := &Server{
-		opts: opts, ln: ln, faults: newFaults(), scram: verifier, wal: log, ctx: ctx, cancel: cancel,
-		role: log.file.loadRole(opts.Role), upstream: opts.Upstream, eng: eng,
+		opts: opts, ln: ln, faults: newFaults(), scram: scramServer, wal: wal, ctx: ctx, cancel: cancel,
+		role: wal.file.loadRole(opts.Role), upstream: opts.Upstream, eng: eng,
 		sessions: make(map[uint32]*session), standbys: make(map[*standby]struct{}),
-		changed: make(chan struct{}),
+		roleChanged: make(chan struct{}),
 	}
 	s.SetReplayLag(opts.ReplayLag)
 	s.SetReplicationDelay(opts.ReplicationDelay)
@@ -87,13 +87,13 @@
 // SetReplayLag changes the time from flush to replay of transactions on this
 // endpoint.
 func (s *Server) SetReplayLag(d time.Duration) {
-	s.lag.Store(int64(d))
+	s.replayLag.Store(int64(d))
 	s.wal.notify()
 }
 
 // SetReplicationDelay changes the time from a commit on this endpoint to its
 // flush on replicas.
-func (s *Server) SetReplicationDelay(d time.Duration) { s.delay.Store(int64(d)) }
+func (s *Server) SetReplicationDelay(d time.Duration) { s.replicationDelay.Store(int64(d)) }
 
 // Position returns the endpoint's role, timeline, and flushed and replayed
 // positions.
@@ -101,13 +101,13 @@
 	s.mu.Lock()
 	role = s.role
 	s.mu.Unlock()
-	return role, s.wal.current(), s.wal.flushed(), s.wal.replayedTo()
+	return role, s.wal.currentTimeline(), s.wal.flushed(), s.wal.replayedLSN()
 }
 
 // Run serves until ctx ends. It returns nil after a regular end.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.close()
-	if err := s.recover(); err != nil {
+	if err := s.restore(); err != nil {
 		return err
 	}
 	var group run.Group
@@ -178,14 +178,14 @@
 }
 
 // add registers a session that has authenticated.
-func (s *Server) add(session *session, replication bool) error {
+func (s *Server) register(session *session, replication bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !replication {
-		if s.callers >= s.opts.MaxConnections {
-			return fatal(stateTooMany, "sorry, too many clients already")
+		if s.callerCount >= s.opts.MaxConnections {
+			return fatalErrorf(sqlStateTooManyConnections, "sorry, too many clients already")
 		}
-		s.callers++
+		s.callerCount++
 		session.counted = true
 	}
 	s.nextPID++
@@ -194,7 +194,7 @@
 	return nil
 }
 
-func (s *Server) remove(session *session) {
+func (s *Server) unregister(session *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if session.pid == 0 {
@@ -202,7 +202,7 @@
 	}
 	delete(s.sessions, session.pid)
 	if session.counted {
-		s.callers--
+		s.callerCount--
 	}
 }
 
@@ -211,7 +211,7 @@
 	session := s.sessions[pid]
 	s.mu.Unlock()
 	if session != nil {
-		session.interrupt(secret)
+		session.cancelStatement(secret)
 	}
 }
 
@@ -233,11 +233,11 @@
 // them visible.
 func (s *Server) commit(session *session) error {
 	if !s.isPrimary() || s.engine() != session.eng {
-		return fatal(stateShutdown, "the endpoint is no longer the primary")
+		return fatalErrorf(sqlStateAdminShutdown, "the endpoint is no longer the primary")
 	}
 	eng := session.eng
-	eng.reads.Lock()
-	defer eng.reads.Unlock()
+	eng.commitMu.Lock()
+	defer eng.commitMu.Unlock()
 	if _, err := session.db.ExecContext(context.Background(), "commit"); err != nil {
 		return err
 	}
@@ -247,14 +247,14 @@
 
 // notifyLocked wakes the tasks that wait for a change of role or upstream.
 func (s *Server) notifyLocked() {
-	close(s.changed)
-	s.changed = make(chan struct{})
+	close(s.roleChanged)
+	s.roleChanged = make(chan struct{})
 }
 
 // watch returns the present role and upstream, and a channel that is closed at
 // their next change.
-func (s *Server) watch() (Role, string, <-chan struct{}) {
+func (s *Server) watchRole() (Role, string, <-chan struct{}) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.role, s.upstream, s.changed
+	return s.role, s.upstream, s.roleChanged
 }
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -20,7 +20,7 @@
 // but for cancel and conn.
 type session struct {
 	srv    *Server
-	conn   *gatedConn
+	conn   *faultConn
 	be     *pgproto3.Backend
 	ctx    context.Context
 	cancel context.CancelFunc
@@ -30,30 +30,30 @@
 	secret  []byte
 	types   *pgtype.Map
 
-	eng      *engine
-	db       *sql.Conn
-	settings map[string]string
-	tx       txState
-	prepared map[string]*prepared
-	portals  map[string]*portal
+	eng        *engine
+	db         *sql.Conn
+	settings   map[string]string
+	tx         txState
+	statements map[string]*preparedStatement
+	portals    map[string]*portal
 	// skipping discards messages up to Sync after an error.
-	skipping bool
+	skipUntilSync bool
 
-	running sync.Mutex
-	stop    context.CancelFunc
+	stopMu sync.Mutex
+	stop   context.CancelFunc
 }
 
-var errGoodbye = errors.New("connection closed")
+var errConnectionClosed = errors.New("connection closed")
 
 func newSession(srv *Server, conn net.Conn) *session {
-	gated := newGatedConn(conn, srv.faults, "")
+	gated := newFaultConn(conn, srv.faults, "")
 	ctx, cancel := context.WithCancel(srv.ctx)
 	secret := make([]byte, secretKeyBytes)
 	_, _ = rand.Read(secret) // never fails
 	return &session{
 		srv: srv, conn: gated, be: pgproto3.NewBackend(gated, gated), ctx: ctx, cancel: cancel,
 		secret: secret, types: pgtype.NewMap(), settings: copySettings(defaultSettings),
-		prepared: make(map[string]*prepared), portals: make(map[string]*portal),
+		statements: make(map[string]*preparedStatement), portals: make(map[string]*portal),
 	}
 }
 
@@ -61,28 +61,28 @@
 func (s *session) serve() {
 	defer s.conn.Close()
 	defer s.cancel()
-	err := s.start()
+	err := s.startUp()
 	if err == nil {
 		err = s.loop()
 	}
-	s.end()
-	var known *stateError
-	if errors.As(err, &known) {
-		s.be.Send(known.response())
+	s.close()
+	var sqlErr *sqlError
+	if errors.As(err, &sqlErr) {
+		s.be.Send(sqlErr.response())
 		_ = s.be.Flush() // the connection ends anyway
 	}
 }
 
-func (s *session) end() {
+func (s *session) close() {
 	if s.db != nil {
 		s.rollback()
 		s.db.Close()
 	}
-	s.srv.remove(s)
+	s.srv.unregister(s)
 }
 
 // start handles the messages up to the first ReadyForQuery.
-func (s *session) start() error {
+func (s *session) startUp() error {
 	startup, err := s.receiveStartup()
 	if err != nil {
 		return err
@@ -93,7 +93,7 @@
 	if replication {
 		s.conn.setLink(LinkReplication)
 	}
-	if err := s.conn.await(); err != nil {
+	if err := s.conn.waitForLink(); err != nil {
 		return err
 	}
 	if startup.ProtocolVersion != pgproto3.ProtocolVersion30 {
@@ -103,27 +103,27 @@
 		return err
 	}
 	if db := params["database"]; db != "" && db != s.srv.opts.Database {
-		return fatal(stateNoDatabase, "database %q does not exist", db)
+		return fatalErrorf(sqlStateInvalidDatabase, "database %q does not exist", db)
 	}
-	if err := s.srv.add(s, replication); err != nil {
+	if err := s.srv.register(s, replication); err != nil {
 		return err
 	}
 	if err := sleep(s.ctx, s.srv.opts.ConnectDelay); err != nil {
 		return err
 	}
-	if err := s.attach(); err != nil {
+	if err := s.openDatabase(); err != nil {
 		return err
 	}
-	s.greet(params)
-	return s.ready()
+	s.sendStartupParameters(params)
+	return s.sendReady()
 }
 
 // attach connects the session to the present database.
-func (s *session) attach() error {
+func (s *session) openDatabase() error {
 	s.eng = s.srv.engine()
 	db, err := s.eng.db.Conn(s.ctx)
 	if err != nil {
-		return fatal(stateStarting, "the database is starting: %v", err)
+		return fatalErrorf(sqlStateCannotConnectNow, "the database is starting: %v", err)
 	}
 	s.db = db
 	return nil
@@ -140,7 +140,7 @@
 			return m, nil
 		case *pgproto3.CancelRequest:
 			s.srv.cancelStatement(m.ProcessID, m.SecretKey)
-			return nil, errGoodbye
+			return nil, errConnectionClosed
 		default: // SSLRequest, GSSEncRequest
 			if _, err := s.conn.Write([]byte{'N'}); err != nil {
 				return nil, err
@@ -149,7 +149,7 @@
 	}
 }
 
-func (s *session) greet(params map[string]string) {
+func (s *session) sendStartupParameters(params map[string]string) {
 	s.be.Send(&pgproto3.AuthenticationOk{})
 	for name, value := range params {
 		switch name {
@@ -158,7 +158,7 @@
 			s.settings[name] = value
 		}
 	}
-	for _, r := range reported {
+	for _, r := range reportedSettings {
 		s.be.Send(&pgproto3.ParameterStatus{Name: r.name, Value: s.settings[r.key]})
 	}
 	s.be.Send(&pgproto3.ParameterStatus{Name: "session_authorization", Value: s.srv.opts.User})
@@ -177,19 +177,19 @@
 	for {
 		msg, err := s.be.Receive()
 		if s.ctx.Err() != nil {
-			return fatal(stateShutdown, "terminating connection due to administrator command")
+			return fatalErrorf(sqlStateAdminShutdown, "terminating connection due to administrator command")
 		}
 		if err != nil {
-			return errGoodbye
+			return errConnectionClosed
 		}
-		if err := s.srv.faults.await(s.ctx, s.link()); err != nil {
-			return fatal(stateShutdown, "terminating connection due to administrator command")
+		if err := s.srv.faults.waitForLink(s.ctx, s.link()); err != nil {
+			return fatalErrorf(sqlStateAdminShutdown, "terminating connection due to administrator command")
 		}
 		if err := s.handle(msg); err != nil {
 			return err
 		}
 		if s.ctx.Err() != nil {
-			return fatal(stateShutdown, "terminating connection due to administrator command")
+			return fatalErrorf(sqlStateAdminShutdown, "terminating connection due to administrator command")
 		}
 	}
 }
@@ -210,37 +210,37 @@
 	case *pgproto3.Flush:
 		return s.be.Flush()
 	case *pgproto3.Terminate:
-		return errGoodbye
+		return errConnectionClosed
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
 		return nil // the rest of a failed COPY
 	}
-	if s.skipping {
+	if s.skipUntilSync {
 		return nil
 	}
-	err := s.extended(msg)
+	err := s.handleExtended(msg)
 	if err == nil {
 		return nil
 	}
-	return s.fail(err, true)
+	return s.reportError(err, true)
 }
 
 // fail reports an error of a statement. In the extended protocol the messages
 // up to Sync are skipped.
-func (s *session) fail(err error, skip bool) error {
-	known := toState(err)
-	if known.fatal || errors.Is(err, errGoodbye) {
+func (s *session) reportError(err error, skip bool) error {
+	sqlErr := toSQLError(err)
+	if sqlErr.fatal || errors.Is(err, errConnectionClosed) {
 		return err
 	}
 	s.abort()
-	s.skipping = skip
-	s.be.Send(known.response())
+	s.skipUntilSync = skip
+	s.be.Send(sqlErr.response())
 	return nil
 }
 
 // ready sends all answers and the state of the transaction.
-func (s *session) ready() error {
-	if err := sleep(s.ctx, s.srv.faults.lateness()); err != nil {
-		return fatal(stateShutdown, "terminating connection due to administrator command")
+func (s *session) sendReady() error {
+	if err := sleep(s.ctx, s.srv.faults.responseDelay()); err != nil {
+		return fatalErrorf(sqlStateAdminShutdown, "terminating connection due to administrator command")
 	}
 	s.be.Send(&pgproto3.ReadyForQuery{TxStatus: s.tx.status()})
 	return s.be.Flush()
@@ -253,24 +253,24 @@
 	if limit := statementTimeout(s.settings); limit > 0 {
 		ctx, cancel = context.WithTimeout(s.ctx, limit)
 	}
-	s.running.Lock()
+	s.stopMu.Lock()
 	s.stop = cancel
-	s.running.Unlock()
+	s.stopMu.Unlock()
 	return ctx, func() {
-		s.running.Lock()
+		s.stopMu.Lock()
 		s.stop = nil
-		s.running.Unlock()
+		s.stopMu.Unlock()
 		cancel()
 	}
 }
 
 // interrupt cancels the running statement when the secret is right.
-func (s *session) interrupt(secret []byte) {
+func (s *session) cancelStatement(secret []byte) {
 	if subtle.ConstantTimeCompare(secret, s.secret) != 1 {
 		return
 	}
-	s.running.Lock()
-	defer s.running.Unlock()
+	s.stopMu.Lock()
+	defer s.stopMu.Unlock()
 	if s.stop != nil {
 		s.stop()
 	}
--- a/internal/standin/sessioncmd.go
+++ b/internal/standin/sessioncmd.go
@@ -9,10 +9,10 @@
 )
 
 // control runs the statements that concern the session and its transaction.
-func (s *session) control(ctx context.Context, st *sqltext.Statement) (*rowSet, string, error) {
+func (s *session) runSessionCommand(ctx context.Context, st *sqltext.Statement) (*rowSet, string, error) {
 	var err error
 	tag := st.Tag
-	none := &rowSet{}
+	empty := &rowSet{}
 	switch st.Class {
 	case sqltext.Begin:
 		s.begin(st)
@@ -41,7 +41,7 @@
 	case sqltext.Deallocate:
 		s.deallocate(lastName(st))
 	}
-	return none, tag, err
+	return empty, tag, err
 }
 
 func lastName(st *sqltext.Statement) string {
@@ -77,13 +77,13 @@
 // assign changes a setting and reports it to the client.
 func (s *session) assign(a assignment) {
 	switch {
-	case a.local && s.tx.locals == nil:
-		s.tx.locals = copySettings(s.settings)
-	case !a.local && s.tx.locals != nil:
-		s.tx.locals[a.name] = a.value
+	case a.local && s.tx.commitSettings == nil:
+		s.tx.commitSettings = copySettings(s.settings)
+	case !a.local && s.tx.commitSettings != nil:
+		s.tx.commitSettings[a.name] = a.value
 	}
 	s.settings[a.name] = a.value
-	for _, r := range reported {
+	for _, r := range reportedSettings {
 		if r.key == a.name {
 			s.be.Send(&pgproto3.ParameterStatus{Name: r.name, Value: a.value})
 		}
@@ -93,7 +93,7 @@
 func (s *session) show(name string) (*rowSet, error) {
 	value, ok := s.setting(name)
 	if !ok {
-		return nil, errState(stateUndefinedObject, "unrecognized configuration parameter %q", name)
+		return nil, sqlErrorf(sqlStateUndefinedObject, "unrecognized configuration parameter %q", name)
 	}
 	return &rowSet{
 		columns:  []column{{name: name, oid: sqltext.Text}},
@@ -122,7 +122,7 @@
 
 func (s *session) reset(name string) {
 	if name == "all" {
-		for _, r := range reported {
+		for _, r := range reportedSettings {
 			s.assign(assignment{name: r.key, value: defaultSettings[r.key]})
 		}
 		s.settings = copySettings(defaultSettings)
@@ -138,10 +138,10 @@
 
 func (s *session) discard() error {
 	if s.tx.block {
-		return errState(stateActiveTx, "DISCARD ALL cannot run inside a transaction block")
+		return sqlErrorf(sqlStateActiveTx, "DISCARD ALL cannot run inside a transaction block")
 	}
 	s.reset("all")
-	s.tx.settings = nil
+	s.tx.rollbackSettings = nil
 	s.deallocate("all")
 	s.portals = make(map[string]*portal)
 	return nil
@@ -149,8 +149,8 @@
 
 func (s *session) deallocate(name string) {
 	if name == "all" {
-		s.prepared = make(map[string]*prepared)
+		s.statements = make(map[string]*preparedStatement)
 		return
 	}
-	delete(s.prepared, name)
+	delete(s.statements, name)
 }
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -39,7 +39,7 @@
 
 // reported are the settings whose values the server reports at start and at
 // each change, by the names that clients expect.
-var reported = []struct{ key, name string }{
+var reportedSettings = []struct{ key, name string }{
 	{"server_version", "server_version"}, {"server_encoding", "server_encoding"},
 	{"client_encoding", "client_encoding"}, {settingAppName, "application_name"},
 	{settingReadOnly, "default_transaction_read_only"}, {"datestyle", "DateStyle"},
@@ -99,7 +99,7 @@
 		rest = rest[1:]
 	}
 	if len(name) == 0 || len(rest) < 2 {
-		return a, errState(stateSyntax, "syntax error in SET")
+		return a, sqlErrorf(sqlStateSyntax, "syntax error in SET")
 	}
 	a.name = strings.ToLower(strings.Join(name, ""))
 	a.value = joinValues(rest[1:])
--- a/internal/standin/simple.go
+++ b/internal/standin/simple.go
@@ -13,19 +13,19 @@
 // simpleQuery serves a Query message. Its statements share one transaction
 // unless they open a block of their own.
 func (s *session) simpleQuery(text string) error {
-	s.skipping = false
+	s.skipUntilSync = false
 	if err := s.simpleStatements(text); err != nil {
-		if err := s.fail(err, false); err != nil {
+		if err := s.reportError(err, false); err != nil {
 			return err
 		}
 	}
-	return s.ready()
+	return s.sendReady()
 }
 
 func (s *session) simpleStatements(text string) error {
 	statements, err := sqltext.Parse(text)
 	if err != nil {
-		return errState(stateSyntax, "%v", err)
+		return sqlErrorf(sqlStateSyntax, "%v", err)
 	}
 	if len(statements) == 0 {
 		s.be.Send(&pgproto3.EmptyQueryResponse{})
@@ -42,12 +42,12 @@
 
 func (s *session) simpleStatement(st *sqltext.Statement, last bool) error {
 	if st.Class == sqltext.StartReplication {
-		return s.sendReplication(st)
+		return s.serveReplication(st)
 	}
 	s.openTx()
 	ctx, done := s.statementContext()
 	defer done()
-	set, tag, err := s.run(ctx, st, nil)
+	set, tag, err := s.runStatement(ctx, st, nil)
 	if err != nil {
 		return err
 	}
@@ -115,9 +115,9 @@
 }
 
 // run executes one statement and returns its rows and command tag.
-func (s *session) run(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, string, error) {
+func (s *session) runStatement(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, string, error) {
 	if s.tx.failed && st.Class != sqltext.Commit && st.Class != sqltext.Rollback && st.Class != sqltext.RollbackTo {
-		return nil, "", errFailedTx()
+		return nil, "", failedTxError()
 	}
 	switch st.Class {
 	case sqltext.Read:
@@ -135,20 +135,20 @@
 	case sqltext.Unsupported, sqltext.StartReplication:
 		return nil, "", unsupported(st)
 	}
-	return s.control(ctx, st)
+	return s.runSessionCommand(ctx, st)
 }
 
 func unsupported(st *sqltext.Statement) error {
 	switch st.First() {
 	case "lock", "listen", "notify", "unlisten", "prepare", "execute", "declare", "fetch", "close", "grant",
 		"revoke", "vacuum", "analyze", "copy", "do", "call", "comment", "merge", "cluster", "reindex":
-		return errState(stateUnsupported, "%s is not supported by the stand-in", st.First())
+		return sqlErrorf(sqlStateNotSupported, "%s is not supported by the stand-in", st.First())
 	}
-	return errState(stateSyntax, "syntax error at or near %q", st.First())
+	return sqlErrorf(sqlStateSyntax, "syntax error at or near %q", st.First())
 }
 
-func errFailedTx() error {
-	return errState(stateFailedTx, "current transaction is aborted, commands ignored until end of transaction block")
+func failedTxError() error {
+	return sqlErrorf(sqlStateFailedTx, "current transaction is aborted, commands ignored until end of transaction block")
 }
 
 func commandTag(st *sqltext.Statement, set *rowSet) string {
@@ -160,30 +160,30 @@
 
 // read runs a statement that only reads.
 func (s *session) read(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, error) {
-	text, err := s.engineText(ctx, st, args)
+	text, err := s.engineSQL(ctx, st, args)
 	if err != nil {
 		return nil, err
 	}
-	if err := s.ensureRead(ctx); err != nil {
+	if err := s.ensureSnapshot(ctx); err != nil {
 		return nil, err
 	}
-	return s.readText(ctx, text, args)
+	return s.queryEngine(ctx, text, args)
 }
 
-func (s *session) readText(ctx context.Context, text string, args []any) (*rowSet, error) {
-	if s.tx.held == holdNothing {
-		s.eng.reads.RLock()
-		defer s.eng.reads.RUnlock()
+func (s *session) queryEngine(ctx context.Context, text string, args []any) (*rowSet, error) {
+	if s.tx.engineTx == engineTxNone {
+		s.eng.commitMu.RLock()
+		defer s.eng.commitMu.RUnlock()
 	}
 	return query(ctx, s.db, text, args)
 }
 
 // engineText returns the statement in the engine's dialect, with the server's
 // own functions replaced by their values.
-func (s *session) engineText(ctx context.Context, st *sqltext.Statement, args []any) (string, error) {
+func (s *session) engineSQL(ctx context.Context, st *sqltext.Statement, args []any) (string, error) {
 	tokens := st.Tokens
 	if st.Volatile() {
-		expanded, err := sqltext.Expand(tokens, &functions{s: s, ctx: ctx, args: args})
+		expanded, err := sqltext.Expand(tokens, &functionEnv{s: s, ctx: ctx, args: args})
 		if err != nil {
 			return "", err
 		}
@@ -191,7 +191,7 @@
 	}
 	text, err := sqltext.SQLite(tokens)
 	if err != nil {
-		return "", errState(stateUnsupported, "%v", err)
+		return "", sqlErrorf(sqlStateNotSupported, "%v", err)
 	}
 	return text, nil
 }
@@ -201,7 +201,7 @@
 	if err := s.ensureWrite(ctx, strings.ToUpper(st.First())); err != nil {
 		return nil, err
 	}
-	text, err := s.engineText(ctx, st, args)
+	text, err := s.engineSQL(ctx, st, args)
 	if err != nil {
 		return nil, err
 	}
@@ -214,7 +214,7 @@
 		return nil, err
 	}
 	if !st.Counted {
-		s.eng.forgetColumns()
+		s.eng.invalidateColumns()
 	}
 	if st.First() != "select" && (!st.Counted || set.affected > 0) {
 		s.tx.changes = append(s.tx.changes, change{SQL: text, Args: args})
--- a/internal/standin/tx.go
+++ b/internal/standin/tx.go
@@ -7,12 +7,12 @@
 )
 
 // hold tells what a transaction holds in the SQL engine.
-type hold uint8
+type engineTxKind uint8
 
 const (
-	holdNothing hold = iota
-	holdSnapshot
-	holdWriter
+	engineTxNone engineTxKind = iota
+	engineTxSnapshot
+	engineTxWrite
 )
 
 // txState is the state of a session's transaction. Without a snapshot each
@@ -23,22 +23,22 @@
 	block bool
 	// implicit is set while statements of one query or up to Sync share a
 	// transaction without BEGIN.
-	implicit bool
-	failed   bool
-	mode     txMode
-	held     hold
-	changes  []change
-	saves    []savepoint
+	implicit   bool
+	failed     bool
+	mode       txMode
+	engineTx   engineTxKind
+	changes    []change
+	savepoints []savepoint
 	// settings are those to return to on rollback; locals those to return to in
 	// any case.
-	settings map[string]string
-	locals   map[string]string
-	wrote    bool
+	rollbackSettings map[string]string
+	commitSettings   map[string]string
+	wrote            bool
 }
 
 type savepoint struct {
-	name string
-	mark int
+	name        string
+	changeCount int
 }
 
 // status returns the transaction status of ReadyForQuery.
@@ -74,45 +74,45 @@
 			readOnly: isOn(s.settings[settingReadOnly]),
 			snapshot: isolation == "repeatable read" || isolation == "serializable",
 		},
-		settings: copySettings(s.settings),
+		rollbackSettings: copySettings(s.settings),
 	}
 }
 
 // ensureRead takes a snapshot when the isolation level asks for one.
-func (s *session) ensureRead(ctx context.Context) error {
-	if s.tx.held != holdNothing || !s.tx.mode.snapshot || !s.tx.block {
+func (s *session) ensureSnapshot(ctx context.Context) error {
+	if s.tx.engineTx != engineTxNone || !s.tx.mode.snapshot || !s.tx.block {
 		return nil
 	}
 	if !s.tx.mode.readOnly && s.srv.isPrimary() {
 		return s.ensureWrite(ctx, "a statement")
 	}
-	s.eng.reads.RLock()
+	s.eng.commitMu.RLock()
 	for _, text := range []string{"begin", "select count(*) from sqlite_master"} {
 		if _, err := s.db.ExecContext(ctx, text); err != nil {
-			s.eng.reads.RUnlock()
+			s.eng.commitMu.RUnlock()
 			return err
 		}
 	}
-	s.tx.held = holdSnapshot
+	s.tx.engineTx = engineTxSnapshot
 	return nil
 }
 
 // ensureWrite takes the right to write for a command.
 func (s *session) ensureWrite(ctx context.Context, command string) error {
 	if !s.srv.isPrimary() || s.tx.mode.readOnly {
-		return errState(stateReadOnly, "cannot execute %s in a read-only transaction", command)
+		return sqlErrorf(sqlStateReadOnlyTx, "cannot execute %s in a read-only transaction", command)
 	}
-	if s.tx.held == holdWriter {
+	if s.tx.engineTx == engineTxWrite {
 		return nil
 	}
-	if err := s.eng.lockWriter(ctx); err != nil {
+	if err := s.eng.lockWrite(ctx); err != nil {
 		return err
 	}
 	if _, err := s.db.ExecContext(ctx, "begin immediate"); err != nil {
-		s.eng.unlockWriter()
+		s.eng.unlockWrite()
 		return err
 	}
-	s.tx.held = holdWriter
+	s.tx.engineTx = engineTxWrite
 	return nil
 }
 
@@ -128,64 +128,64 @@
 		s.rollback()
 		return false, err
 	}
-	if s.tx.locals != nil {
-		s.settings = s.tx.locals
+	if s.tx.commitSettings != nil {
+		s.settings = s.tx.commitSettings
 	}
 	wrote := s.tx.wrote
 	s.tx = txState{}
-	if wrote && s.srv.faults.takeDrop() {
-		return false, errGoodbye
+	if wrote && s.srv.faults.consumeDrop() {
+		return false, errConnectionClosed
 	}
 	return true, nil
 }
 
 func (s *session) commitEngine() error {
-	switch s.tx.held {
-	case holdSnapshot:
+	switch s.tx.engineTx {
+	case engineTxSnapshot:
 		s.releaseSnapshot()
-	case holdWriter:
+	case engineTxWrite:
 		if len(s.tx.changes) == 0 {
-			s.releaseWriter()
+			s.releaseWrite()
 			return nil
 		}
 		if err := s.srv.commit(s); err != nil {
 			return err
 		}
 		s.tx.wrote = true
-		s.tx.held = holdNothing
-		s.eng.unlockWriter()
+		s.tx.engineTx = engineTxNone
+		s.eng.unlockWrite()
 	}
 	return nil
 }
 
 func (s *session) releaseSnapshot() {
 	_, _ = s.db.ExecContext(context.Background(), "rollback") // nothing was written
-	s.eng.reads.RUnlock()
-	s.tx.held = holdNothing
+	s.eng.commitMu.RUnlock()
+	s.tx.engineTx = engineTxNone
 }
 
-func (s *session) releaseWriter() {
+func (s *session) releaseWrite() {
 	_, _ = s.db.ExecContext(context.Background(), "rollback") // fails only when it already happened
-	s.eng.forgetColumns()
-	s.tx.held = holdNothing
-	s.eng.unlockWriter()
+	s.eng.invalidateColumns()
+	s.tx.engineTx = engineTxNone
+	s.eng.unlockWrite()
 }
 
 // rollback ends the transaction without its changes.
 func (s *session) rollback() {
 	s.releaseEngine()
-	if s.tx.settings != nil {
-		s.settings = s.tx.settings
+	if s.tx.rollbackSettings != nil {
+		s.settings = s.tx.rollbackSettings
 	}
 	s.tx = txState{}
 }
 
 func (s *session) releaseEngine() {
-	switch s.tx.held {
-	case holdSnapshot:
+	switch s.tx.engineTx {
+	case engineTxSnapshot:
 		s.releaseSnapshot()
-	case holdWriter:
-		s.releaseWriter()
+	case engineTxWrite:
+		s.releaseWrite()
 	}
 }
 
@@ -197,7 +197,7 @@
 		return
 	}
 	s.tx.failed = true
-	if len(s.tx.saves) == 0 {
+	if len(s.tx.savepoints) == 0 {
 		s.releaseEngine()
 		s.tx.changes = nil
 	}
@@ -206,7 +206,7 @@
 // setSavepoint serves SAVEPOINT.
 func (s *session) setSavepoint(ctx context.Context, name string) error {
 	if !s.tx.block {
-		return errState(stateNoTx, "SAVEPOINT can only be used in transaction blocks")
+		return sqlErrorf(sqlStateNoActiveTx, "SAVEPOINT can only be used in transaction blocks")
 	}
 	if !s.tx.mode.readOnly && s.srv.isPrimary() {
 		if err := s.ensureWrite(ctx, "SAVEPOINT"); err != nil {
@@ -216,34 +216,34 @@
 			return err
 		}
 	}
-	s.tx.saves = append(s.tx.saves, savepoint{name: name, mark: len(s.tx.changes)})
+	s.tx.savepoints = append(s.tx.savepoints, savepoint{name: name, changeCount: len(s.tx.changes)})
 	return nil
 }
 
 // endSavepoint serves RELEASE and ROLLBACK TO.
-func (s *session) endSavepoint(ctx context.Context, name string, undo bool) error {
-	i := len(s.tx.saves) - 1
-	for i >= 0 && s.tx.saves[i].name != name {
+func (s *session) endSavepoint(ctx context.Context, name string, rollback bool) error {
+	i := len(s.tx.savepoints) - 1
+	for i >= 0 && s.tx.savepoints[i].name != name {
 		i--
 	}
 	if i < 0 {
-		return errState(stateNoSavepoint, "savepoint %q does not exist", name)
+		return sqlErrorf(sqlStateInvalidSavepoint, "savepoint %q does not exist", name)
 	}
 	text, keep := "release ", i
-	if undo {
+	if rollback {
 		text, keep = "rollback to ", i+1
 	}
-	if s.tx.held == holdWriter {
+	if s.tx.engineTx == engineTxWrite {
 		if _, err := s.db.ExecContext(ctx, text+quoteName(name)); err != nil {
 			return err
 		}
 	}
-	if undo {
-		s.tx.changes = s.tx.changes[:s.tx.saves[i].mark]
+	if rollback {
+		s.tx.changes = s.tx.changes[:s.tx.savepoints[i].changeCount]
 		s.tx.failed = false
-		s.eng.forgetColumns()
+		s.eng.invalidateColumns()
 	}
-	s.tx.saves = s.tx.saves[:keep]
+	s.tx.savepoints = s.tx.savepoints[:keep]
 	return nil
 }
 
--- a/internal/standin/values.go
+++ b/internal/standin/values.go
@@ -125,16 +125,16 @@
 		}
 	}
 	if _, ok := types.TypeForOID(oid); !ok {
-		return nil, errState(stateUnsupported, "type %d has no binary format here", oid)
+		return nil, sqlErrorf(sqlStateNotSupported, "type %d has no binary format here", oid)
 	}
 	text := encodeText(oid, v)
 	var parsed any
 	if err := types.Scan(oid, textFormat, text, &parsed); err != nil {
-		return nil, errState(stateBadText, "value %q of type %d: %v", text, oid, err)
+		return nil, sqlErrorf(sqlStateInvalidText, "value %q of type %d: %v", text, oid, err)
 	}
 	data, err := types.Encode(oid, binaryFormat, parsed, make([]byte, 0, 16))
 	if err != nil {
-		return nil, errState(stateBadText, "value %q of type %d: %v", text, oid, err)
+		return nil, sqlErrorf(sqlStateInvalidText, "value %q of type %d: %v", text, oid, err)
 	}
 	return data, nil
 }
@@ -155,7 +155,7 @@
 	}
 	var parsed any
 	if err := types.Scan(oid, format, data, &parsed); err != nil {
-		return nil, errState(stateBadText, "invalid input for parameter of type %d: %v", oid, err)
+		return nil, sqlErrorf(sqlStateInvalidText, "invalid input for parameter of type %d: %v", oid, err)
 	}
 	return engineValue(types, oid, parsed)
 }
@@ -170,7 +170,7 @@
 	}
 	raw, err := hex.DecodeString(text[2:])
 	if err != nil {
-		return nil, errState(stateBadText, "invalid hexadecimal data")
+		return nil, sqlErrorf(sqlStateInvalidText, "invalid hexadecimal data")
 	}
 	return raw, nil
 }
@@ -195,7 +195,7 @@
 	}
 	text, err := types.Encode(oid, textFormat, v, nil)
 	if err != nil {
-		return nil, errState(stateBadText, "parameter of type %d: %v", oid, err)
+		return nil, sqlErrorf(sqlStateInvalidText, "parameter of type %d: %v", oid, err)
 	}
 	return string(text), nil
 }
--- a/internal/standin/wal.go
+++ b/internal/standin/wal.go
@@ -46,31 +46,31 @@
 	changed    chan struct{}
 	file       *walFile
 	// texts shares the text of statements that recur.
-	texts map[string]string
+	statements map[string]string
 }
 
 func newWAL() *wal {
 	return &wal{
-		history:  []timeline{{Number: 1, Start: firstLSN, Origin: "initial"}},
-		replayed: firstLSN,
-		changed:  make(chan struct{}),
-		texts:    make(map[string]string),
+		history:    []timeline{{Number: 1, Start: firstLSN, Origin: "initial"}},
+		replayed:   firstLSN,
+		changed:    make(chan struct{}),
+		statements: make(map[string]string),
 	}
 }
 
 // maxTexts bounds the texts that are shared.
-const maxTexts = 1024
+const maxInternedStatements = 1024
 
 // shareTexts replaces the texts of changes by equal ones in use already.
-func (w *wal) shareTexts(changes []change) {
+func (w *wal) internStatements(changes []change) {
 	for i, c := range changes {
-		known, ok := w.texts[c.SQL]
+		interned, ok := w.statements[c.SQL]
 		if ok {
-			changes[i].SQL = known
+			changes[i].SQL = interned
 			continue
 		}
-		if len(w.texts) < maxTexts {
-			w.texts[c.SQL] = c.SQL
+		if len(w.statements) < maxInternedStatements {
+			w.statements[c.SQL] = c.SQL
 		}
 	}
 }
@@ -106,14 +106,14 @@
 }
 
 // replayedTo returns the position up to which the database has the log.
-func (w *wal) replayedTo() LSN {
+func (w *wal) replayedLSN() LSN {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.replayed
 }
 
 // replayedAt returns the commit time of the last transaction replayed.
-func (w *wal) replayedAt() time.Time {
+func (w *wal) replayedCommitTime() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lastCommit == 0 {
@@ -151,7 +151,7 @@
 func (w *wal) appendLocal(changes []change) (LSN, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shareTexts(changes)
+	w.internStatements(changes)
 	now := time.Now()
 	r := record{
 		End: w.flushedLocked() + recordSize(changes), Changes: changes,
@@ -177,7 +177,7 @@
 		if err := w.file.append(r); err != nil {
 			return err
 		}
-		w.shareTexts(r.Changes)
+		w.internStatements(r.Changes)
 		r.flushedAt = time.Now()
 		w.records = append(w.records, r)
 	}
@@ -186,7 +186,7 @@
 }
 
 // after returns up to limit transactions that end after l.
-func (w *wal) after(l LSN, limit int) []record {
+func (w *wal) recordsAfter(l LSN, limit int) []record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := sort.Search(len(w.records), func(i int) bool { return w.records[i].End > l })
@@ -202,14 +202,14 @@
 }
 
 // current returns the number of the newest timeline.
-func (w *wal) current() uint32 {
+func (w *wal) currentTimeline() uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.history[len(w.history)-1].Number
 }
 
 // adopt takes over the history of a primary.
-func (w *wal) adopt(history []timeline) error {
+func (w *wal) adoptHistory(history []timeline) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history = append([]timeline(nil), history...)
@@ -217,7 +217,7 @@
 }
 
 // branch starts a new timeline at the end of the log.
-func (w *wal) branch(origin string) (uint32, error) {
+func (w *wal) startTimeline(origin string) (uint32, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	end := w.flushedLocked()
@@ -252,7 +252,7 @@
 
 // commonPoint returns the last position up to which a log with the history
 // remote that ends at end agrees with a log of history local.
-func commonPoint(local, remote []timeline, end LSN) LSN {
+func commonPosition(local, remote []timeline, end LSN) LSN {
 	n := min(len(local), len(remote))
 	for i := range n {
 		if local[i] != remote[i] {
--- a/internal/standin/walfile.go
+++ b/internal/standin/walfile.go
@@ -24,9 +24,9 @@
 )
 
 // decoding reads integers of both signs as int64, as the SQL engine yields them.
-var decoding = mustDecoding()
+var cborDecoding = newCBORDecoding()
 
-func mustDecoding() cbor.DecMode {
+func newCBORDecoding() cbor.DecMode {
 	mode, err := cbor.DecOptions{IntDec: cbor.IntDecConvertSignedOrFail}.DecMode()
 	if err != nil {
 		panic(err)
@@ -70,7 +70,7 @@
 		return errors.Wrap(err, "read log")
 	}
 	defer file.Close()
-	dec := decoding.NewDecoder(file)
+	dec := cborDecoding.NewDecoder(file)
 	for {
 		var r record
 		err := dec.Decode(&r)
@@ -121,14 +121,14 @@
 	if err != nil {
 		return errors.Wrap(err, "encode history")
 	}
-	return f.replace(historyName, data)
+	return f.replaceFile(historyName, data)
 }
 
 func (f *walFile) saveRole(role Role) error {
 	if f == nil {
 		return nil
 	}
-	return f.replace(roleName, []byte(role))
+	return f.replaceFile(roleName, []byte(role))
 }
 
 // loadRole returns the role saved last, or fallback.
@@ -143,7 +143,7 @@
 	return Role(data)
 }
 
-func (f *walFile) replace(name string, data []byte) error {
+func (f *walFile) replaceFile(name string, data []byte) error {
 	path := filepath.Join(f.dir, name)
 	if err := os.WriteFile(path+".new", data, 0o600); err != nil {
 		return errors.Wrap(err, "write "+name)
