--- a/internal/standin/announce.go
+++ b/internal/standin/announce.go
@@ -19,7 +19,8 @@
 	maxAnnounceBytes = 64 << 10
 )
 
-// Announcement tells the fleet of an endpoint and its position.
+// Announcement reports an endpoint's address, role and flushed position to the
+// fleet. LSN has the format of LSN.String.
 type Announcement struct {
 	Service  string `json:"service"`
 	ID       string `json:"id"`
@@ -30,14 +31,16 @@
 	LSN      string `json:"lsn"`
 }
 
-// announceAnswer names the primary that the fleet has agreed on.
+// announceResponse names the primary that the fleet has agreed on. Primary is
+// empty while there is none.
 type announceResponse struct {
 	Term        uint64 `json:"term"`
 	Primary     string `json:"primary"`
 	PrimaryAddr string `json:"primary_addr"`
 }
 
-// announce posts announcements to one admin address after another.
+// announce posts an announcement every AnnounceInterval. After a failure it
+// switches to the next admin address. It returns when ctx ends.
 func (s *Server) announce(ctx context.Context) error {
 	if len(s.opts.Admins) == 0 {
 		<-ctx.Done()
@@ -107,13 +110,14 @@
 		return response, err
 	}
 	if res.StatusCode != http.StatusOK {
-		return response, errors.Errorf("announcement answered %s: %s", res.Status, data)
+		return response, errors.Errorf("announcement rejected with status %s: %s", res.Status, data)
 	}
 	return response, json.Unmarshal(data, &response)
 }
 
-// learn acts on the primary that an answer names: a replica follows it, and a
-// primary steps down once the named one proves to be on a newer timeline.
+// handleAnnounceResponse acts on the primary that a response names. A replica
+// follows it. A primary demotes itself only after it has checked that the named
+// endpoint is a primary on a newer timeline.
 func (s *Server) handleAnnounceResponse(ctx context.Context, response announceResponse) {
 	if response.Primary == "" || response.Primary == s.opts.ID || response.PrimaryAddr == "" {
 		return
@@ -132,8 +136,8 @@
 	}
 }
 
-// replacedBy reports whether the endpoint at addr is a primary on a newer
-// timeline.
+// isNewerPrimary queries the endpoint at addr and reports whether it is a primary
+// on a newer timeline than this endpoint.
 func (s *Server) isNewerPrimary(ctx context.Context, addr string) (bool, error) {
 	ctx, cancel := context.WithTimeout(ctx, connectTimeout)
 	defer cancel()
@@ -147,7 +151,7 @@
 		return false, err
 	}
 	if len(results) != 1 || len(results[0].Rows) != 1 {
-		return false, errors.New("unexpected answer of the named primary")
+		return false, errors.New("unexpected query result from the announced primary")
 	}
 	row := results[0].Rows[0]
 	var timelineID uint32
--- a/internal/standin/auth.go
+++ b/internal/standin/auth.go
@@ -14,7 +14,8 @@
 	scramSaltBytes  = 16
 )
 
-// newScramServer returns a server that knows the one password of the endpoint.
+// newScramServer returns a SCRAM server with the stored credentials of the
+// endpoint's only user. Each call uses a new random salt.
 func newScramServer(user, password string) (*scram.Server, error) {
 	client, err := scram.SHA256.NewClient(user, password, "")
 	if err != nil {
@@ -31,7 +32,8 @@
 	return scram.SHA256.NewServer(func(string) (scram.StoredCredentials, error) { return stored, nil })
 }
 
-// authenticate checks the user of a start-up message and its password.
+// authenticate checks the user of a start-up message and, if the endpoint has a
+// password, runs a SCRAM exchange.
 func (s *session) authenticate(user string) error {
 	if user != s.srv.opts.User {
 		return fatalErrorf(sqlStateInvalidPassword, "password authentication failed for user %q", user)
@@ -49,6 +51,7 @@
 	return nil
 }
 
+// authenticateSCRAM runs a SCRAM-SHA-256 exchange. The caller sends AuthenticationOk.
 func (s *session) authenticateSCRAM() error {
 	s.be.Send(&pgproto3.AuthenticationSASL{AuthMechanisms: []string{scramMechanism}})
 	if err := s.flushAuth(pgproto3.AuthTypeSASL); err != nil {
@@ -83,12 +86,14 @@
 		return err
 	}
 	if !conv.Valid() {
-		return errors.New("proof not valid")
+		return errors.New("client proof is not valid")
 	}
 	s.be.Send(&pgproto3.AuthenticationSASLFinal{Data: []byte(serverFinal)})
 	return nil
 }
 
+// flushAuth sends the buffered messages. authType selects how the next
+// password message from the client is decoded.
 func (s *session) flushAuth(authType uint32) error {
 	if err := s.be.SetAuthType(authType); err != nil {
 		return err
--- a/internal/standin/plan.go
+++ b/internal/standin/columns.go
@@ -7,7 +7,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// plan finds the result columns of a prepared statement without running it.
+// resolveColumns determines the result columns of a prepared statement without
+// running it, so that Describe can be answered before Execute.
 func (s *session) resolveColumns(p *preparedStatement) error {
 	if p.columnsResolved || p.st == nil || !p.st.YieldsRows() {
 		return nil
@@ -23,6 +24,8 @@
 	return nil
 }
 
+// inferColumns returns the result columns of a statement. Parameters are bound to
+// NULL, and the server's own functions are replaced without side effects.
 func (s *session) inferColumns(st *sqltext.Statement) ([]column, error) {
 	if st.Class == sqltext.Show {
 		return []column{{name: settingName(st.Tokens), oid: sqltext.Text}}, nil
@@ -50,8 +53,8 @@
 	return s.probeColumns(s.ctx, st, text)
 }
 
-// probeColumns asks the engine for the columns; where it does not know a type,
-// the first row's value tells.
+// probeColumns returns the columns that the engine reports for a query. Where the
+// engine declares no type, the type is taken from the value in the first row.
 func (s *session) probeColumns(ctx context.Context, st *sqltext.Statement, text string) ([]column, error) {
 	nulls := make([]any, st.Params)
 	set, err := s.queryEngine(ctx, "select * from ("+text+") limit 0", nulls)
--- a/internal/standin/concurrency_test.go
+++ b/internal/standin/concurrency_test.go
@@ -12,8 +12,9 @@
 	writesPerSession = 50
 )
 
-// TestConcurrentTransactionsIsolated moves an amount between two rows from
-// many sessions while readers check that the sum never changes.
+// Many sessions move an amount between two rows, while readers on all endpoints check
+// that the sum never changes. A read that saw part of a transaction, or a lost update,
+// would change a sum.
 func TestConcurrentTransactionsIsolated(t *testing.T) {
 	group := startGroup(t, nil)
 	setup := connect(t, group.Servers[0])
@@ -40,11 +41,11 @@
 				}
 				var sum int64
 				err = reader.QueryRow(ctx, "select coalesce(sum(amount), 2000)::int8 from accounts").Scan(&sum)
-				if err != nil && sqlState(err) != "42P01" { // a replica may not have the table yet
+				if err != nil && sqlState(err) != "42P01" { // the replica has not replayed the table yet
 					return err
 				}
 				if err == nil && sum != 2000 {
-					return fmt.Errorf("sum %d", sum)
+					return fmt.Errorf("sum of both accounts is %d", sum)
 				}
 			}
 			return nil
--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -9,7 +9,9 @@
 	"github.com/pkg/errors"
 )
 
-// FaultRequest sets fault switches over HTTP. Fields left out keep their state.
+// FaultRequest is the body of POST /v1/faults. Omitted fields keep their state.
+// PartitionedLinks replaces the whole set of partitioned links. Clear leaves the
+// replay lag and the replication delay as they are.
 type FaultRequest struct {
 	Clear              bool    `json:"clear,omitempty"`
 	Stall              *bool   `json:"stall,omitempty"`
@@ -21,7 +23,8 @@
 	Kill               bool    `json:"kill,omitempty"`
 }
 
-// Status is the endpoint's state as its control address reports it.
+// Status is the endpoint's state, the response of GET /v1/status. Flushed and
+// Replayed have the format of LSN.String.
 type Status struct {
 	ID       string `json:"id"`
 	Addr     string `json:"addr"`
@@ -35,7 +38,7 @@
 
 const controlHeaderTimeout = 5 * time.Second
 
-// serveControl serves the fault switches: POST /v1/faults and GET /v1/status.
+// serveControl serves POST /v1/faults and GET /v1/status until ctx ends.
 func (s *Server) serveControl(ctx context.Context) error {
 	mux := http.NewServeMux()
 	mux.HandleFunc("POST /v1/faults", s.handleFaults)
@@ -61,7 +64,8 @@
 	w.WriteHeader(http.StatusNoContent)
 }
 
-// ApplyFaults sets the switches that the request names.
+// ApplyFaults sets the fault switches that the request contains. Clear is applied
+// before the other fields, Kill after them.
 func (s *Server) ApplyFaults(r FaultRequest) {
 	if r.Clear {
 		s.faults.Clear()
@@ -94,7 +98,7 @@
 func (s *Server) handleStatus(w http.ResponseWriter, _ *http.Request) {
 	role, timelineID, flushed, replayed := s.Position()
 	w.Header().Set("Content-Type", "application/json")
-	_ = json.NewEncoder(w).Encode(Status{ // the client may have gone
+	_ = json.NewEncoder(w).Encode(Status{ // the client may have disconnected
 		ID: s.opts.ID, Addr: s.Addr(), Role: role, Timeline: timelineID,
 		Flushed: flushed.String(), Replayed: replayed.String(), Sleeping: s.sleeping.Load(),
 	})
--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -15,11 +15,13 @@
 type copySpec struct {
 	table   string
 	columns []string
-	// query holds the tokens of COPY (query) TO STDOUT.
+	// query holds the tokens of COPY (query) TO STDOUT, nil for a table.
 	query  []sqltext.Token
 	binary bool
 }
 
+// parseCopy reads the target, the column list and the format of a COPY
+// statement. It returns an error for CSV, which is not supported.
 func parseCopy(st *sqltext.Statement) (copySpec, error) {
 	var spec copySpec
 	tokens := st.Tokens[1:]
@@ -57,7 +59,7 @@
 	return spec, nil
 }
 
-// selectText returns a query for the rows that COPY TO sends and COPY FROM fills.
+// selectText returns a query with the columns that COPY reads or writes.
 func (c copySpec) selectText() string {
 	if len(c.columns) == 0 {
 		return "select * from " + quoteName(c.table)
@@ -65,7 +67,7 @@
 	return "select \"" + strings.Join(c.columns, "\", \"") + "\" from " + quoteName(c.table)
 }
 
-// copyOut serves COPY ... TO STDOUT.
+// copyOut runs COPY ... TO STDOUT in text format.
 func (s *session) copyOut(ctx context.Context, st *sqltext.Statement) (*rowSet, error) {
 	spec, err := parseCopy(st)
 	if err != nil {
@@ -101,6 +103,7 @@
 
 var copyEscaper = strings.NewReplacer("\\", `\\`, "\n", `\n`, "\r", `\r`, "\t", `\t`)
 
+// copyLine encodes a row in the text format of COPY.
 func copyLine(columns []column, row []any) []byte {
 	var line bytes.Buffer
 	for i, v := range row {
@@ -117,7 +120,7 @@
 	return line.Bytes()
 }
 
-// copyIn serves COPY ... FROM STDIN.
+// copyIn runs COPY ... FROM STDIN in text or binary format.
 func (s *session) copyIn(ctx context.Context, st *sqltext.Statement) (*rowSet, error) {
 	spec, err := parseCopy(st)
 	if err != nil {
@@ -149,6 +152,7 @@
 	return &rowSet{affected: reader.count}, nil
 }
 
+// insertText returns an INSERT with one numbered parameter per column.
 func insertText(table string, columns []column) string {
 	names := make([]string, len(columns))
 	values := make([]string, len(columns))
--- a/internal/standin/copyreader.go
+++ b/internal/standin/copyreader.go
@@ -9,13 +9,14 @@
 	"github.com/jackc/pgx/v5/pgproto3"
 )
 
-// copySignature begins COPY data in binary format.
+// copySignature is the file signature of COPY data in binary format.
 const copySignature = "PGCOPY\n\xff\r\n\x00"
 
-// copyHeaderBytes is the length of the signature, flags and extension length.
+// copyHeaderBytes is the length of the binary header: the signature, the flags
+// and the length of the header extension.
 const copyHeaderBytes = len(copySignature) + 8
 
-// copyReader inserts the rows of COPY FROM STDIN.
+// copyReader decodes the data of COPY FROM STDIN and inserts its rows.
 type copyReader struct {
 	session *session
 	columns []column
@@ -28,7 +29,8 @@
 	count      int64
 }
 
-// run reads messages up to CopyDone.
+// run reads messages up to CopyDone. CopyFail and unexpected messages end it with
+// an error.
 func (c *copyReader) run(ctx context.Context) error {
 	for {
 		msg, err := c.session.be.Receive()
@@ -54,6 +56,8 @@
 	}
 }
 
+// consume inserts the complete rows in the buffer. With final set, the data ends
+// with the buffer.
 func (c *copyReader) consume(ctx context.Context, final bool) error {
 	if c.binary {
 		return c.consumeBinary(ctx, final)
@@ -83,7 +87,7 @@
 	}
 	fields := strings.Split(line, "\t")
 	if len(fields) != len(c.columns) {
-		return sqlErrorf(sqlStateBadCopyFormat, "row %d has %d columns in place of %d", c.count+1, len(fields), len(c.columns))
+		return sqlErrorf(sqlStateBadCopyFormat, "row %d has %d columns, expected %d", c.count+1, len(fields), len(c.columns))
 	}
 	args := make([]any, len(fields))
 	for i, field := range fields {
@@ -160,8 +164,8 @@
 	return nil
 }
 
-// tuple decodes the row at the start of the buffer. A size of zero means that
-// the row is not complete.
+// decodeTuple decodes the binary row at the start of the buffer and returns its
+// length in bytes. A size of zero means that the row is incomplete.
 func (c *copyReader) decodeTuple() (args []any, size int, err error) {
 	if len(c.buf) < 2 {
 		return nil, 0, nil
@@ -173,7 +177,7 @@
 		return nil, size, nil
 	}
 	if fields != len(c.columns) {
-		return nil, 0, sqlErrorf(sqlStateBadCopyFormat, "row has %d columns in place of %d", fields, len(c.columns))
+		return nil, 0, sqlErrorf(sqlStateBadCopyFormat, "row has %d columns, expected %d", fields, len(c.columns))
 	}
 	args = make([]any, fields)
 	for i := range args {
@@ -196,7 +200,7 @@
 	return args, size, nil
 }
 
-// row inserts one row.
+// insertRow inserts one row and adds it to the transaction's changes for the log.
 func (c *copyReader) insertRow(ctx context.Context, args []any) error {
 	if _, err := exec(ctx, c.session.db, c.insert, args); err != nil {
 		return err
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -13,19 +13,23 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
+// pragmas are the SQLite settings of each connection. Durability is off since the
+// database is rebuilt from the log at each start.
 const pragmas = "?_pragma=journal_mode(MEMORY)&_pragma=synchronous(OFF)&_pragma=cache_spill(0)" +
 	"&_pragma=busy_timeout(30000)&_pragma=case_sensitive_like(1)&_pragma=temp_store(MEMORY)"
 
-// engine is the embedded SQL engine over one database file. A transaction that
-// writes holds writer from its first write to its end. Commits exclude reads
-// through reads; every read outside a writing transaction holds its read lock.
+// engine is an embedded SQLite database in a temporary folder. A transaction that
+// writes holds writeSem from its first write to its end. Reads outside a writing
+// transaction hold the read lock of commitMu and commits hold its write lock, so
+// that no commit takes place during a read.
 type engine struct {
 	dir      string
 	db       *sql.DB
 	writeSem chan struct{}
 	commitMu sync.RWMutex
 
-	columnsMu   sync.Mutex
+	columnsMu sync.Mutex
+	// columnTypes caches column types by table, then by column name.
 	columnTypes map[string]map[string]uint32
 }
 
@@ -49,7 +53,7 @@
 	os.RemoveAll(e.dir)
 }
 
-// lockWriter waits for the right to write.
+// lockWrite waits for the write semaphore of the engine.
 func (e *engine) lockWrite(ctx context.Context) error {
 	select {
 	case e.writeSem <- struct{}{}:
@@ -61,21 +65,23 @@
 
 func (e *engine) unlockWrite() { <-e.writeSem }
 
-// rowSet is the materialized result of a statement.
+// rowSet is the complete result of a statement. columns is nil if the statement
+// yields no rows.
 type rowSet struct {
 	columns []column
 	rows    [][]any
-	// affected is the number of rows that were returned or changed.
+	// affected is the number of rows returned or changed.
 	affected int64
 }
 
-// column is a result column.
+// column is a result column. Its oid is the PostgreSQL type, sqltext.Unknown if
+// the engine declares none.
 type column struct {
 	name string
 	oid  uint32
 }
 
-// query runs SQL that yields rows.
+// query runs SQL that returns rows and reads all of them.
 func query(ctx context.Context, conn *sql.Conn, text string, args []any) (*rowSet, error) {
 	rows, err := conn.QueryContext(ctx, text, args...)
 	if err != nil {
@@ -116,7 +122,7 @@
 	return set, nil
 }
 
-// exec runs SQL that yields no rows.
+// exec runs SQL that returns no rows.
 func exec(ctx context.Context, conn *sql.Conn, text string, args []any) (*rowSet, error) {
 	res, err := conn.ExecContext(ctx, text, args...)
 	if err != nil {
@@ -126,14 +132,16 @@
 	return &rowSet{affected: n}, err
 }
 
+// invalidateColumns clears the cached column types. It is called whenever a schema
+// change may have been made or undone.
 func (e *engine) invalidateColumns() {
 	e.columnsMu.Lock()
 	defer e.columnsMu.Unlock()
 	e.columnTypes = make(map[string]map[string]uint32)
 }
 
-// columnType returns the data type of a table's column. A name such as "#2"
-// means the third column.
+// columnType returns the data type of a table's column. The name "#N" selects the
+// column at the zero-based index N.
 func (e *engine) columnType(ctx context.Context, conn *sql.Conn, table, name string) uint32 {
 	e.columnsMu.Lock()
 	types, ok := e.columnTypes[table]
--- a/internal/standin/errors.go
+++ b/internal/standin/errors.go
@@ -11,7 +11,7 @@
 	sqlite3 "modernc.org/sqlite/lib"
 )
 
-// SQLSTATE values that the stand-in answers with.
+// SQLSTATE values of the errors that the stand-in returns.
 const (
 	sqlStateSyntax                 = "42601"
 	sqlStateUndefinedTable         = "42P01"
@@ -44,7 +44,7 @@
 	sqlStateInternal               = "XX000"
 )
 
-// stateError is an error with its SQLSTATE.
+// sqlError is an error with its SQLSTATE. A fatal error ends the connection.
 type sqlError struct {
 	state   string
 	message string
@@ -54,10 +54,12 @@
 // Error implements error.
 func (e *sqlError) Error() string { return e.message + " (" + e.state + ")" }
 
+// sqlErrorf returns an error that fails the statement and keeps the connection.
 func sqlErrorf(state, format string, args ...any) *sqlError {
 	return &sqlError{state: state, message: fmt.Sprintf(format, args...)}
 }
 
+// fatalErrorf returns an error that ends the connection.
 func fatalErrorf(state, format string, args ...any) *sqlError {
 	e := sqlErrorf(state, format, args...)
 	e.fatal = true
@@ -74,6 +76,7 @@
 	}
 }
 
+// sqliteCodeStates maps extended result codes of SQLite to SQLSTATE values.
 var sqliteCodeStates = map[int]string{
 	sqlite3.SQLITE_CONSTRAINT_UNIQUE:     sqlStateUniqueViolation,
 	sqlite3.SQLITE_CONSTRAINT_PRIMARYKEY: sqlStateUniqueViolation,
@@ -85,6 +88,8 @@
 	sqlite3.SQLITE_READONLY:              sqlStateReadOnlyTx,
 }
 
+// sqliteMessageStates maps parts of messages to SQLSTATE values, for errors that
+// SQLite reports without a distinct code. The first match is used.
 var sqliteMessageStates = []struct{ substring, state string }{
 	{"no such table", sqlStateUndefinedTable},
 	{"no such column", sqlStateUndefinedColumn},
@@ -100,7 +105,8 @@
 	{"not supported", sqlStateNotSupported},
 }
 
-// toState gives an error of the SQL engine or of the context its SQLSTATE.
+// toSQLError maps an error of the SQL engine or of a context to its SQLSTATE.
+// Errors that match nothing map to an internal error.
 func toSQLError(err error) *sqlError {
 	var sqlErr *sqlError
 	if errors.As(err, &sqlErr) {
--- a/internal/standin/extended.go
+++ b/internal/standin/extended.go
@@ -6,27 +6,30 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// prepared is a prepared statement. Its statement is nil for an empty query.
+// preparedStatement is the result of a Parse message. st is nil for an empty
+// query.
 type preparedStatement struct {
 	st     *sqltext.Statement
 	params []uint32
-	// columns are the result columns; planned tells whether they are known.
+	// columns are the result columns, nil if the statement returns no rows. They are
+	// valid once columnsResolved is set.
 	columns         []column
 	columnsResolved bool
 }
 
-// portal is a bound statement.
+// portal is a prepared statement with its parameters bound.
 type portal struct {
 	statement *preparedStatement
 	args      []any
 	formats   []int16
-	// set is the result once the statement has run, next its first unsent row.
+	// result is nil until the statement has run. nextRow is the index of its first
+	// unsent row.
 	result  *rowSet
 	tag     string
 	nextRow int
 }
 
-// extended serves one message of the extended protocol.
+// handleExtended handles one message of the extended query protocol.
 func (s *session) handleExtended(msg pgproto3.FrontendMessage) error {
 	s.openTx()
 	switch m := msg.(type) {
@@ -69,6 +72,8 @@
 	return nil
 }
 
+// paramTypes infers the parameter types of a statement. Types that the client
+// declared take precedence.
 func (s *session) paramTypes(st *sqltext.Statement, declared []uint32) []uint32 {
 	types := st.ParamTypes(func(table, name string) uint32 {
 		return s.eng.columnType(s.ctx, s.db, table, name)
@@ -150,6 +155,8 @@
 	return s.sendPortal(portal, int(m.MaxRows))
 }
 
+// runPortal runs the statement of a portal and keeps the whole result. It fails if
+// the number of columns differs from the one described.
 func (s *session) runPortal(portal *portal) error {
 	ctx, done := s.statementContext()
 	defer done()
@@ -170,7 +177,7 @@
 	return nil
 }
 
-// sendPortal sends up to limit rows; zero means all that are left.
+// sendPortal sends up to limit of the remaining rows, or all if limit is zero.
 func (s *session) sendPortal(portal *portal, limit int) error {
 	rows := portal.result.rows[portal.nextRow:]
 	suspended := limit > 0 && len(rows) >= limit
@@ -198,7 +205,8 @@
 	s.be.Send(&pgproto3.CloseComplete{})
 }
 
-// sync ends the implicit transaction of the messages before it.
+// sync handles a Sync message. It commits the implicit transaction of the messages
+// before it and, outside a transaction block, closes all portals.
 func (s *session) sync() error {
 	s.skipUntilSync = false
 	if !s.tx.block {
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -7,17 +7,18 @@
 	"time"
 )
 
-// Link names a kind of connection that a fault can cut.
+// Link is a kind of connection that a fault can partition.
 type Link string
 
-// Links.
+// Links: connections of callers, replication streams and requests that announce
+// the endpoint.
 const (
 	LinkCallers       Link = "callers"
 	LinkReplication   Link = "replication"
 	LinkAnnouncements Link = "announcements"
 )
 
-// Faults are the fault switches of an endpoint. All are off at first. It is
+// Faults are the fault switches of an endpoint, all off initially. Methods are
 // safe for concurrent use.
 type Faults struct {
 	mu           sync.Mutex
@@ -32,6 +33,7 @@
 	return &Faults{partitioned: make(map[Link]bool), changed: make(chan struct{})}
 }
 
+// update changes the switches and wakes the connections that wait for a change.
 func (f *Faults) update(set func()) {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -40,7 +42,8 @@
 	f.changed = make(chan struct{})
 }
 
-// Stall makes the endpoint accept connections and messages without answering.
+// Stall makes the endpoint accept connections and messages of callers without
+// answering until it is switched off.
 func (f *Faults) Stall(on bool) {
 	f.update(func() { f.stalled = on })
 }
@@ -56,7 +59,8 @@
 	f.update(func() { f.pendingDrops = n })
 }
 
-// Partition holds all traffic of a link while its connections stay open.
+// Partition blocks all traffic of a link. Its connections stay open, and blocked
+// traffic is delivered when the partition ends.
 func (f *Faults) Partition(link Link, on bool) {
 	f.update(func() { f.partitioned[link] = on })
 }
@@ -69,13 +73,15 @@
 	})
 }
 
+// responseDelay returns the delay set by DelayResponses.
 func (f *Faults) responseDelay() time.Duration {
 	f.mu.Lock()
 	defer f.mu.Unlock()
 	return f.delay
 }
 
-// takeDrop reports whether the answer to a commit is to be dropped.
+// consumeDrop reports whether to drop the response to the current commit, and
+// counts it against DropAfterCommit.
 func (f *Faults) consumeDrop() bool {
 	f.mu.Lock()
 	defer f.mu.Unlock()
@@ -86,8 +92,8 @@
 	return true
 }
 
-// await waits while the link is cut or, on the callers' link, the endpoint is
-// stalled.
+// waitForLink waits while the link is partitioned or, for LinkCallers, while the
+// endpoint is stalled.
 func (f *Faults) waitForLink(ctx context.Context, link Link) error {
 	for {
 		f.mu.Lock()
@@ -105,7 +111,8 @@
 	}
 }
 
-// gatedConn is a connection whose traffic is held while its link is cut.
+// faultConn is a connection whose reads and writes block while its link is
+// partitioned. With an empty link, nothing blocks.
 type faultConn struct {
 	net.Conn
 	faults *Faults
@@ -163,7 +170,7 @@
 	return c.Conn.Close()
 }
 
-// cutOnly cuts the given links and restores the others.
+// setPartitions partitions the given links and restores all others.
 func (f *Faults) setPartitions(links []Link) {
 	f.update(func() {
 		f.partitioned = make(map[Link]bool)
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -10,20 +10,23 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
+// A connection dropped after the commit leaves the client without a response, but the
+// write must remain.
 func TestDropAfterCommitKeepsWrite(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
 	conn := connect(t, primary)
 	primary.Faults().DropAfterCommit(1)
 	if _, err := conn.Exec(testContext(t), "insert into records(id) values ('a')"); err == nil {
-		t.Fatal("the commit was answered")
+		t.Fatal("the client got a response to the commit")
 	}
 	if n := countRecords(t, connect(t, primary)); n != 1 {
 		t.Errorf("%d records, want 1", n)
 	}
 }
 
-// pending starts a query and returns the channel of its result.
+// startQuery runs a query in a goroutine and returns the channel that receives its
+// error.
 func startQuery(conn *pgx.Conn) <-chan error {
 	done := make(chan error, 1)
 	go func() {
@@ -33,6 +36,8 @@
 	return done
 }
 
+// A query sent during a fault must neither complete nor fail before the fault is
+// cleared, and must succeed afterwards on the same connection.
 func TestStallAndPartitionDeliverHeldTrafficOnceCleared(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
@@ -46,7 +51,7 @@
 		done := startQuery(conn)
 		select {
 		case err := <-done:
-			t.Errorf("%s: answered: %v", name, err)
+			t.Errorf("%s: query returned during the fault: %v", name, err)
 		case <-time.After(50 * time.Millisecond):
 		}
 		set(false)
@@ -56,6 +61,8 @@
 	}
 }
 
+// A partition of the replication link must not affect callers, and replication must
+// resume when it ends.
 func TestPartitionLeavesOtherLinksOpen(t *testing.T) {
 	group := startGroup(t, nil)
 	primary, replica := group.Servers[0], group.Servers[1]
@@ -64,15 +71,17 @@
 	mustExec(t, conn, "insert into records(id) values ('a')")
 	_, _, flushed, _ := primary.Position()
 	if _, _, got, _ := replica.Position(); got >= flushed {
-		t.Error("the cut link delivered a transaction")
+		t.Error("the partitioned link delivered a transaction")
 	}
 	primary.Faults().Clear()
-	waitFor(t, "flush after the link is back", func() bool {
+	waitFor(t, "flush after the partition", func() bool {
 		_, _, got, _ := replica.Position()
 		return got == flushed
 	})
 }
 
+// An endpoint that is started on the data folder of a killed one must have its flushed
+// position and its data.
 func TestKilledEndpointResumesFromDataDir(t *testing.T) {
 	opts := standin.Options{Service: "ledger", Password: password, RecordsTable: true, DataDir: t.TempDir()}
 	first, err := standin.New(opts)
--- a/internal/standin/functions.go
+++ b/internal/standin/functions.go
@@ -11,9 +11,9 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// functions resolves the server's own functions and views for one execution.
-// Values such as the time are fixed before the statement is logged, so that a
-// replay gives the same rows.
+// functionEnv resolves the server's own functions and views for one execution of a
+// statement. Values such as the time are fixed before the statement is logged, so
+// that replay produces the same rows.
 type functionEnv struct {
 	s    *session
 	ctx  context.Context
@@ -44,7 +44,7 @@
 	return f.resolveReadOnly(name, args)
 }
 
-// pure resolves functions without an effect.
+// resolveReadOnly resolves functions without side effects.
 func (f *functionEnv) resolveReadOnly(name string, args []string) (string, bool, error) {
 	srv := f.s.srv
 	switch name {
@@ -71,6 +71,8 @@
 	return f.resolveBuiltin(name)
 }
 
+// resolveBuiltin resolves functions for the time, random values and the session's
+// environment.
 func (f *functionEnv) resolveBuiltin(name string) (string, bool, error) {
 	switch name {
 	case "now", "current_timestamp", "clock_timestamp", "statement_timestamp", "transaction_timestamp":
@@ -95,6 +97,7 @@
 	return "", false, nil
 }
 
+// replicaLSN returns the literal of a position on a replica and NULL on a primary.
 func (f *functionEnv) replicaLSN(l LSN) string {
 	if f.s.srv.isPrimary() {
 		return nullLiteral
@@ -197,8 +200,8 @@
 	return strconv.FormatInt(int64(a)-int64(b), 10), true, nil
 }
 
-// probe resolves functions while result columns are looked for: nothing takes
-// effect and nothing waits.
+// describeEnv resolves functions while result columns are inferred. It has no side
+// effects and does not wait.
 type describeEnv struct{ functionEnv }
 
 // Function implements sqltext.Env.
--- a/internal/standin/group.go
+++ b/internal/standin/group.go
@@ -8,15 +8,15 @@
 	"github.com/pkg/errors"
 )
 
-// Group is a primary with replicas in one process.
+// Group is a primary and its replicas in one process.
 type Group struct {
-	// Servers holds the endpoints; the first one starts as the primary.
+	// Servers holds the endpoints. The first one starts as the primary.
 	Servers []*Server
 }
 
-// NewGroup opens a group of size endpoints. The identities are "SERVICE-1" and
-// so on; domains, when given, are dealt out in turn. Options.ID, Listen,
-// Advertise, Control, Role, Upstream and DataDir must be left empty.
+// NewGroup opens a group of size endpoints with the IDs "SERVICE-1", "SERVICE-2"
+// and so on. Failure domains, if given, are assigned round robin. Options.ID,
+// Listen, Advertise, Control, Role, Upstream and DataDir must be empty.
 func NewGroup(opts Options, size int, domains []string) (*Group, error) {
 	g := &Group{}
 	for i := range size {
@@ -45,8 +45,8 @@
 	}
 }
 
-// Run serves until ctx ends or an endpoint fails. An endpoint that is killed
-// does not end the others.
+// Run serves until ctx ends or an endpoint fails. Killing one endpoint does not
+// stop the others.
 func (g *Group) Run(ctx context.Context) error {
 	var group run.Group
 	for _, s := range g.Servers {
@@ -62,8 +62,8 @@
 	return group.Run()
 }
 
-// Follow makes every other replica follow the i-th endpoint. It stands in for
-// the answers to announcements in a group that announces itself to nobody.
+// Follow sets the i-th endpoint as the upstream of all others. It replaces the
+// responses to announcements in a group without admin addresses.
 func (g *Group) Follow(i int) {
 	for j, s := range g.Servers {
 		if j != i {
--- a/internal/standin/helpers_test.go
+++ b/internal/standin/helpers_test.go
@@ -11,12 +11,13 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// patience bounds every wait for a condition.
+// waitTimeout limits every wait for a condition and every test context.
 const waitTimeout = 60 * time.Second
 
 const password = "ledger secret"
 
-// startGroup runs a primary with two replicas until the test ends.
+// startGroup runs a primary with two replicas until the test ends. change adjusts the
+// options, which have no connect and replication delays.
 func startGroup(t *testing.T, change func(*standin.Options)) *standin.Group {
 	t.Helper()
 	opts := standin.Options{
@@ -33,6 +34,8 @@
 	return group
 }
 
+// runServer runs task in a goroutine, and at the end of the test stops it and checks
+// its error.
 func runServer(t *testing.T, task func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
@@ -76,7 +79,7 @@
 	}
 }
 
-// eventually waits until condition holds.
+// waitFor polls until condition holds and fails the test after waitTimeout.
 func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
@@ -88,6 +91,7 @@
 	}
 }
 
+// countRecords returns the number of rows in the table "records".
 func countRecords(t *testing.T, conn *pgx.Conn) int64 {
 	t.Helper()
 	var n int64
--- a/internal/standin/lsn.go
+++ b/internal/standin/lsn.go
@@ -6,7 +6,7 @@
 	"github.com/pkg/errors"
 )
 
-// LSN is a position in the log of a group, in bytes.
+// LSN is a position in the log of a group, as a byte offset.
 type LSN uint64
 
 // firstLSN is the position of an empty log.
@@ -17,7 +17,7 @@
 	return fmt.Sprintf("%X/%X", uint32(l>>32), uint32(l))
 }
 
-// ParseLSN reads the format of String.
+// ParseLSN parses a position in the format of String.
 func ParseLSN(text string) (LSN, error) {
 	var high, low uint32
 	if _, err := fmt.Sscanf(text, "%X/%X", &high, &low); err != nil {
--- a/internal/standin/options.go
+++ b/internal/standin/options.go
@@ -7,7 +7,7 @@
 	"github.com/charmbracelet/log"
 )
 
-// Role is the part that an endpoint plays in its group.
+// Role is the replication role of an endpoint.
 type Role string
 
 // Roles.
@@ -27,32 +27,34 @@
 	DefaultAnnounceInterval = 500 * time.Millisecond
 )
 
-// Options configure one endpoint. Zero values take the defaults; to have no
-// delay at all, set a negative one.
+// Options configure one endpoint. Zero values select the defaults. A negative
+// duration means zero.
 type Options struct {
-	// Service names the database group, ID the endpoint in the group. SHOW
-	// cluster_name answers with ID.
+	// Service is the name of the database group, ID that of the endpoint in the
+	// group. SHOW cluster_name returns ID.
 	Service string
 	ID      string
 	// Domain is the failure domain that the endpoint announces.
 	Domain string
 	// Listen is the address for callers and replicas.
 	Listen string
-	// Advertise is the address that is announced; empty means the one listened on.
+	// Advertise is the announced address. If empty, the listen address is announced.
 	Advertise string
-	// Role is the role at first start; an endpoint with a data folder resumes the
-	// role that it had.
+	// Role is the role at the first start. An endpoint with a data folder resumes
+	// its last role.
 	Role Role
-	// Upstream is the primary's address, until an announcement names another.
+	// Upstream is the primary's address until the response to an announcement names
+	// another.
 	Upstream string
-	// User, Password and Database are the only credentials accepted. An empty
-	// password accepts the user without one.
+	// User, Password and Database are the only ones accepted. If Password is empty,
+	// no authentication takes place.
 	User     string
 	Password string
 	Database string
-	// MaxConnections caps the callers' connections.
+	// MaxConnections limits the connections of callers. Replication connections do
+	// not count.
 	MaxConnections int
-	// ConnectDelay is the time that opening a connection takes.
+	// ConnectDelay is added to the time that opening a connection takes.
 	ConnectDelay time.Duration
 	// ReplicationDelay is the time from a commit to its flush on a replica.
 	ReplicationDelay time.Duration
@@ -61,11 +63,12 @@
 	// Admins are the HTTP addresses (host:port) that accept announcements.
 	Admins           []string
 	AnnounceInterval time.Duration
-	// Control is the HTTP address of the fault switches; empty means none.
+	// Control is the HTTP address of the fault switches. If empty, they are not served.
 	Control string
-	// DataDir keeps the log over restarts; empty keeps it in memory.
+	// DataDir is the folder that keeps the log across restarts. If empty, the log is
+	// kept in memory.
 	DataDir string
-	// RecordsTable creates the table "records" on a primary that has none.
+	// RecordsTable creates the table "records" on a primary whose log is empty.
 	RecordsTable bool
 	// Logger receives events; nil discards them.
 	Logger *log.Logger
@@ -98,6 +101,7 @@
 	}
 }
 
+// defaultDuration replaces zero by value and a negative duration by zero.
 func defaultDuration(field *time.Duration, value time.Duration) {
 	switch {
 	case *field == 0:
--- a/internal/standin/protocol_test.go
+++ b/internal/standin/protocol_test.go
@@ -14,6 +14,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
+// sqlState returns the SQLSTATE of a server error, or the text of any other error.
 func sqlState(err error) string {
 	var pg *pgconn.PgError
 	if errors.As(err, &pg) {
@@ -25,6 +26,8 @@
 	return err.Error()
 }
 
+// Each data type must survive an insert and a select in every combination of text and
+// binary formats that the client's query modes use.
 func TestTypesRoundTrip(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
@@ -108,7 +111,7 @@
 	if n := countRecords(t, conn); n != 1 {
 		t.Errorf("%d records, want 1", n)
 	}
-	// A failed statement undoes the whole of a multi-statement query.
+	// A failed statement rolls back all statements of a multi-statement query.
 	_, err := conn.Exec(testContext(t), "insert into records(id) values ('x'); select * from missing",
 		pgx.QueryExecModeSimpleProtocol)
 	if sqlState(err) != "42P01" || countRecords(t, conn) != 1 {
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -21,7 +21,8 @@
 	startReplication = "START_REPLICATION"
 )
 
-// follow streams the primary's log while this endpoint is a replica.
+// follow streams the log from the upstream while this endpoint is a replica, and
+// reconnects after a failure. It returns when ctx ends.
 func (s *Server) follow(ctx context.Context) error {
 	for {
 		role, upstream, changed := s.watchRole()
@@ -40,7 +41,8 @@
 	}
 }
 
-// followOnce streams until the connection or this endpoint's role ends.
+// followUpstream streams from one upstream until the connection fails or the role
+// or the upstream of this endpoint changes, which closes changed.
 func (s *Server) followUpstream(ctx context.Context, upstream string, changed <-chan struct{}) error {
 	ctx, cancel := context.WithCancel(ctx)
 	defer cancel()
@@ -65,7 +67,8 @@
 	return s.receive(ctx, hijacked.Frontend)
 }
 
-// dial connects to another endpoint of the group.
+// dial connects to another endpoint of the group. Its traffic belongs to
+// LinkReplication.
 func (s *Server) dial(ctx context.Context, addr string, replication bool) (*pgconn.PgConn, error) {
 	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -97,7 +100,8 @@
 	return pgconn.ConnectConfig(ctx, config)
 }
 
-// receive runs the replica's side of a stream.
+// receive runs the replica's side of a stream: it sends the history of its log,
+// reconciles the log with the primary's and flushes records until an error.
 func (s *Server) receive(ctx context.Context, fe *pgproto3.Frontend) error {
 	fe.SendQuery(&pgproto3.Query{String: startReplication})
 	if err := fe.Flush(); err != nil {
@@ -163,7 +167,8 @@
 	return cborDecoding.Unmarshal(data.Data, m)
 }
 
-// align drops what the primary's history does not have and takes it over.
+// reconcileLog drops the records after the common position and adopts the
+// primary's history. It fails unless this endpoint is still a replica.
 func (s *Server) reconcileLog(ctx context.Context, first streamMessage) error {
 	s.mu.Lock()
 	isReplica := s.role == RoleReplica && !s.promoting
@@ -191,7 +196,8 @@
 	}
 }
 
-// flushRecords adds records to the log unless a promotion has begun.
+// flushRecords adds records to the log. It fails once a promotion has begun, so
+// that the log does not grow past the start of the new timeline.
 func (s *Server) flushRecords(records []record) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -201,7 +207,8 @@
 	return s.wal.appendReceived(records)
 }
 
-// sendStatus reports this replica's positions whenever they change.
+// reportStatus sends this replica's positions to the primary whenever the log
+// changes.
 func (s *Server) reportStatus(ctx context.Context, fe *pgproto3.Frontend) {
 	for {
 		changed := s.wal.watch()
@@ -215,7 +222,8 @@
 	}
 }
 
-// receiverRelation returns the view pg_stat_wal_receiver.
+// statWALReceiver returns the view pg_stat_wal_receiver. It has a row on a replica
+// with an upstream, whether or not the stream is connected.
 func (s *Server) statWALReceiver() sqltext.Relation {
 	rel := sqltext.Relation{Columns: strings.Fields("status received_tli flushed_lsn sender")}
 	role, upstream, _ := s.watchRole()
--- a/internal/standin/replay.go
+++ b/internal/standin/replay.go
@@ -8,10 +8,12 @@
 	"github.com/pkg/errors"
 )
 
-// replayBatch is the number of transactions that are replayed at once.
+// replayBatch is the maximum number of transactions in one engine transaction
+// during replay.
 const replayBatch = 64
 
-// replay applies flushed transactions on a replica once they are due.
+// replay applies flushed transactions on a replica once the replay lag has passed.
+// It returns when ctx ends or a transaction can't be applied.
 func (s *Server) replay(ctx context.Context) error {
 	for {
 		changed := s.wal.watch()
@@ -33,8 +35,8 @@
 	}
 }
 
-// waitChange waits for a change of the log or the role, or for d unless it is
-// negative.
+// waitForChange waits until changed or roleChanged is closed or d has passed. A
+// negative d means no time limit. It returns an error only when ctx ends.
 func waitForChange(ctx context.Context, changed, roleChanged <-chan struct{}, d time.Duration) error {
 	var expired <-chan time.Time
 	if d >= 0 {
@@ -52,8 +54,8 @@
 	return nil
 }
 
-// due returns the transactions to replay now, or the time until the next one;
-// a negative time means that there is none.
+// dueRecords returns the transactions to replay now or, if there is none, the time
+// until the next one. The time is negative if nothing is left to replay.
 func (s *Server) dueRecords(now time.Time) ([]record, time.Duration) {
 	records := s.wal.recordsAfter(s.wal.replayedLSN(), replayBatch)
 	lag := time.Duration(s.replayLag.Load())
@@ -70,7 +72,7 @@
 	return nil, lag - now.Sub(records[0].flushedAt)
 }
 
-// replayAll applies all that is flushed, due or not.
+// replayAll applies all flushed transactions regardless of the replay lag.
 func (s *Server) replayAll(ctx context.Context) error {
 	for {
 		records := s.wal.recordsAfter(s.wal.replayedLSN(), replayBatch)
@@ -83,8 +85,9 @@
 	}
 }
 
-// apply replays the records that follow the replayed position, in one engine
-// transaction.
+// replayRecords applies records in one engine transaction. It skips those that are
+// already replayed, and all of them if the engine was replaced while it waited for
+// the write semaphore.
 func (s *Server) replayRecords(ctx context.Context, records []record) error {
 	eng := s.engine()
 	if err := eng.lockWrite(ctx); err != nil {
@@ -108,8 +111,9 @@
 	return s.replayOn(eng, conn, records)
 }
 
+// replayOn applies records over conn. The caller holds the write semaphore of eng.
 func (s *Server) replayOn(eng *engine, conn *sql.Conn, records []record) error {
-	ctx := context.Background() // a replay is not cut short
+	ctx := context.Background() // a batch is not interrupted
 	if _, err := conn.ExecContext(ctx, "begin immediate"); err != nil {
 		return errors.Wrap(err, "replay")
 	}
--- a/internal/standin/replication_test.go
+++ b/internal/standin/replication_test.go
@@ -11,6 +11,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
+// Replicas must reach the primary's position, hold the values that the primary
+// generated rather than values of their own, reject writes and report their positions.
 func TestReplicasReplayAndRejectWrites(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := connect(t, group.Servers[0])
@@ -53,6 +55,7 @@
 	})
 }
 
+// A replica flushes a transaction at once and replays it only after the replay lag.
 func TestReplicaFlushesBeforeReplay(t *testing.T) {
 	group := startGroup(t, func(o *standin.Options) { o.ReplayLag = time.Hour })
 	mustExec(t, connect(t, group.Servers[0]), "insert into records(id) values ('a')")
@@ -71,6 +74,9 @@
 	waitFor(t, "replay", func() bool { return countRecords(t, conn) == 2 })
 }
 
+// After a partition, the old primary has transactions that no replica has flushed. The
+// promotion must keep the flushed ones, and the old primary must drop the others when
+// it becomes a replica of the new timeline.
 func TestPromotionKeepsFlushedDropsUnflushed(t *testing.T) {
 	var named atomic.Pointer[standin.Server]
 	admin := startAdmin(t, &named)
@@ -96,7 +102,7 @@
 	if role, timelineID, _, _ := next.Position(); role != standin.RolePrimary || timelineID != 2 {
 		t.Errorf("role %s, timeline %d", role, timelineID)
 	}
-	mustExec(t, conn, "insert into records(id) values ('lost too')") // it still believes that it is the primary
+	mustExec(t, conn, "insert into records(id) values ('lost too')") // the old primary has not been demoted yet
 	mustExec(t, promoted, "insert into records(id) values ('new')")
 
 	old.Faults().Clear()
@@ -107,7 +113,7 @@
 	})
 	old.SetReplayLag(0)
 	var restored int64
-	waitFor(t, "old primary rebuilt", func() bool {
+	waitFor(t, "rebuild of the old primary", func() bool {
 		fresh := connect(t, old)
 		defer fresh.Close(testContext(t))
 		err := fresh.QueryRow(testContext(t), "select count(*) from records where id in ('kept', 'new')").Scan(&restored)
@@ -115,7 +121,8 @@
 	})
 }
 
-// startAdmin answers announcements with the named primary, once there is one.
+// startAdmin starts an admin endpoint that responds to announcements with the named
+// primary, if there is one, and returns its address.
 func startAdmin(t *testing.T, named *atomic.Pointer[standin.Server]) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -123,11 +130,11 @@
 		if err := json.NewDecoder(r.Body).Decode(&a); err != nil || a.Service != "ledger" || a.Addr == "" {
 			t.Errorf("announcement %+v: %v", a, err)
 		}
-		answer := map[string]any{"term": 1}
+		response := map[string]any{"term": 1}
 		if s := named.Load(); s != nil {
-			answer["primary"], answer["primary_addr"] = s.ID(), s.Addr()
+			response["primary"], response["primary_addr"] = s.ID(), s.Addr()
 		}
-		if err := json.NewEncoder(w).Encode(answer); err != nil {
+		if err := json.NewEncoder(w).Encode(response); err != nil {
 			t.Error(err)
 		}
 	}))
--- a/internal/standin/role.go
+++ b/internal/standin/role.go
@@ -8,8 +8,8 @@
 
 const createRecordsTable = "create table records(id text primary key, workspace text, body text, filed_at text)"
 
-// recover replays the log kept on disk and, on a primary, creates the table of
-// records when it is wanted and the log is empty.
+// restore replays the log kept on disk. On a primary with an empty log it creates
+// the table "records" if Options.RecordsTable is set.
 func (s *Server) restore() error {
 	if s.wal.flushed() > firstLSN {
 		if err := s.replayAll(s.ctx); err != nil {
@@ -29,8 +29,9 @@
 	return err
 }
 
-// promote makes a replica the primary of a new timeline that starts at the end
-// of its flushed log.
+// promote makes a replica the primary of a new timeline that starts at the end of
+// its flushed log. It stops receiving, replays all flushed records, starts the
+// timeline and then changes the role.
 func (s *Server) promote(ctx context.Context) error {
 	s.roleMu.Lock()
 	defer s.roleMu.Unlock()
@@ -53,7 +54,7 @@
 	return nil
 }
 
-// setPromoting stops or resumes the receipt of the primary's log.
+// setPromoting stops or resumes receiving the primary's log.
 func (s *Server) setPromoting(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,6 +62,7 @@
 	s.notifyLocked()
 }
 
+// setRole saves the role and then makes it effective.
 func (s *Server) setRole(role Role) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// demote makes a replaced primary a replica of upstream. Callers are
-// disconnected; their open transactions are rolled back.
+// demote makes a primary a replica of upstream. It ends all sessions and rolls
+// back their open transactions. On a replica it does nothing.
 func (s *Server) demote(upstream string) error {
 	s.roleMu.Lock()
 	defer s.roleMu.Unlock()
@@ -89,7 +91,8 @@
 	return nil
 }
 
-// SetUpstream names the primary that a replica follows.
+// SetUpstream sets the address of the primary that the endpoint follows as a
+// replica.
 func (s *Server) SetUpstream(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,7 +103,7 @@
 	s.notifyLocked()
 }
 
-// disconnect ends all sessions.
+// terminateSessions ends all sessions, including those of replicas.
 func (s *Server) terminateSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -109,8 +112,9 @@
 	}
 }
 
-// rebuild drops the log after l and starts over with an empty database, into
-// which the rest of the log is replayed.
+// rebuild drops the log after l and replaces the database by an empty one, into
+// which the replay task applies the remaining log. It ends sessions both before and
+// after the replacement, since sessions may open on the old database meanwhile.
 func (s *Server) rebuild(ctx context.Context, l LSN) error {
 	old := s.engine()
 	s.terminateSessions()
--- a/internal/standin/sender.go
+++ b/internal/standin/sender.go
@@ -12,38 +12,41 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// sendBatch is the number of transactions in one replication message.
+// sendBatch is the maximum number of transactions in one replication message.
 const sendBatch = 256
 
-// followRequest is what a replica asks for: the stream after the last position
-// that its log has in common with the primary's.
+// replicationRequest is the first message of a replica. It requests the stream
+// after the last position that the replica's log shares with the primary's.
 type replicationRequest struct {
 	ID      string     `cbor:"1,keyasint"`
 	History []timeline `cbor:"2,keyasint"`
 	Flushed LSN        `cbor:"3,keyasint"`
 }
 
-// streamMessage carries transactions to a replica. The first message of a
-// stream holds the history and the position that it starts after.
+// streamMessage carries transactions to a replica. The first message of a stream
+// carries no transactions but the history and the position after which the stream
+// starts.
 type streamMessage struct {
 	History []timeline `cbor:"1,keyasint,omitempty"`
 	From    LSN        `cbor:"2,keyasint,omitempty"`
 	Records []record   `cbor:"3,keyasint,omitempty"`
 }
 
-// followStatus reports a replica's positions to its primary.
+// replicationStatus reports a replica's positions to its primary.
 type replicationStatus struct {
 	Flushed  LSN `cbor:"1,keyasint"`
 	Replayed LSN `cbor:"2,keyasint"`
 }
 
-// standby is a replica that is streaming from this primary.
+// standby is a replica that is streaming from this primary. Its status is guarded
+// by Server.mu.
 type standby struct {
 	id     string
 	status replicationStatus
 }
 
-// sendReplication serves START_REPLICATION until the connection ends.
+// serveReplication runs START_REPLICATION until the connection ends. A goroutine
+// reads the replica's status messages meanwhile. It always returns an error.
 func (s *session) serveReplication(st *sqltext.Statement) error {
 	if !s.srv.isPrimary() {
 		return sqlErrorf(sqlStateNotInPrerequisiteState, "recovery is in progress")
@@ -95,8 +98,8 @@
 	}
 }
 
-// stream sends the log from the common position on, as long as this endpoint is
-// the primary. It always returns an error.
+// stream sends the log from the common position on while this endpoint is the
+// primary. It always returns an error.
 func (s *session) stream(ctx context.Context, request replicationRequest) error {
 	log := s.srv.log()
 	history := log.timelines()
@@ -128,7 +131,8 @@
 	}
 }
 
-// awaitDelay waits until the replication delay has passed since the commit of r.
+// waitReplicationDelay waits until the replication delay has passed since r was
+// flushed on this endpoint.
 func (s *session) waitReplicationDelay(ctx context.Context, r record) error {
 	delay := time.Duration(s.srv.replicationDelay.Load())
 	return sleep(ctx, delay-time.Since(r.flushedAt))
@@ -155,7 +159,8 @@
 	delete(s.standbys, sb)
 }
 
-// standbyRelation returns the view pg_stat_replication.
+// statReplication returns the view pg_stat_replication. Positions are NULL until
+// the replica has sent its first status.
 func (s *Server) statReplication() sqltext.Relation {
 	rel := sqltext.Relation{Columns: strings.Fields(
 		"application_name state sent_lsn write_lsn flush_lsn replay_lsn sync_state")}
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -12,15 +12,15 @@
 	"github.com/xdg-go/scram"
 )
 
-// Server is one endpoint.
+// Server is one endpoint. mu is locked before the mutex of wal where both are held.
 type Server struct {
 	opts             Options
 	ln               net.Listener
 	faults           *Faults
 	scram            *scram.Server
 	wal              *wal
-	replayLag        atomic.Int64 // replay lag in nanoseconds
-	replicationDelay atomic.Int64 // replication delay in nanoseconds
+	replayLag        atomic.Int64 // in nanoseconds
+	replicationDelay atomic.Int64 // in nanoseconds
 	// sleeping counts the running calls of pg_sleep.
 	sleeping atomic.Int64
 
@@ -43,7 +43,8 @@
 	roleChanged chan struct{}
 }
 
-// New opens an endpoint and its listener. Run serves it.
+// New opens an endpoint's log, database and listener. Run serves it and releases
+// them.
 func New(opts Options) (*Server, error) {
 	opts.setDefaults()
 	wal, err := openWAL(opts.DataDir)
@@ -104,7 +105,7 @@
 	return role, s.wal.currentTimeline(), s.wal.flushed(), s.wal.replayedLSN()
 }
 
-// Run serves until ctx ends. It returns nil after a regular end.
+// Run serves until ctx ends or Kill is called, and returns nil then.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.close()
 	if err := s.restore(); err != nil {
@@ -134,8 +135,8 @@
 	return err
 }
 
-// Kill ends the endpoint at once, as the death of its process would: no
-// connection is told.
+// Kill stops the endpoint like a crash of its process: connections are closed
+// without an error message.
 func (s *Server) Kill() {
 	s.ln.Close()
 	s.mu.Lock()
@@ -177,7 +178,8 @@
 	session.serve()
 }
 
-// add registers a session that has authenticated.
+// register adds an authenticated session and assigns its process ID. Callers count
+// towards Options.MaxConnections, replication connections do not.
 func (s *Server) register(session *session, replication bool) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -229,8 +231,8 @@
 	return s.role == RolePrimary
 }
 
-// commit logs the changes of a session that holds the right to write and makes
-// them visible.
+// commit commits the engine transaction of a session that holds the write semaphore
+// and appends its changes to the log. Reads are excluded for both steps.
 func (s *Server) commit(session *session) error {
 	if !s.isPrimary() || s.engine() != session.eng {
 		return fatalErrorf(sqlStateAdminShutdown, "the endpoint is no longer the primary")
@@ -245,13 +247,14 @@
 	return err
 }
 
-// notifyLocked wakes the tasks that wait for a change of role or upstream.
+// notifyLocked wakes the tasks that wait for a change of role or upstream. The
+// caller holds mu.
 func (s *Server) notifyLocked() {
 	close(s.roleChanged)
 	s.roleChanged = make(chan struct{})
 }
 
-// watch returns the present role and upstream, and a channel that is closed at
+// watchRole returns the current role and upstream, and a channel that is closed at
 // their next change.
 func (s *Server) watchRole() (Role, string, <-chan struct{}) {
 	s.mu.Lock()
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -16,8 +16,9 @@
 
 const secretKeyBytes = 4
 
-// session serves one connection. Its fields belong to the goroutine of serve,
-// but for cancel and conn.
+// session serves one connection. Only the goroutine of serve uses its fields, except
+// cancel, conn, secret and stop, which is guarded by stopMu. During a replication
+// stream, a second goroutine receives from be.
 type session struct {
 	srv    *Server
 	conn   *faultConn
@@ -25,7 +26,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	pid    uint32
-	// counted is set when the session counts towards the connection cap.
+	// counted is set if the session counts towards the connection limit.
 	counted bool
 	secret  []byte
 	types   *pgtype.Map
@@ -36,13 +37,16 @@
 	tx         txState
 	statements map[string]*preparedStatement
 	portals    map[string]*portal
-	// skipping discards messages up to Sync after an error.
+	// skipUntilSync is set after an error in the extended protocol. Messages up to
+	// Sync are discarded.
 	skipUntilSync bool
 
 	stopMu sync.Mutex
-	stop   context.CancelFunc
+	// stop cancels the running statement, nil if there is none.
+	stop context.CancelFunc
 }
 
+// errConnectionClosed ends a session without a message to the client.
 var errConnectionClosed = errors.New("connection closed")
 
 func newSession(srv *Server, conn net.Conn) *session {
@@ -57,7 +61,8 @@
 	}
 }
 
-// serve runs the session until its connection ends.
+// serve runs the session until its connection ends. A final sqlError is sent to the
+// client.
 func (s *session) serve() {
 	defer s.conn.Close()
 	defer s.cancel()
@@ -81,7 +86,7 @@
 	s.srv.unregister(s)
 }
 
-// start handles the messages up to the first ReadyForQuery.
+// startUp handles the connection's messages up to the first ReadyForQuery.
 func (s *session) startUp() error {
 	startup, err := s.receiveStartup()
 	if err != nil {
@@ -118,7 +123,7 @@
 	return s.sendReady()
 }
 
-// attach connects the session to the present database.
+// openDatabase opens a connection to the current database.
 func (s *session) openDatabase() error {
 	s.eng = s.srv.engine()
 	db, err := s.eng.db.Conn(s.ctx)
@@ -129,6 +134,8 @@
 	return nil
 }
 
+// receiveStartup returns the start-up message. It refuses encryption and handles a
+// CancelRequest, after which the connection ends.
 func (s *session) receiveStartup() (*pgproto3.StartupMessage, error) {
 	for {
 		msg, err := s.be.ReceiveStartupMessage()
@@ -149,6 +156,8 @@
 	}
 }
 
+// sendStartupParameters applies the settings of the start-up message and sends
+// AuthenticationOk, the reported settings and the cancel key.
 func (s *session) sendStartupParameters(params map[string]string) {
 	s.be.Send(&pgproto3.AuthenticationOk{})
 	for name, value := range params {
@@ -200,7 +209,7 @@
 	return s.conn.link
 }
 
-// handle serves one message. An error ends the connection.
+// handle handles one message. An error ends the connection.
 func (s *session) handle(msg pgproto3.FrontendMessage) error {
 	switch m := msg.(type) {
 	case *pgproto3.Query:
@@ -212,7 +221,7 @@
 	case *pgproto3.Terminate:
 		return errConnectionClosed
 	case *pgproto3.CopyData, *pgproto3.CopyDone, *pgproto3.CopyFail:
-		return nil // the rest of a failed COPY
+		return nil // remaining data of a failed COPY
 	}
 	if s.skipUntilSync {
 		return nil
@@ -224,8 +233,9 @@
 	return s.reportError(err, true)
 }
 
-// fail reports an error of a statement. In the extended protocol the messages
-// up to Sync are skipped.
+// reportError aborts the transaction and sends the error to the client. With skip
+// set, messages up to Sync are discarded. Fatal errors are returned instead and end
+// the connection.
 func (s *session) reportError(err error, skip bool) error {
 	sqlErr := toSQLError(err)
 	if sqlErr.fatal || errors.Is(err, errConnectionClosed) {
@@ -237,7 +247,8 @@
 	return nil
 }
 
-// ready sends all answers and the state of the transaction.
+// sendReady sends ReadyForQuery and flushes all buffered responses, after the delay
+// set by Faults.DelayResponses.
 func (s *session) sendReady() error {
 	if err := sleep(s.ctx, s.srv.faults.responseDelay()); err != nil {
 		return fatalErrorf(sqlStateAdminShutdown, "terminating connection due to administrator command")
@@ -246,8 +257,8 @@
 	return s.be.Flush()
 }
 
-// statementContext returns the context of one statement, which a CancelRequest
-// and the statement timeout end.
+// statementContext returns the context of one statement. A CancelRequest and the
+// statement timeout cancel it.
 func (s *session) statementContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	if limit := statementTimeout(s.settings); limit > 0 {
@@ -264,7 +275,8 @@
 	}
 }
 
-// interrupt cancels the running statement when the secret is right.
+// cancelStatement cancels the running statement if secret is the session's secret
+// key.
 func (s *session) cancelStatement(secret []byte) {
 	if subtle.ConstantTimeCompare(secret, s.secret) != 1 {
 		return
@@ -276,8 +288,8 @@
 	}
 }
 
-// terminate ends the session as an administrator's command does. A session that
-// waits for its client is closed at once.
+// terminate ends the session with an "administrator command" error. The read
+// deadline interrupts a session that is waiting for a message.
 func (s *session) terminate() {
 	s.cancel()
 	_ = s.conn.SetReadDeadline(time.Now())
--- a/internal/standin/sessioncmd.go
+++ b/internal/standin/sessioncmd.go
@@ -8,7 +8,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// control runs the statements that concern the session and its transaction.
+// runSessionCommand runs statements for transaction control, settings and prepared
+// statements, and returns their rows and command tag.
 func (s *session) runSessionCommand(ctx context.Context, st *sqltext.Statement) (*rowSet, string, error) {
 	var err error
 	tag := st.Tag
@@ -74,7 +75,9 @@
 	return nil
 }
 
-// assign changes a setting and reports it to the client.
+// assign changes a setting and sends reported settings to the client. A SET LOCAL
+// keeps the earlier values in tx.commitSettings, in which later changes without
+// LOCAL are made as well.
 func (s *session) assign(a assignment) {
 	switch {
 	case a.local && s.tx.commitSettings == nil:
@@ -102,6 +105,8 @@
 	}, nil
 }
 
+// setting returns the value of a setting, including those derived from the state of
+// the transaction and the server.
 func (s *session) setting(name string) (string, bool) {
 	switch name {
 	case settingTxReadOnly:
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -8,7 +8,7 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// Names of session settings with an effect of their own.
+// Names of session settings that the stand-in acts on.
 const (
 	settingReadOnly   = "default_transaction_read_only"
 	settingIsolation  = "default_transaction_isolation"
@@ -37,8 +37,8 @@
 	settingTimeout:                "0",
 }
 
-// reported are the settings whose values the server reports at start and at
-// each change, by the names that clients expect.
+// reportedSettings are the settings whose values are sent as ParameterStatus at the
+// start of a session and at each change. name is the spelling on the wire.
 var reportedSettings = []struct{ key, name string }{
 	{"server_version", "server_version"}, {"server_encoding", "server_encoding"},
 	{"client_encoding", "client_encoding"}, {settingAppName, "application_name"},
@@ -64,7 +64,8 @@
 	return false
 }
 
-// statementTimeout returns the time limit of statements, or zero for none.
+// statementTimeout returns the time limit of statements, or zero for none. Numbers
+// without a unit are milliseconds.
 func statementTimeout(settings map[string]string) time.Duration {
 	value := settings[settingTimeout]
 	if ms, err := strconv.Atoi(value); err == nil {
@@ -134,13 +135,14 @@
 	}
 }
 
-// txMode is the mode of a transaction block.
+// txMode is the access mode and isolation of a transaction. snapshot is set for
+// repeatable read and serializable, which are treated alike.
 type txMode struct {
 	readOnly bool
 	snapshot bool
 }
 
-// parseMode applies the words of BEGIN or SET TRANSACTION to m.
+// parseMode applies the transaction modes in BEGIN or SET TRANSACTION to m.
 func parseMode(tokens []sqltext.Token, m txMode) txMode {
 	for i, t := range tokens {
 		next := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
--- a/internal/standin/simple.go
+++ b/internal/standin/simple.go
@@ -10,8 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// simpleQuery serves a Query message. Its statements share one transaction
-// unless they open a block of their own.
+// simpleQuery handles a Query message. Its statements share one implicit transaction
+// unless they open a transaction block.
 func (s *session) simpleQuery(text string) error {
 	s.skipUntilSync = false
 	if err := s.simpleStatements(text); err != nil {
@@ -40,6 +40,9 @@
 	return nil
 }
 
+// simpleStatement runs one statement of a Query message and sends its result. After
+// the last one it commits the implicit transaction before CommandComplete, so that
+// an error of the commit reaches the client in its place.
 func (s *session) simpleStatement(st *sqltext.Statement, last bool) error {
 	if st.Class == sqltext.StartReplication {
 		return s.serveReplication(st)
@@ -67,7 +70,7 @@
 	return nil
 }
 
-// sendRows encodes rows in the wanted formats.
+// sendRows sends rows in the given formats, one per column as in Bind.
 func (s *session) sendRows(columns []column, rows [][]any, formats []int16) error {
 	for _, row := range rows {
 		values := make([][]byte, len(row))
@@ -83,8 +86,9 @@
 	return nil
 }
 
-// finishColumns completes the names and types of result columns from the text
-// of the statement and the values of the rows.
+// finishColumns completes the names and types of result columns from the select list
+// of the statement, then from the values of the rows. The remaining ones get type
+// text.
 func (s *session) finishColumns(st *sqltext.Statement, set *rowSet) {
 	nameColumns(st, set.columns)
 	for i := range set.columns {
@@ -99,6 +103,8 @@
 	}
 }
 
+// nameColumns applies the names and types from the select list, if it has as many
+// items as there are columns.
 func nameColumns(st *sqltext.Statement, columns []column) {
 	items := st.Items()
 	if len(items) != len(columns) {
@@ -114,7 +120,8 @@
 	}
 }
 
-// run executes one statement and returns its rows and command tag.
+// runStatement runs one statement and returns its rows and command tag. In a failed
+// transaction it accepts only statements that end it or return to a savepoint.
 func (s *session) runStatement(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, string, error) {
 	if s.tx.failed && st.Class != sqltext.Commit && st.Class != sqltext.Rollback && st.Class != sqltext.RollbackTo {
 		return nil, "", failedTxError()
@@ -138,6 +145,8 @@
 	return s.runSessionCommand(ctx, st)
 }
 
+// unsupported returns "feature not supported" for statements of PostgreSQL that the
+// stand-in lacks, and a syntax error for all others.
 func unsupported(st *sqltext.Statement) error {
 	switch st.First() {
 	case "lock", "listen", "notify", "unlisten", "prepare", "execute", "declare", "fetch", "close", "grant",
@@ -151,6 +160,8 @@
 	return sqlErrorf(sqlStateFailedTx, "current transaction is aborted, commands ignored until end of transaction block")
 }
 
+// commandTag returns the tag for CommandComplete, with the row count where
+// PostgreSQL sends one.
 func commandTag(st *sqltext.Statement, set *rowSet) string {
 	if !st.Counted || set == nil {
 		return st.Tag
@@ -158,7 +169,7 @@
 	return st.Tag + " " + strconv.FormatInt(set.affected, 10)
 }
 
-// read runs a statement that only reads.
+// read runs a statement that changes no data.
 func (s *session) read(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, error) {
 	text, err := s.engineSQL(ctx, st, args)
 	if err != nil {
@@ -170,6 +181,8 @@
 	return s.queryEngine(ctx, text, args)
 }
 
+// queryEngine runs a query in the engine. Without an open engine transaction it
+// excludes commits for its duration.
 func (s *session) queryEngine(ctx context.Context, text string, args []any) (*rowSet, error) {
 	if s.tx.engineTx == engineTxNone {
 		s.eng.commitMu.RLock()
@@ -178,8 +191,8 @@
 	return query(ctx, s.db, text, args)
 }
 
-// engineText returns the statement in the engine's dialect, with the server's
-// own functions replaced by their values.
+// engineSQL returns the statement in the dialect of SQLite, with the server's own
+// functions replaced by their values.
 func (s *session) engineSQL(ctx context.Context, st *sqltext.Statement, args []any) (string, error) {
 	tokens := st.Tokens
 	if st.Volatile() {
@@ -196,7 +209,8 @@
 	return text, nil
 }
 
-// write runs a statement that changes data and notes it for the log.
+// write runs a statement that changes data and adds it to the transaction's changes
+// for the log. Statements with a row count of zero are not logged.
 func (s *session) write(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, error) {
 	if err := s.ensureWrite(ctx, strings.ToUpper(st.First())); err != nil {
 		return nil, err
--- a/internal/standin/tx.go
+++ b/internal/standin/tx.go
@@ -6,7 +6,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// hold tells what a transaction holds in the SQL engine.
+// engineTxKind is the kind of engine transaction that a session has open. A snapshot
+// holds the read lock of engine.commitMu, a write transaction holds engine.writeSem.
 type engineTxKind uint8
 
 const (
@@ -15,27 +16,30 @@
 	engineTxWrite
 )
 
-// txState is the state of a session's transaction. Without a snapshot each
-// statement reads what is committed when it starts (read committed); the engine
-// transaction and the right to write are taken at the first write.
+// txState is the state of a session's transaction. Without a snapshot each statement
+// reads the data committed when it starts (read committed). The engine transaction
+// and the write semaphore are acquired at the first write.
 type txState struct {
-	// block is set from BEGIN to the end of the transaction.
+	// block is set from BEGIN to the end of the transaction block.
 	block bool
-	// implicit is set while statements of one query or up to Sync share a
-	// transaction without BEGIN.
-	implicit   bool
+	// implicit is set while the statements of one Query message, or the messages up
+	// to Sync, share a transaction without BEGIN.
+	implicit bool
+	// failed is set after an error in a transaction block.
 	failed     bool
 	mode       txMode
 	engineTx   engineTxKind
 	changes    []change
 	savepoints []savepoint
-	// settings are those to return to on rollback; locals those to return to in
-	// any case.
+	// rollbackSettings are the settings to restore on rollback, commitSettings those
+	// to restore on commit after SET LOCAL, nil without one.
 	rollbackSettings map[string]string
 	commitSettings   map[string]string
-	wrote            bool
+	// wrote is set once the engine transaction has been committed with changes.
+	wrote bool
 }
 
+// savepoint is a savepoint with the number of changes made before it.
 type savepoint struct {
 	name        string
 	changeCount int
@@ -52,7 +56,7 @@
 	return 'I'
 }
 
-// begin opens a transaction block.
+// begin opens a transaction block. Inside a block it does nothing.
 func (s *session) begin(st *sqltext.Statement) {
 	if s.tx.block {
 		return
@@ -62,7 +66,7 @@
 	s.tx.mode = parseMode(st.Tokens, s.tx.mode)
 }
 
-// openTx prepares a transaction, explicit or not.
+// openTx starts an implicit transaction unless a transaction is open.
 func (s *session) openTx() {
 	if s.tx.block || s.tx.implicit {
 		return
@@ -78,7 +82,8 @@
 	}
 }
 
-// ensureRead takes a snapshot when the isolation level asks for one.
+// ensureSnapshot opens a snapshot if the isolation level of a block requires one. On
+// a primary, a block that is not read-only opens a write transaction instead.
 func (s *session) ensureSnapshot(ctx context.Context) error {
 	if s.tx.engineTx != engineTxNone || !s.tx.mode.snapshot || !s.tx.block {
 		return nil
@@ -97,7 +102,8 @@
 	return nil
 }
 
-// ensureWrite takes the right to write for a command.
+// ensureWrite acquires the write semaphore and opens a write transaction in the
+// engine. It fails on a replica and in a read-only transaction.
 func (s *session) ensureWrite(ctx context.Context, command string) error {
 	if !s.srv.isPrimary() || s.tx.mode.readOnly {
 		return sqlErrorf(sqlStateReadOnlyTx, "cannot execute %s in a read-only transaction", command)
@@ -116,8 +122,8 @@
 	return nil
 }
 
-// commit ends the transaction. A transaction that failed is rolled back; the
-// first value reports a commit.
+// commit ends the transaction and reports whether it was committed. A failed
+// transaction is rolled back.
 func (s *session) commit() (bool, error) {
 	if s.tx.failed {
 		s.rollback()
@@ -139,6 +145,8 @@
 	return true, nil
 }
 
+// commitEngine ends the engine transaction. A write transaction without changes is
+// rolled back and leaves no record in the log.
 func (s *session) commitEngine() error {
 	switch s.tx.engineTx {
 	case engineTxSnapshot:
@@ -165,13 +173,13 @@
 }
 
 func (s *session) releaseWrite() {
-	_, _ = s.db.ExecContext(context.Background(), "rollback") // fails only when it already happened
+	_, _ = s.db.ExecContext(context.Background(), "rollback") // fails only if already rolled back
 	s.eng.invalidateColumns()
 	s.tx.engineTx = engineTxNone
 	s.eng.unlockWrite()
 }
 
-// rollback ends the transaction without its changes.
+// rollback ends the transaction and undoes its changes, including settings.
 func (s *session) rollback() {
 	s.releaseEngine()
 	if s.tx.rollbackSettings != nil {
@@ -189,8 +197,9 @@
 	}
 }
 
-// abort marks the transaction as failed. Without savepoints its changes are
-// undone at once.
+// abort handles an error of a statement. It rolls back an implicit transaction and
+// marks a block as failed. Without savepoints the engine transaction of the block
+// ends at once, otherwise ROLLBACK TO may still resume it.
 func (s *session) abort() {
 	if !s.tx.block {
 		s.rollback()
@@ -203,7 +212,7 @@
 	}
 }
 
-// setSavepoint serves SAVEPOINT.
+// setSavepoint runs SAVEPOINT. A block that may write opens its write transaction.
 func (s *session) setSavepoint(ctx context.Context, name string) error {
 	if !s.tx.block {
 		return sqlErrorf(sqlStateNoActiveTx, "SAVEPOINT can only be used in transaction blocks")
@@ -220,7 +229,8 @@
 	return nil
 }
 
-// endSavepoint serves RELEASE and ROLLBACK TO.
+// endSavepoint runs RELEASE or, with rollback set, ROLLBACK TO, which keeps the
+// savepoint and clears the failed state.
 func (s *session) endSavepoint(ctx context.Context, name string, rollback bool) error {
 	i := len(s.tx.savepoints) - 1
 	for i >= 0 && s.tx.savepoints[i].name != name {
--- a/internal/standin/values.go
+++ b/internal/standin/values.go
@@ -20,14 +20,14 @@
 	timeLayout = "2006-01-02 15:04:05.999999-07"
 )
 
-// typeSizes are the lengths in bytes of data types of fixed length.
+// typeSizes are the sizes in bytes of the fixed-length data types.
 var typeSizes = map[uint32]int16{
 	sqltext.Bool: 1, sqltext.Int2: 2, sqltext.Int4: 4, sqltext.Int8: 8, sqltext.Float4: 4, sqltext.Float8: 8,
 	sqltext.Timestamp: 8, sqltext.Timestamptz: 8, sqltext.UUID: 16, sqltext.LSN: 8,
 }
 
-// formatOf returns the format of the i-th value from a list of formats as Bind
-// carries it: none means text, one holds for all.
+// formatOf returns the format of the i-th value from the format codes of a Bind
+// message: an empty list means text, a single code applies to all values.
 func formatOf(formats []int16, i int) int16 {
 	switch {
 	case len(formats) == 0:
@@ -55,7 +55,7 @@
 	return &pgproto3.RowDescription{Fields: fields}
 }
 
-// typeOfValue returns the data type of a value whose column has none.
+// typeOfValue returns the data type for a value of a column without declared type.
 func typeOfValue(v any) uint32 {
 	switch v.(type) {
 	case int64:
@@ -72,8 +72,7 @@
 	return sqltext.Text
 }
 
-// encode converts a value of the SQL engine to a value on the wire. NULL yields
-// nil.
+// encode converts a value of the SQL engine to the wire format. NULL yields nil.
 func encode(types *pgtype.Map, oid uint32, format int16, v any) ([]byte, error) {
 	if v == nil {
 		return nil, nil
@@ -115,6 +114,8 @@
 	return []byte("f")
 }
 
+// encodeBinary encodes a value in binary format, by way of its text format where the
+// engine's representation differs.
 func encodeBinary(types *pgtype.Map, oid uint32, v any) ([]byte, error) {
 	switch oid {
 	case sqltext.Text, sqltext.Varchar, sqltext.JSON:
@@ -125,7 +126,7 @@
 		}
 	}
 	if _, ok := types.TypeForOID(oid); !ok {
-		return nil, sqlErrorf(sqlStateNotSupported, "type %d has no binary format here", oid)
+		return nil, sqlErrorf(sqlStateNotSupported, "binary format of type %d is not supported by the stand-in", oid)
 	}
 	text := encodeText(oid, v)
 	var parsed any
@@ -139,7 +140,8 @@
 	return data, nil
 }
 
-// decode converts a parameter to a value for the SQL engine.
+// decode converts a parameter on the wire to a value for the SQL engine. Unknown types
+// become strings.
 func decode(types *pgtype.Map, oid uint32, format int16, data []byte) (any, error) {
 	if data == nil {
 		return nil, nil
@@ -175,6 +177,8 @@
 	return raw, nil
 }
 
+// engineValue converts a decoded parameter to a type that SQLite stores: booleans
+// become integers, times and all other types become text.
 func engineValue(types *pgtype.Map, oid uint32, v any) (any, error) {
 	switch x := v.(type) {
 	case int16:
--- a/internal/standin/wal.go
+++ b/internal/standin/wal.go
@@ -6,46 +6,47 @@
 	"time"
 )
 
-// change is one writing statement in SQLite's dialect with its bound values.
+// change is a statement that changes data, in SQLite's dialect, with its arguments.
 type change struct {
 	SQL  string `cbor:"1,keyasint"`
 	Args []any  `cbor:"2,keyasint"`
 }
 
-// record is one committed transaction.
+// record is one committed transaction. End is the log position after it.
 type record struct {
 	End     LSN      `cbor:"1,keyasint"`
 	Changes []change `cbor:"2,keyasint"`
-	// Committed is the time of the commit at the primary, in microseconds since
-	// 1970.
+	// Committed is the commit time on the primary, in microseconds since the Unix
+	// epoch.
 	Committed int64 `cbor:"3,keyasint"`
-	// flushedAt is the time of the flush on this endpoint.
+	// flushedAt is the time of the flush on this endpoint, zero for records read from
+	// disk.
 	flushedAt time.Time
 }
 
-// timeline marks the log position at which a primary began to write. Origin
-// tells timelines of the same number apart.
+// timeline is a part of the log written by one primary, from Start on. Origin
+// distinguishes timelines with the same number that two primaries started.
 type timeline struct {
 	Number uint32 `cbor:"1,keyasint" json:"number"`
 	Start  LSN    `cbor:"2,keyasint" json:"start"`
 	Origin string `cbor:"3,keyasint" json:"origin"`
 }
 
-// recordOverhead is the log space of a transaction besides its statements.
+// recordOverhead is the size in bytes of a transaction besides its statements.
 const recordOverhead = 48
 
-// wal is the endpoint's log: every flushed transaction and the history of its
-// timelines. It is safe for concurrent use.
+// wal is the endpoint's log: all flushed transactions, in ascending order of their
+// end positions, and the history of timelines. Methods are safe for concurrent use.
 type wal struct {
 	mu       sync.Mutex
 	records  []record
 	history  []timeline
 	replayed LSN
-	// lastCommit is the time of commit of the last transaction replayed.
+	// lastCommit is record.Committed of the last replayed transaction.
 	lastCommit int64
 	changed    chan struct{}
 	file       *walFile
-	// texts shares the text of statements that recur.
+	// statements holds one copy of the text of recurring statements.
 	statements map[string]string
 }
 
@@ -58,10 +59,11 @@
 	}
 }
 
-// maxTexts bounds the texts that are shared.
+// maxInternedStatements limits the number of statement texts kept for sharing.
 const maxInternedStatements = 1024
 
-// shareTexts replaces the texts of changes by equal ones in use already.
+// internStatements makes changes with equal statements share one text. The caller
+// holds mu.
 func (w *wal) internStatements(changes []change) {
 	for i, c := range changes {
 		interned, ok := w.statements[c.SQL]
@@ -75,6 +77,7 @@
 	}
 }
 
+// recordSize returns the log space of a transaction, rounded up to 8 bytes.
 func recordSize(changes []change) LSN {
 	size := recordOverhead
 	for _, c := range changes {
@@ -91,7 +94,7 @@
 	return LSN(size+7) &^ 7
 }
 
-// flushed returns the end of the log.
+// flushed returns the end position of the log.
 func (w *wal) flushed() LSN {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,14 +108,15 @@
 	return firstLSN
 }
 
-// replayedTo returns the position up to which the database has the log.
+// replayedLSN returns the position up to which the log is applied to the database.
 func (w *wal) replayedLSN() LSN {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.replayed
 }
 
-// replayedAt returns the commit time of the last transaction replayed.
+// replayedCommitTime returns the commit time of the last replayed transaction, or
+// the zero time if there is none.
 func (w *wal) replayedCommitTime() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -140,14 +144,16 @@
 	w.changed = make(chan struct{})
 }
 
-// watch returns a channel that is closed at the next change.
+// watch returns a channel that is closed at the next change of the log or of the
+// replayed position.
 func (w *wal) watch() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.changed
 }
 
-// appendLocal adds a transaction of this primary, which has replayed it.
+// appendLocal adds a transaction that was committed on this primary and counts it as
+// replayed. It returns the new end of the log.
 func (w *wal) appendLocal(changes []change) (LSN, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -166,7 +172,8 @@
 	return r.End, nil
 }
 
-// appendReceived adds transactions received from the primary.
+// appendReceived adds transactions received from the primary. It skips those that
+// end at or before the end of the log.
 func (w *wal) appendReceived(records []record) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -185,7 +192,7 @@
 	return nil
 }
 
-// after returns up to limit transactions that end after l.
+// recordsAfter returns up to limit transactions that end after l, in log order.
 func (w *wal) recordsAfter(l LSN, limit int) []record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -194,21 +201,21 @@
 	return w.records[i:end:end]
 }
 
-// timelines returns the history up to the end of the log.
+// timelines returns a copy of the history.
 func (w *wal) timelines() []timeline {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]timeline(nil), w.history...)
 }
 
-// current returns the number of the newest timeline.
+// currentTimeline returns the number of the newest timeline.
 func (w *wal) currentTimeline() uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.history[len(w.history)-1].Number
 }
 
-// adopt takes over the history of a primary.
+// adoptHistory replaces the history by that of a primary.
 func (w *wal) adoptHistory(history []timeline) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -216,7 +223,9 @@
 	return w.file.saveHistory(w.history)
 }
 
-// branch starts a new timeline at the end of the log.
+// startTimeline starts a new timeline at the end of the log and returns its number,
+// which is one above the highest in the history. Timelines that start after the end
+// of the log are removed.
 func (w *wal) startTimeline(origin string) (uint32, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -235,8 +244,8 @@
 	return number, w.file.saveHistory(w.history)
 }
 
-// truncate drops the transactions after l and reports whether any was dropped.
-// The caller rebuilds the database and replays from the start.
+// truncate drops the transactions that end after l and reports whether there were
+// any. It resets the replayed position, so the caller must provide an empty database.
 func (w *wal) truncate(l LSN) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -250,8 +259,8 @@
 	return true, w.file.rewrite(w.records)
 }
 
-// commonPoint returns the last position up to which a log with the history
-// remote that ends at end agrees with a log of history local.
+// commonPosition returns the last position up to which a log with history remote,
+// which ends at end, is the same as a log with history local.
 func commonPosition(local, remote []timeline, end LSN) LSN {
 	n := min(len(local), len(remote))
 	for i := range n {
--- a/internal/standin/walfile.go
+++ b/internal/standin/walfile.go
@@ -10,7 +10,8 @@
 	"github.com/pkg/errors"
 )
 
-// walFile keeps a log in a folder. Methods on a nil walFile do nothing.
+// walFile stores a log, its history and the role in a folder. Writes are not synced to
+// disk. Methods on a nil walFile do nothing.
 type walFile struct {
 	dir string
 	log *os.File
@@ -23,7 +24,7 @@
 	roleName    = "role"
 )
 
-// decoding reads integers of both signs as int64, as the SQL engine yields them.
+// cborDecoding decodes all integers as int64, the type that the SQL engine returns.
 var cborDecoding = newCBORDecoding()
 
 func newCBORDecoding() cbor.DecMode {
@@ -34,7 +35,8 @@
 	return mode
 }
 
-// openWAL reads the log kept in dir; an empty dir keeps it in memory alone.
+// openWAL reads the log in dir, or creates it. With an empty dir the log is kept in
+// memory only.
 func openWAL(dir string) (*wal, error) {
 	w := newWAL()
 	if dir == "" {
@@ -75,7 +77,7 @@
 		var r record
 		err := dec.Decode(&r)
 		if err == io.EOF || err == io.ErrUnexpectedEOF {
-			return nil // a record cut short was never acknowledged
+			return nil // the commit of a truncated record was never acknowledged
 		}
 		if err != nil {
 			return errors.Wrap(err, "decode log")
@@ -91,7 +93,8 @@
 	return errors.Wrap(f.enc.Encode(r), "append to log")
 }
 
-// rewrite replaces the log on disk by records.
+// rewrite replaces the log file by one with the given records and keeps it open for
+// appending.
 func (f *walFile) rewrite(records []record) error {
 	if f == nil {
 		return nil
@@ -131,7 +134,7 @@
 	return f.replaceFile(roleName, []byte(role))
 }
 
-// loadRole returns the role saved last, or fallback.
+// loadRole returns the last saved role, or fallback if there is none.
 func (f *walFile) loadRole(fallback Role) Role {
 	if f == nil {
 		return fallback
@@ -143,6 +146,7 @@
 	return Role(data)
 }
 
+// replaceFile replaces a file in the folder by way of a rename.
 func (f *walFile) replaceFile(name string, data []byte) error {
 	path := filepath.Join(f.dir, name)
 	if err := os.WriteFile(path+".new", data, 0o600); err != nil {
