--- a/internal/standin/columns.go
+++ b/internal/standin/columns.go
@@ -30,7 +30,7 @@
 	if st.Class == sqltext.Show {
 		return []column{{name: settingName(st.Tokens), oid: sqltext.Text}}, nil
 	}
-	tokens := st.Shape()
+	tokens := st.DescribeQuery()
 	if st.Volatile() {
 		expanded, err := sqltext.Expand(tokens, &describeEnv{functionEnv{s: s, ctx: s.ctx}})
 		if err != nil {
@@ -38,7 +38,7 @@
 		}
 		tokens = expanded
 	}
-	text, err := sqltext.SQLite(tokens)
+	text, err := sqltext.ToSQLite(tokens)
 	if err != nil {
 		return nil, sqlErrorf(sqlStateNotSupported, "%v", err)
 	}
--- a/internal/standin/functions.go
+++ b/internal/standin/functions.go
@@ -22,7 +22,7 @@
 
 const nullLiteral = "null"
 
-// Param implements sqltext.Env.
+// Param implements sqltext.Resolver.
 func (f *functionEnv) Param(n string) string {
 	i, err := strconv.Atoi(n)
 	if err != nil || i < 1 || i > len(f.args) || f.args[i-1] == nil {
@@ -31,7 +31,7 @@
 	return string(encodeText(sqltext.Text, f.args[i-1]))
 }
 
-// Function implements sqltext.Env.
+// Function implements sqltext.Resolver.
 func (f *functionEnv) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep":
@@ -140,7 +140,7 @@
 	return "", true, sqlErrorf(sqlStateUndefinedObject, "unrecognized configuration parameter %q", args[0])
 }
 
-// Relation implements sqltext.Env.
+// Relation implements sqltext.Resolver.
 func (f *functionEnv) Relation(name string) (sqltext.Relation, bool) {
 	log := f.s.srv.log()
 	switch name {
@@ -204,7 +204,7 @@
 // effects and does not wait.
 type describeEnv struct{ functionEnv }
 
-// Function implements sqltext.Env.
+// Function implements sqltext.Resolver.
 func (p *describeEnv) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep", "set_config", "current_setting", "pg_current_wal_lsn", "pg_wal_lsn_diff":
--- a/internal/standin/simple.go
+++ b/internal/standin/simple.go
@@ -106,7 +106,7 @@
 // nameColumns applies the names and types from the select list, if it has as many
 // items as there are columns.
 func nameColumns(st *sqltext.Statement, columns []column) {
-	items := st.Items()
+	items := st.ResultColumns()
 	if len(items) != len(columns) {
 		return
 	}
@@ -163,7 +163,7 @@
 // commandTag returns the tag for CommandComplete, with the row count where
 // PostgreSQL sends one.
 func commandTag(st *sqltext.Statement, set *rowSet) string {
-	if !st.Counted || set == nil {
+	if !st.CountsRows || set == nil {
 		return st.Tag
 	}
 	return st.Tag + " " + strconv.FormatInt(set.affected, 10)
@@ -202,7 +202,7 @@
 		}
 		tokens = expanded
 	}
-	text, err := sqltext.SQLite(tokens)
+	text, err := sqltext.ToSQLite(tokens)
 	if err != nil {
 		return "", sqlErrorf(sqlStateNotSupported, "%v", err)
 	}
@@ -227,10 +227,10 @@
 	if err != nil {
 		return nil, err
 	}
-	if !st.Counted {
+	if !st.CountsRows {
 		s.eng.invalidateColumns()
 	}
-	if st.First() != "select" && (!st.Counted || set.affected > 0) {
+	if st.First() != "select" && (!st.CountsRows || set.affected > 0) {
 		s.tx.changes = append(s.tx.changes, change{SQL: text, Args: args})
 	}
 	return set, nil
