--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -50,12 +50,12 @@
 var errConnectionClosed = errors.New("connection closed")
 
 func newSession(srv *Server, conn net.Conn) *session {
-	gated := newFaultConn(conn, srv.faults, "")
+	wrapped := newFaultConn(conn, srv.faults, "")
 	ctx, cancel := context.WithCancel(srv.ctx)
 	secret := make([]byte, secretKeyBytes)
 	_, _ = rand.Read(secret) // never fails
 	return &session{
-		srv: srv, conn: gated, be: pgproto3.NewBackend(gated, gated), ctx: ctx, cancel: cancel,
+		srv: srv, conn: wrapped, be: pgproto3.NewBackend(wrapped, wrapped), ctx: ctx, cancel: cancel,
 		secret: secret, types: pgtype.NewMap(), settings: copySettings(defaultSettings),
 		statements: make(map[string]*preparedStatement), portals: make(map[string]*portal),
 	}
