--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -15,24 +15,26 @@
 type copySpec struct {
 	table   string
 	columns []string
-	// query holds the tokens of COPY (query) TO STDOUT.
+	// query holds the tokens of COPY (query) TO STDOUT, nil for a table.
 	query  []sqltext.Token
 	binary bool
 }
 
+// parseCopy reads the target, the column list and the format of a COPY
+// statement. It returns an error for CSV, which is not supported.
 func parseCopy(st *sqltext.Statement) (copySpec, error) {
 	var spec copySpec
 	tokens := st.Tokens[1:]
 	for _, t := range tokens {
 		spec.binary = spec.binary || t.Is("binary")
 		if t.Is("csv") {
-			return spec, errState(stateUnsupported, "COPY in CSV format is not supported by the stand-in")
+			return spec, sqlErrorf(sqlStateNotSupported, "COPY in CSV format is not supported by the stand-in")
 		}
 	}
 	if len(tokens) > 0 && tokens[0].Is("(") {
 		end := sqltext.CloseParen(tokens, 0)
 		if end < 0 {
-			return spec, errState(stateSyntax, "syntax error in COPY")
+			return spec, sqlErrorf(sqlStateSyntax, "syntax error in COPY")
 		}
 		spec.query = tokens[1:end]
 		return spec, nil
@@ -41,7 +43,7 @@
 		tokens = tokens[2:]
 	}
 	if len(tokens) == 0 {
-		return spec, errState(stateSyntax, "syntax error in COPY")
+		return spec, sqlErrorf(sqlStateSyntax, "syntax error in COPY")
 	}
 	spec.table = tokens[0].Name()
 	if len(tokens) > 1 && tokens[1].Is("(") {
@@ -57,7 +59,7 @@
 	return spec, nil
 }
 
-// selectText returns a query for the rows that COPY TO sends and COPY FROM fills.
+// selectText returns a query with the columns that COPY reads or writes.
 func (c copySpec) selectText() string {
 	if len(c.columns) == 0 {
 		return "select * from " + quoteName(c.table)
@@ -65,29 +67,29 @@
 	return "select \"" + strings.Join(c.columns, "\", \"") + "\" from " + quoteName(c.table)
 }
 
-// copyOut serves COPY ... TO STDOUT.
+// copyOut runs COPY ... TO STDOUT in text format.
 func (s *session) copyOut(ctx context.Context, st *sqltext.Statement) (*rowSet, error) {
 	spec, err := parseCopy(st)
 	if err != nil {
 		return nil, err
 	}
 	if spec.binary {
-		return nil, errState(stateUnsupported, "COPY TO in binary format is not supported by the stand-in")
+		return nil, sqlErrorf(sqlStateNotSupported, "COPY TO in binary format is not supported by the stand-in")
 	}
 	text := ""
 	if spec.query != nil {
 		inner := &sqltext.Statement{Tokens: spec.query}
-		text, err = s.engineText(ctx, inner, nil)
+		text, err = s.engineSQL(ctx, inner, nil)
 	} else {
 		text = spec.selectText()
 	}
 	if err != nil {
 		return nil, err
 	}
-	if err := s.ensureRead(ctx); err != nil {
+	if err := s.ensureSnapshot(ctx); err != nil {
 		return nil, err
 	}
-	set, err := s.readText(ctx, text, nil)
+	set, err := s.queryEngine(ctx, text, nil)
 	if err != nil {
 		return nil, err
 	}
@@ -101,6 +103,7 @@
 
 var copyEscaper = strings.NewReplacer("\\", `\\`, "\n", `\n`, "\r", `\r`, "\t", `\t`)
 
+// copyLine encodes a row in the text format of COPY.
 func copyLine(columns []column, row []any) []byte {
 	var line bytes.Buffer
 	for i, v := range row {
@@ -117,7 +120,7 @@
 	return line.Bytes()
 }
 
-// copyIn serves COPY ... FROM STDIN.
+// copyIn runs COPY ... FROM STDIN in text or binary format.
 func (s *session) copyIn(ctx context.Context, st *sqltext.Statement) (*rowSet, error) {
 	spec, err := parseCopy(st)
 	if err != nil {
@@ -126,13 +129,13 @@
 	if err := s.ensureWrite(ctx, "COPY FROM"); err != nil {
 		return nil, err
 	}
-	shape, err := query(ctx, s.db, spec.selectText()+" limit 0", nil)
+	target, err := query(ctx, s.db, spec.selectText()+" limit 0", nil)
 	if err != nil {
 		return nil, err
 	}
-	reader := &copyReader{session: s, columns: shape.columns, binary: spec.binary}
-	reader.insert = insertText(spec.table, shape.columns)
-	response := &pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, len(shape.columns))}
+	reader := &copyReader{session: s, columns: target.columns, binary: spec.binary}
+	reader.insert = insertText(spec.table, target.columns)
+	response := &pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, len(target.columns))}
 	if spec.binary {
 		response.OverallFormat = byte(binaryFormat)
 		for i := range response.ColumnFormatCodes {
@@ -141,7 +144,7 @@
 	}
 	s.be.Send(response)
 	if err := s.be.Flush(); err != nil {
-		return nil, errGoodbye
+		return nil, errConnectionClosed
 	}
 	if err := reader.run(ctx); err != nil {
 		return nil, err
@@ -149,6 +152,7 @@
 	return &rowSet{affected: reader.count}, nil
 }
 
+// insertText returns an INSERT with one numbered parameter per column.
 func insertText(table string, columns []column) string {
 	names := make([]string, len(columns))
 	values := make([]string, len(columns))
--- a/internal/standin/wal.go
+++ b/internal/standin/wal.go
@@ -6,75 +6,78 @@
 	"time"
 )
 
-// change is one writing statement in SQLite's dialect with its bound values.
+// change is a statement that changes data, in SQLite's dialect, with its arguments.
 type change struct {
 	SQL  string `cbor:"1,keyasint"`
 	Args []any  `cbor:"2,keyasint"`
 }
 
-// record is one committed transaction.
+// record is one committed transaction. End is the log position after it.
 type record struct {
 	End     LSN      `cbor:"1,keyasint"`
 	Changes []change `cbor:"2,keyasint"`
-	// Committed is the time of the commit at the primary, in microseconds since
-	// 1970.
+	// Committed is the commit time on the primary, in microseconds since the Unix
+	// epoch.
 	Committed int64 `cbor:"3,keyasint"`
-	// flushedAt is the time of the flush on this endpoint.
+	// flushedAt is the time of the flush on this endpoint, zero for records read from
+	// disk.
 	flushedAt time.Time
 }
 
-// timeline marks the log position at which a primary began to write. Origin
-// tells timelines of the same number apart.
+// timeline is a part of the log written by one primary, from Start on. Origin
+// distinguishes timelines with the same number that two primaries started.
 type timeline struct {
 	Number uint32 `cbor:"1,keyasint" json:"number"`
 	Start  LSN    `cbor:"2,keyasint" json:"start"`
 	Origin string `cbor:"3,keyasint" json:"origin"`
 }
 
-// recordOverhead is the log space of a transaction besides its statements.
+// recordOverhead is the size in bytes of a transaction besides its statements.
 const recordOverhead = 48
 
-// wal is the endpoint's log: every flushed transaction and the history of its
-// timelines. It is safe for concurrent use.
+// wal is the endpoint's log: all flushed transactions, in ascending order of their
+// end positions, and the history of timelines. Methods are safe for concurrent use.
 type wal struct {
 	mu       sync.Mutex
 	records  []record
 	history  []timeline
 	replayed LSN
-	// lastCommit is the time of commit of the last transaction replayed.
+	// lastCommit is record.Committed of the last replayed transaction.
 	lastCommit int64
 	changed    chan struct{}
 	file       *walFile
-	// texts shares the text of statements that recur.
-	texts map[string]string
+	// statements holds one copy of the text of recurring statements.
+	statements map[string]string
 }
 
 func newWAL() *wal {
 	return &wal{
-		history:  []timeline{{Number: 1, Start: firstLSN, Origin: "initial"}},
-		replayed: firstLSN,
-		changed:  make(chan struct{}),
-		texts:    make(map[string]string),
+		history:    []timeline{{Number: 1, Start: firstLSN, Origin: "initial"}},
+		replayed:   firstLSN,
+		changed:    make(chan struct{}),
+		statements: make(map[string]string),
 	}
 }
 
-// maxTexts bounds the texts that are shared.
-const maxTexts = 1024
+// maxInternedStatements limits the number of statement texts kept for sharing.
+const maxInternedStatements = 1024
 
-// shareTexts replaces the texts of changes by equal ones in use already.
-func (w *wal) shareTexts(changes []change) {
+// internStatements makes changes with equal statements share one text. The caller
+// holds mu.
+func (w *wal) internStatements(changes []change) {
 	for i, c := range changes {
-		known, ok := w.texts[c.SQL]
+		interned, ok := w.statements[c.SQL]
 		if ok {
-			changes[i].SQL = known
+			changes[i].SQL = interned
 			continue
 		}
-		if len(w.texts) < maxTexts {
-			w.texts[c.SQL] = c.SQL
+		if len(w.statements) < maxInternedStatements {
+			w.statements[c.SQL] = c.SQL
 		}
 	}
 }
 
+// recordSize returns the log space of a transaction, rounded up to 8 bytes.
 func recordSize(changes []change) LSN {
 	size := recordOverhead
 	for _, c := range changes {
@@ -91,7 +94,7 @@
 	return LSN(size+7) &^ 7
 }
 
-// flushed returns the end of the log.
+// flushed returns the end position of the log.
 func (w *wal) flushed() LSN {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -105,15 +108,16 @@
 	return firstLSN
 }
 
-// replayedTo returns the position up to which the database has the log.
-func (w *wal) replayedTo() LSN {
+// replayedLSN returns the position up to which the log is applied to the database.
+func (w *wal) replayedLSN() LSN {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.replayed
 }
 
-// replayedAt returns the commit time of the last transaction replayed.
-func (w *wal) replayedAt() time.Time {
+// replayedCommitTime returns the commit time of the last replayed transaction, or
+// the zero time if there is none.
+func (w *wal) replayedCommitTime() time.Time {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if w.lastCommit == 0 {
@@ -140,18 +144,20 @@
 	w.changed = make(chan struct{})
 }
 
-// watch returns a channel that is closed at the next change.
+// watch returns a channel that is closed at the next change of the log or of the
+// replayed position.
 func (w *wal) watch() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.changed
 }
 
-// appendLocal adds a transaction of this primary, which has replayed it.
+// appendLocal adds a transaction that was committed on this primary and counts it as
+// replayed. It returns the new end of the log.
 func (w *wal) appendLocal(changes []change) (LSN, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.shareTexts(changes)
+	w.internStatements(changes)
 	now := time.Now()
 	r := record{
 		End: w.flushedLocked() + recordSize(changes), Changes: changes,
@@ -166,7 +172,8 @@
 	return r.End, nil
 }
 
-// appendReceived adds transactions received from the primary.
+// appendReceived adds transactions received from the primary. It skips those that
+// end at or before the end of the log.
 func (w *wal) appendReceived(records []record) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -177,7 +184,7 @@
 		if err := w.file.append(r); err != nil {
 			return err
 		}
-		w.shareTexts(r.Changes)
+		w.internStatements(r.Changes)
 		r.flushedAt = time.Now()
 		w.records = append(w.records, r)
 	}
@@ -185,8 +192,8 @@
 	return nil
 }
 
-// after returns up to limit transactions that end after l.
-func (w *wal) after(l LSN, limit int) []record {
+// recordsAfter returns up to limit transactions that end after l, in log order.
+func (w *wal) recordsAfter(l LSN, limit int) []record {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	i := sort.Search(len(w.records), func(i int) bool { return w.records[i].End > l })
@@ -194,30 +201,32 @@
 	return w.records[i:end:end]
 }
 
-// timelines returns the history up to the end of the log.
+// timelines returns a copy of the history.
 func (w *wal) timelines() []timeline {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return append([]timeline(nil), w.history...)
 }
 
-// current returns the number of the newest timeline.
-func (w *wal) current() uint32 {
+// currentTimeline returns the number of the newest timeline.
+func (w *wal) currentTimeline() uint32 {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	return w.history[len(w.history)-1].Number
 }
 
-// adopt takes over the history of a primary.
-func (w *wal) adopt(history []timeline) error {
+// adoptHistory replaces the history by that of a primary.
+func (w *wal) adoptHistory(history []timeline) error {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.history = append([]timeline(nil), history...)
 	return w.file.saveHistory(w.history)
 }
 
-// branch starts a new timeline at the end of the log.
-func (w *wal) branch(origin string) (uint32, error) {
+// startTimeline starts a new timeline at the end of the log and returns its number,
+// which is one above the highest in the history. Timelines that start after the end
+// of the log are removed.
+func (w *wal) startTimeline(origin string) (uint32, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	end := w.flushedLocked()
@@ -235,8 +244,8 @@
 	return number, w.file.saveHistory(w.history)
 }
 
-// truncate drops the transactions after l and reports whether any was dropped.
-// The caller rebuilds the database and replays from the start.
+// truncate drops the transactions that end after l and reports whether there were
+// any. It resets the replayed position, so the caller must provide an empty database.
 func (w *wal) truncate(l LSN) (bool, error) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -250,9 +259,9 @@
 	return true, w.file.rewrite(w.records)
 }
 
-// commonPoint returns the last position up to which a log with the history
-// remote that ends at end agrees with a log of history local.
-func commonPoint(local, remote []timeline, end LSN) LSN {
+// commonPosition returns the last position up to which a log with history remote,
+// which ends at end, is the same as a log with history local.
+func commonPosition(local, remote []timeline, end LSN) LSN {
 	n := min(len(local), len(remote))
 	for i := range n {
 		if local[i] != remote[i] {
