--- a/cmd/bridgebench/commands.go
+++ b/cmd/bridgebench/commands.go
@@ -46,11 +46,11 @@
 		}
 		profile.Faults = append(profile.Faults, f)
 	}
-	target, end, err := c.target(ctx, profile)
+	target, stopTarget, err := c.target(ctx, profile)
 	if err != nil {
 		return err
 	}
-	defer end()
+	defer stopTarget()
 	res, err := bench.Run(ctx, bench.Options{
 		Profile: profile, Target: target, Duration: c.Duration, Seed: c.Seed, Progress: os.Stderr,
 	})
@@ -63,7 +63,7 @@
 
 // save writes the result and its plots, and returns checkErr or else whether the run found
 // violations.
-func (c *runCommand) save(res *bench.Result, checkErr error) error {
+func (c *runCommand) save(res *bench.Result, runErr error) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
 		return errors.Wrap(err, "output folder")
 	}
@@ -74,8 +74,8 @@
 		return err
 	}
 	bench.Summarize(os.Stdout, res)
-	if checkErr != nil {
-		return checkErr
+	if runErr != nil {
+		return runErr
 	}
 	if res.Violations.Total() > 0 {
 		return errCheckFailed
@@ -95,7 +95,7 @@
 		}
 		return system.Target(), system.Stop, nil
 	case !c.Direct:
-		target, err := c.runningTarget()
+		target, err := c.existingTarget()
 		return target, func() {}, err
 	}
 	return c.directTarget(ctx, p)
@@ -119,7 +119,7 @@
 }
 
 // runningTarget returns a system that runs already.
-func (c *runCommand) runningTarget() (bench.Target, error) {
+func (c *runCommand) existingTarget() (bench.Target, error) {
 	if len(c.Addrs) == 0 {
 		return bench.Target{}, errors.New("give the system under load with --addr and --key, or use --program or --direct")
 	}
--- a/cmd/galenabridged/main.go
+++ b/cmd/galenabridged/main.go
@@ -43,14 +43,14 @@
 func serve(opts options) int {
 	out := eventlog.New(os.Stdout)
 	logCtx, cancel := context.WithCancel(context.Background())
-	written := make(chan struct{})
+	logDone := make(chan struct{})
 	go func() {
-		defer close(written)
+		defer close(logDone)
 		out.Run(logCtx)
 	}()
 	defer func() {
 		cancel()
-		<-written
+		<-logDone
 	}()
 	logger := log.NewWithOptions(out, log.Options{
 		Formatter: log.LogfmtFormatter, ReportTimestamp: true, TimeFormat: eventlog.TimeFormat,
@@ -63,9 +63,9 @@
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), syscall.SIGTERM, os.Interrupt)
 	defer stop()
-	var ahead time.Duration
+	var incarnationOffset time.Duration
 	for {
-		err := run(ctx, opts, logger, ahead)
+		err := run(ctx, opts, logger, incarnationOffset)
 		if err == nil {
 			return 0
 		}
@@ -73,7 +73,7 @@
 		if !errors.Is(err, daemon.ErrReplaced) || ctx.Err() != nil {
 			return 1
 		}
-		ahead += incarnationStep
+		incarnationOffset += incarnationStep
 	}
 }
 
@@ -82,7 +82,7 @@
 const incarnationStep = time.Hour
 
 // run builds a host from its settings and runs it until ctx ends.
-func run(ctx context.Context, opts options, logger *log.Logger, ahead time.Duration) error {
+func run(ctx context.Context, opts options, logger *log.Logger, incarnationOffset time.Duration) error {
 	settings, err := platform.LoadSettings(opts.Settings)
 	if err != nil {
 		return err
@@ -91,7 +91,7 @@
 	d, err := daemon.New(daemon.Options{
 		Settings: settings.Settings, Dialer: platform.Dialer{},
 		EndpointManager: platform.NewEndpointManager(settings.Name, settings.PromoteAddr),
-		Fenced:          settings.Fenced, GracePeriod: settings.GracePeriod, Tolerance: settings.Tolerance, Logger: logger, IncarnationOffset: ahead,
+		Fenced:          settings.Fenced, GracePeriod: settings.GracePeriod, Tolerance: settings.Tolerance, Logger: logger, IncarnationOffset: incarnationOffset,
 	})
 	if err != nil {
 		return err
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -278,9 +278,9 @@
 		return
 	}
 	d.core.AbortTransactions()
-	lastCtx, cancel := context.WithTimeout(ctx, max(budget-2*replyFlushTime, replyFlushTime))
+	abortCtx, cancel := context.WithTimeout(ctx, max(budget-2*replyFlushTime, replyFlushTime))
 	defer cancel()
-	if err := d.core.Drain(lastCtx); err != nil {
+	if err := d.core.Drain(abortCtx); err != nil {
 		d.log.Warn("drain_incomplete", "err", err.Error())
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -38,21 +38,21 @@
 }
 
 func TestReportTextInOrder(t *testing.T) {
-	a := Explain(read(t, entryLog, controlLog), "id-1")
+	r := Explain(read(t, entryLog, controlLog), "id-1")
 	var text bytes.Buffer
-	if err := a.WriteText(&text); err != nil {
+	if err := r.WriteText(&text); err != nil {
 		t.Fatal(err)
 	}
 	goldie.New(t).Assert(t, "account", text.Bytes())
 }
 
 func TestReportNamesMissingLines(t *testing.T) {
-	a := Explain(read(t, entryLog), "id-1")
-	if len(a.Missing) != 1 || !strings.Contains(a.Missing[0], "group_status") {
-		t.Errorf("missing %q", a.Missing)
+	r := Explain(read(t, entryLog), "id-1")
+	if len(r.Missing) != 1 || !strings.Contains(r.Missing[0], "group_status") {
+		t.Errorf("missing %q", r.Missing)
 	}
-	if a := Explain(read(t, entryLog), "unknown"); len(a.Entries) != 0 || len(a.Missing) != 1 {
-		t.Errorf("report %+v", a)
+	if r := Explain(read(t, entryLog), "unknown"); len(r.Entries) != 0 || len(r.Missing) != 1 {
+		t.Errorf("report %+v", r)
 	}
 }
 
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -81,10 +81,10 @@
 	}
 	slices.SortStableFunc(requestLines, func(x, y Line) int { return x.Time.Compare(y.Time) })
 	last := requestLines[len(requestLines)-1]
-	began := requestLines[0].Time.Add(-servedFor(requestLines[0]))
+	requestStart := requestLines[0].Time.Add(-servedFor(requestLines[0]))
 	for _, l := range lines {
 		ofRequest := l.Get("request") == request
-		if ofRequest || isRelevant(l, last, began) {
+		if ofRequest || isRelevant(l, last, requestStart) {
 			r.Entries = append(r.Entries, Entry{
 				Time: l.Time, Host: l.Host, Event: l.Event, Fields: l.Fields, OfRequest: ofRequest,
 				AgeMS: last.Time.Sub(l.Time).Milliseconds(),
@@ -110,8 +110,8 @@
 
 // isRelevant reports whether a line is a state event that may have affected the host that
 // logged last. A change of the control leader counts only in the log of the new leader.
-func isRelevant(l, last Line, began time.Time) bool {
-	if l.Time.Before(began.Add(-lookBack)) || l.Time.After(last.Time.Add(maxClockSkew)) {
+func isRelevant(l, last Line, requestStart time.Time) bool {
+	if l.Time.Before(requestStart.Add(-lookBack)) || l.Time.After(last.Time.Add(maxClockSkew)) {
 		return false
 	}
 	switch stateEvents[l.Event] {
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -59,9 +59,9 @@
 	call := &pendingCall{host: host, reply: make(chan envelope, 1)}
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.nextCall++
-	n.pending[n.nextCall] = call
-	return n.nextCall, call
+	n.lastCallID++
+	n.pending[n.lastCallID] = call
+	return n.lastCallID, call
 }
 
 func (n *Node) dropCall(id uint64) {
@@ -100,7 +100,7 @@
 // does not block: when maxCalls handlers are running, the request fails with QueueFull.
 func (n *Node) serveCall(from Identity, e envelope) {
 	n.mu.Lock()
-	handle := n.calls[e.Kind]
+	handle := n.callHandlers[e.Kind]
 	n.mu.Unlock()
 	select {
 	case n.callSlots <- struct{}{}:
--- a/internal/peer/codec.go
+++ b/internal/peer/codec.go
@@ -51,7 +51,7 @@
 	if err := Unmarshal(data, &e); err != nil {
 		return envelope{}, err
 	}
-	if !e.Kind.known() {
+	if !e.Kind.isDefined() {
 		return envelope{}, result.New(result.PeerMalformed, "unknown kind %d", e.Kind)
 	}
 	if e.Reply && e.ID == 0 {
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -19,25 +19,25 @@
 // confirms with an empty frame. Either side may end the handshake with a refusal. The peer
 // must identify itself as host.
 func (n *Node) dialHandshake(ctx context.Context, ws *websocket.Conn, state *tls.ConnectionState, host string) (Identity, error) {
-	mine, err := n.newHello()
+	ownHello, err := n.newHello()
 	if err != nil {
 		return Identity{}, err
 	}
-	if err := writeFrame(ctx, ws, handshakeFrame{Hello: mine}); err != nil {
+	if err := writeFrame(ctx, ws, handshakeFrame{Hello: ownHello}); err != nil {
 		return Identity{}, err
 	}
 	answer, err := readFrame(ctx, ws)
 	if err != nil {
 		return Identity{}, err
 	}
-	peer, err := n.verify(answer, roleAcceptor, mine, answer.Hello, state)
+	peer, err := n.verify(answer, roleAcceptor, ownHello, answer.Hello, state)
 	if err != nil {
 		return Identity{}, n.refuse(ctx, ws, err)
 	}
 	if peer.Host != host {
 		return Identity{}, n.refuse(ctx, ws, result.New(result.PeerAuth, "host %q answers at the address of %q", peer.Host, host))
 	}
-	if err := writeFrame(ctx, ws, handshakeFrame{Proof: n.proof(roleDialer, mine, answer.Hello)}); err != nil {
+	if err := writeFrame(ctx, ws, handshakeFrame{Proof: n.proof(roleDialer, ownHello, answer.Hello)}); err != nil {
 		return Identity{}, err
 	}
 	_, err = readFrame(ctx, ws)
@@ -53,12 +53,12 @@
 	if _, err := n.checkHello(first.Hello); err != nil {
 		return Identity{}, n.refuse(ctx, ws, err)
 	}
-	mine, err := n.newHello()
+	ownHello, err := n.newHello()
 	if err != nil {
 		return Identity{}, err
 	}
-	proof := n.proof(roleAcceptor, first.Hello, mine)
-	if err := writeFrame(ctx, ws, handshakeFrame{Hello: mine, Proof: proof}); err != nil {
+	proof := n.proof(roleAcceptor, first.Hello, ownHello)
+	if err := writeFrame(ctx, ws, handshakeFrame{Hello: ownHello, Proof: proof}); err != nil {
 		return Identity{}, err
 	}
 	second, err := readFrame(ctx, ws)
@@ -66,7 +66,7 @@
 		return Identity{}, n.refuse(ctx, ws, err)
 	}
 	second.Hello = first.Hello
-	peer, err := n.verify(second, roleDialer, first.Hello, mine, state)
+	peer, err := n.verify(second, roleDialer, first.Hello, ownHello, state)
 	if err != nil {
 		return Identity{}, n.refuse(ctx, ws, err)
 	}
@@ -101,7 +101,7 @@
 	if !errors.As(cause, &e) || errors.Is(cause, errRefusedByPeer) {
 		return cause
 	}
-	n.metrics.refuse(e.Code)
+	n.metrics.countRefusal(e.Code)
 	n.opts.Logger.Warn("peer_refused", "code", e.Code, "detail", e.Detail)
 	_ = writeFrame(ctx, ws, handshakeFrame{Code: e.Code, Detail: e.Detail})
 	return cause
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -81,7 +81,7 @@
 
 // known reports whether the kind is defined. Messages of other kinds are refused
 // as malformed.
-func (k Kind) known() bool {
+func (k Kind) isDefined() bool {
 	_, ok := kinds[k]
 	return ok
 }
--- a/internal/peer/link.go
+++ b/internal/peer/link.go
@@ -37,8 +37,8 @@
 }
 
 func newLink(n *Node, host string) *link {
-	dropped := func(kind Kind) { n.metrics.dropped.WithLabelValues(kind.String()).Inc() }
-	return &link{node: n, host: host, queue: newQueue(dropped)}
+	countDropped := func(kind Kind) { n.metrics.dropped.WithLabelValues(kind.String()).Inc() }
+	return &link{node: n, host: host, queue: newQueue(countDropped)}
 }
 
 func (l *link) setAddr(addr string) {
--- a/internal/peer/metrics.go
+++ b/internal/peer/metrics.go
@@ -57,7 +57,7 @@
 	m.bytes.WithLabelValues(kind.String(), direction).Add(float64(size))
 }
 
-func (m *metrics) refuse(code result.Code) {
+func (m *metrics) countRefusal(code result.Code) {
 	m.refused.WithLabelValues(codeLabel(code)).Inc()
 }
 
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -67,9 +67,9 @@
 	links        map[string]*link
 	incarnations map[string]uint64
 	handlers     map[Kind]Handler
-	calls        map[Kind]CallHandler
+	callHandlers map[Kind]CallHandler
 	pending      map[uint64]*pendingCall
-	nextCall     uint64
+	lastCallID   uint64
 
 	ctx         context.Context
 	cancel      context.CancelFunc
@@ -101,7 +101,7 @@
 		links:        make(map[string]*link),
 		incarnations: make(map[string]uint64),
 		handlers:     make(map[Kind]Handler),
-		calls:        make(map[Kind]CallHandler),
+		callHandlers: make(map[Kind]CallHandler),
 		pending:      make(map[uint64]*pendingCall),
 		ctx:          ctx,
 		cancel:       cancel,
@@ -131,7 +131,7 @@
 func (n *Node) HandleCall(kind Kind, h CallHandler) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.calls[kind] = h
+	n.callHandlers[kind] = h
 }
 
 // On registers a handler of one-way messages of type T. Bodies that do not
@@ -165,19 +165,19 @@
 // are closed. The recorded incarnation of a host never decreases.
 func (n *Node) ObserveIncarnation(host string, incarnation uint64) bool {
 	n.mu.Lock()
-	known := n.incarnations[host]
-	if incarnation > known {
+	newest := n.incarnations[host]
+	if incarnation > newest {
 		n.incarnations[host] = incarnation
 	}
 	l := n.links[host]
 	n.mu.Unlock()
-	if incarnation > known && l != nil {
+	if incarnation > newest && l != nil {
 		l.closeOlder(incarnation)
 	}
 	if host == n.opts.Host && incarnation > n.opts.Incarnation {
 		n.reportReplaced()
 	}
-	return incarnation >= known
+	return incarnation >= newest
 }
 
 // NewestIncarnation returns the highest incarnation recorded for a host, or zero.
@@ -231,7 +231,7 @@
 
 // countMalformed counts and logs a message that could not be decoded.
 func (n *Node) countMalformed(host string, kind Kind, err error) {
-	n.metrics.refuse(result.PeerMalformed)
+	n.metrics.countRefusal(result.PeerMalformed)
 	n.opts.Logger.Warn("peer_malformed", "peer", host, "kind", kind, "err", err.Error())
 }
 
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -35,7 +35,7 @@
 	}
 }
 
-func start(t *testing.T, opts Options, register func(*Node)) *Node {
+func startNode(t *testing.T, opts Options, register func(*Node)) *Node {
 	t.Helper()
 	n := NewNode(opts)
 	if register != nil {
@@ -73,8 +73,8 @@
 }
 
 func TestCallBothWays(t *testing.T) {
-	a := start(t, options("a", 1), echo)
-	b := start(t, options("b", 1), echo)
+	a := startNode(t, options("a", 1), echo)
+	b := startNode(t, options("b", 1), echo)
 	for _, pair := range [][2]*Node{{a, b}, {b, a}, {a, a}} {
 		got, err := call(t, pair[0], pair[1], "hello")
 		if want := pair[0].Host() + ":hello"; err != nil || got != want {
@@ -84,15 +84,15 @@
 	if _, err := call(t, a, b, "refuse"); result.CodeOf(err) != result.NotLeader {
 		t.Fatalf("got %v, want the error code of the handler", err)
 	}
-	if got := value(t, a.metrics.messages.WithLabelValues("status", directionOut)); got < 2 {
+	if got := counterValue(t, a.metrics.messages.WithLabelValues("status", directionOut)); got < 2 {
 		t.Errorf("counted %v messages out", got)
 	}
 }
 
 func TestSendKeepsOrder(t *testing.T) {
 	got := make(chan string, 100)
-	a := start(t, options("a", 1), nil)
-	b := start(t, options("b", 1), func(n *Node) {
+	a := startNode(t, options("a", 1), nil)
+	b := startNode(t, options("b", 1), func(n *Node) {
 		On(n, KindAnnounce, func(_ Identity, msg greeting) { got <- msg.Text })
 	})
 	for _, text := range []string{"1", "2", "3"} {
@@ -120,18 +120,18 @@
 	}
 	for _, test := range tests {
 		t.Run(test.name, func(t *testing.T) {
-			b := start(t, options("b", 1), echo)
+			b := startNode(t, options("b", 1), echo)
 			b.ObserveIncarnation("a", 2)
 			replaced := make(chan struct{})
 			opts := options("a", 2)
 			opts.OnReplaced = func() { close(replaced) }
 			test.change(&opts)
-			a := start(t, opts, nil)
+			a := startNode(t, opts, nil)
 			if _, err := call(t, a, b, "hello"); !errors.Is(err, ErrUnreachable) {
 				t.Fatalf("got %v, want unreachable", err)
 			}
-			refused := value(t, a.metrics.refused.WithLabelValues(codeLabel(test.code))) +
-				value(t, b.metrics.refused.WithLabelValues(codeLabel(test.code)))
+			refused := counterValue(t, a.metrics.refused.WithLabelValues(codeLabel(test.code))) +
+				counterValue(t, b.metrics.refused.WithLabelValues(codeLabel(test.code)))
 			if refused == 0 {
 				t.Errorf("no refusal with code %d was counted", test.code)
 			}
@@ -154,12 +154,12 @@
 }
 
 func TestNodeNewerProcessReplacesOlder(t *testing.T) {
-	b := start(t, options("b", 1), echo)
-	older := start(t, options("a", 1), nil)
+	b := startNode(t, options("b", 1), echo)
+	older := startNode(t, options("a", 1), nil)
 	if _, err := call(t, older, b, "hello"); err != nil {
 		t.Fatal(err)
 	}
-	newer := start(t, options("a", 2), nil)
+	newer := startNode(t, options("a", 2), nil)
 	if _, err := call(t, newer, b, "hello"); err != nil {
 		t.Fatal(err)
 	}
@@ -175,15 +175,15 @@
 }
 
 func TestCallMalformedBodyIsCounted(t *testing.T) {
-	b := start(t, options("b", 1), echo)
-	a := start(t, options("a", 1), nil)
+	b := startNode(t, options("b", 1), echo)
+	a := startNode(t, options("a", 1), nil)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
 	defer cancel()
 	err := a.Call(ctx, "b", b.Addr(), KindStatus, []int{1, 2}, nil)
 	if result.CodeOf(err) != result.PeerMalformed {
 		t.Fatalf("got %v, want malformed", err)
 	}
-	if got := value(t, b.metrics.refused.WithLabelValues(codeLabel(result.PeerMalformed))); got != 1 {
+	if got := counterValue(t, b.metrics.refused.WithLabelValues(codeLabel(result.PeerMalformed))); got != 1 {
 		t.Errorf("counted %v malformed messages, want 1", got)
 	}
 }
@@ -234,7 +234,7 @@
 }
 
 // value returns the value of a counter.
-func value(t *testing.T, c prometheus.Counter) float64 {
+func counterValue(t *testing.T, c prometheus.Counter) float64 {
 	t.Helper()
 	reg := prometheus.NewRegistry()
 	reg.MustRegister(c)
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -21,15 +21,15 @@
 // queue is the bounded queue of outgoing messages to one peer. Adding a message never
 // blocks.
 type queue struct {
-	mu      sync.Mutex
-	items   []outgoing
-	bytes   int
-	wake    chan struct{} // receives a token when a message is added
-	dropped func(Kind)    // called for each message dropped
+	mu     sync.Mutex
+	items  []outgoing
+	bytes  int
+	wake   chan struct{} // receives a token when a message is added
+	onDrop func(Kind)    // called for each message dropped
 }
 
-func newQueue(dropped func(Kind)) *queue {
-	return &queue{wake: make(chan struct{}, 1), dropped: dropped}
+func newQueue(onDrop func(Kind)) *queue {
+	return &queue{wake: make(chan struct{}, 1), onDrop: onDrop}
 }
 
 // put appends a message. When the queue is full, it drops the oldest droppable messages
@@ -40,7 +40,7 @@
 	defer q.mu.Unlock()
 	for q.full(len(msg.data)) {
 		if !q.dropOldestDroppable() {
-			q.dropped(msg.kind)
+			q.onDrop(msg.kind)
 			return result.New(result.QueueFull, "outgoing queue to the peer is full")
 		}
 	}
@@ -64,7 +64,7 @@
 		}
 		q.bytes -= len(msg.data)
 		q.items = append(q.items[:i], q.items[i+1:]...)
-		q.dropped(msg.kind)
+		q.onDrop(msg.kind)
 		return true
 	}
 	return false
@@ -91,6 +91,6 @@
 		if !ok {
 			return
 		}
-		q.dropped(msg.kind)
+		q.onDrop(msg.kind)
 	}
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -137,7 +137,7 @@
 	if err != nil {
 		var certErr *tls.CertificateVerificationError
 		if errors.As(err, &certErr) {
-			n.metrics.refuse(result.PeerAuth)
+			n.metrics.countRefusal(result.PeerAuth)
 		}
 		return nil, err
 	}
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -29,7 +29,7 @@
 func newAuthority(t *testing.T) *authority {
 	t.Helper()
 	a := &authority{t: t, key: newKey(t)}
-	a.cert = template("ca")
+	a.cert = certTemplate("ca")
 	a.cert.IsCA, a.cert.BasicConstraintsValid = true, true
 	a.cert.KeyUsage = x509.KeyUsageCertSign
 	a.file = a.write("ca.pem", "CERTIFICATE", a.sign(a.cert, a.key))
@@ -45,7 +45,7 @@
 	return key
 }
 
-func template(name string) *x509.Certificate {
+func certTemplate(name string) *x509.Certificate {
 	return &x509.Certificate{
 		SerialNumber: big.NewInt(time.Now().UnixNano()),
 		Subject:      pkix.Name{CommonName: name},
@@ -81,7 +81,7 @@
 		a.t.Fatal(err)
 	}
 	files := &config.TLS{
-		Cert: a.write("cert.pem", "CERTIFICATE", a.sign(template(certName), key)),
+		Cert: a.write("cert.pem", "CERTIFICATE", a.sign(certTemplate(certName), key)),
 		Key:  a.write("key.pem", "EC PRIVATE KEY", der),
 		CA:   a.file,
 	}
@@ -92,10 +92,10 @@
 	return opts
 }
 
-func TestMutualTLS(t *testing.T) {
+func TestCallOverMutualTLS(t *testing.T) {
 	ca := newAuthority(t)
-	a := start(t, ca.options("a", "a"), echo)
-	b := start(t, ca.options("b", "b"), echo)
+	a := startNode(t, ca.options("a", "a"), echo)
+	b := startNode(t, ca.options("b", "b"), echo)
 	for _, pair := range [][2]*Node{{a, b}, {b, a}} {
 		if got, err := call(t, pair[0], pair[1], "hello"); err != nil || got != pair[0].Host()+":hello" {
 			t.Fatalf("got %q, %v", got, err)
@@ -105,7 +105,7 @@
 
 func TestTLSUntrustedPeersAreRefused(t *testing.T) {
 	ca := newAuthority(t)
-	b := start(t, ca.options("b", "b"), echo)
+	b := startNode(t, ca.options("b", "b"), echo)
 	untrusted := map[string]Options{
 		"certificate of another host":      ca.options("a", "c"),
 		"certificate of another authority": newAuthority(t).options("a", "a"),
@@ -113,14 +113,14 @@
 	}
 	for name, opts := range untrusted {
 		t.Run(name, func(t *testing.T) {
-			a := start(t, opts, echo)
+			a := startNode(t, opts, echo)
 			if _, err := call(t, a, b, "hello"); !errors.Is(err, ErrUnreachable) {
 				t.Errorf("to the host with TLS: %v", err)
 			}
 			if _, err := call(t, b, a, "hello"); !errors.Is(err, ErrUnreachable) {
 				t.Errorf("from the host with TLS: %v", err)
 			}
-			refused := value(t, b.metrics.refused.WithLabelValues(codeLabel(result.PeerAuth)))
+			refused := counterValue(t, b.metrics.refused.WithLabelValues(codeLabel(result.PeerAuth)))
 			if opts.TLS != nil && refused == 0 {
 				t.Error("no refusal was counted")
 			}
