--- a/bridge/admin.go
+++ b/bridge/admin.go
@@ -24,8 +24,8 @@
 	return nil
 }
 
-// healthy is the result of the health check of the balancer: the host accepts callers and
-// holds a valid configuration lease.
+// healthy is the result of the load balancer's health check. It reports whether the host
+// accepts callers and holds a valid configuration lease.
 func (h *Host) healthy() bool {
 	return h.accepting.Load() && h.view.Current().Valid()
 }
--- a/bridge/run.go
+++ b/bridge/run.go
@@ -62,8 +62,8 @@
 	return tree
 }
 
-// essentialTasks returns the tasks that own listeners. When one ends, so does the host;
-// the platform restarts the process.
+// essentialTasks returns the tasks that own listeners. When one ends, so does the host, and
+// the process must be restarted.
 func (h *Host) essentialTasks() []supervise.Task {
 	tasks := []supervise.Task{h.peers, h.admin}
 	if h.entry != nil {
--- a/cmd/bridgebench/commands.go
+++ b/cmd/bridgebench/commands.go
@@ -61,7 +61,7 @@
 	return c.save(res, err)
 }
 
-// save writes the result and its plots, and returns checkErr or else whether the run found
+// save writes the result and its plots. It returns runErr, or errCheckFailed if the run found
 // violations.
 func (c *runCommand) save(res *bench.Result, runErr error) error {
 	if err := os.MkdirAll(c.Out, 0o755); err != nil {
@@ -118,7 +118,7 @@
 	return direct.Target(), func() { cancel(); <-done }, nil
 }
 
-// runningTarget returns a system that runs already.
+// existingTarget returns a system that was started independently of this command.
 func (c *runCommand) existingTarget() (bench.Target, error) {
 	if len(c.Addrs) == 0 {
 		return bench.Target{}, errors.New("give the system under load with --addr and --key, or use --program or --direct")
--- a/cmd/galenabridged/main.go
+++ b/cmd/galenabridged/main.go
@@ -77,8 +77,8 @@
 	}
 }
 
-// incarnationStep is how much further ahead a restarted host sets its incarnation. It exceeds
-// any step by which a platform corrects the time of day.
+// incarnationStep is added to the incarnation offset each time the host is started again. It
+// exceeds any step by which a platform corrects the time of day.
 const incarnationStep = time.Hour
 
 // run builds a host from its settings and runs it until ctx ends.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -31,11 +31,12 @@
 	// after the second failure.
 	unreadyPeriod = 2200 * time.Millisecond
 	// transactionShare is the fraction of the grace period after which open
-	// transactions are aborted.
+	// transactions are aborted. It must not exceed 0.5, since drain then allows their
+	// sessions nearly the same time again.
 	transactionShare = 0.5
-	// rateFloor is the limits.Config.RateFloor. It is low, so that most of each rate goes
-	// to the hosts that need it: callers are spread unevenly, and the unused part of a
-	// host's floor is lost.
+	// rateFloor is the value of limits.Config.RateFloor, a fraction of each rate. It is
+	// low, so that most of each rate goes to the hosts that need it: callers are spread
+	// unevenly, and the unused part of a host's floor is lost.
 	rateFloor = 0.1
 	// deregisterTimeout bounds the deregistration at shutdown.
 	deregisterTimeout = 300 * time.Millisecond
@@ -181,8 +182,8 @@
 func (d *Daemon) Gatherer() prometheus.Gatherer { return d.registry }
 
 // Ready reports whether the host accepts callers: it has held a configuration lease and is
-// not stopping. A lost lease alone does not make it unready: the other hosts would be no
-// better off.
+// not stopping. It stays ready when it loses the lease, since callers would not be served
+// better by other hosts.
 func (d *Daemon) Ready() bool {
 	if d.view.Current().Valid() {
 		d.hadLease.Store(true)
--- a/internal/eventlog/eventlog.go
+++ b/internal/eventlog/eventlog.go
@@ -30,7 +30,7 @@
 	eventRate  = 50
 	eventBurst = 200
 	// maxEvents is the maximum number of events with a rate limit of their own. Lines of
-	// further events are dropped.
+	// further events are dropped and counted together.
 	maxEvents = 256
 	// summaryInterval is the interval of the reports on dropped lines.
 	summaryInterval = time.Second
--- a/internal/eventlog/eventlog_test.go
+++ b/internal/eventlog/eventlog_test.go
@@ -38,8 +38,8 @@
 	return b.b.String()
 }
 
-// An output that does not accept data, such as a full pipe, must not block the goroutines
-// that log.
+// TestWriterBlockedOutputDoesNotBlockCallers writes to an output that accepts no data, such
+// as a full pipe. The goroutines that log must not block.
 func TestWriterBlockedOutputDoesNotBlockCallers(t *testing.T) {
 	s := blockedWriter{block: make(chan struct{})}
 	w := New(s)
@@ -63,7 +63,8 @@
 	<-done
 }
 
-// A flood of one event must not cause lines of other events to be dropped.
+// TestWriterRateLimitIsPerEvent floods the writer with one event. No line of another event
+// may be dropped for it.
 func TestWriterRateLimitIsPerEvent(t *testing.T) {
 	out := &syncBuffer{}
 	w := New(out)
@@ -95,6 +96,6 @@
 	cancel()
 	w.Run(ctx)
 	if got := out.String(); len(got) != maxLineBytes || !strings.HasSuffix(got, "\n") {
-		t.Errorf("%d bytes", len(got))
+		t.Errorf("wrote %d bytes, want exactly maxLineBytes with a newline at the end", len(got))
 	}
 }
--- a/internal/explain/explain_test.go
+++ b/internal/explain/explain_test.go
@@ -49,16 +49,16 @@
 func TestReportNamesMissingLines(t *testing.T) {
 	r := Explain(read(t, entryLog), "id-1")
 	if len(r.Missing) != 1 || !strings.Contains(r.Missing[0], "group_status") {
-		t.Errorf("missing %q", r.Missing)
+		t.Errorf("got missing lines %q, want one that names group_status", r.Missing)
 	}
 	if r := Explain(read(t, entryLog), "unknown"); len(r.Entries) != 0 || len(r.Missing) != 1 {
-		t.Errorf("report %+v", r)
+		t.Errorf("got report %+v, want no entries and one missing line", r)
 	}
 }
 
 func TestReadCountsLinesWithoutEvent(t *testing.T) {
 	lines, skipped, err := Read(strings.NewReader(entryLog))
 	if err != nil || len(lines) != 4 || skipped != 1 {
-		t.Errorf("%d lines, %d skipped, %v", len(lines), skipped, err)
+		t.Errorf("got %d lines, %d skipped, error %v; want 4 lines, 1 skipped", len(lines), skipped, err)
 	}
 }
--- a/internal/explain/parse.go
+++ b/internal/explain/parse.go
@@ -42,12 +42,12 @@
 // maxLineBytes is the maximum size of a line. It is a multiple of what a daemon writes.
 const maxLineBytes = 64 << 10
 
-// timePrefix starts the part of a line that the daemon wrote. A log collector may have
-// put a prefix of its own before it.
+// timePrefix is the start of the text that the daemon wrote. A log collector may have put
+// a prefix before it.
 var timePrefix = []byte("time=")
 
 // Read parses the lines of one log. Lines without an event or a valid time are skipped and
-// counted. It returns the errors of r.
+// counted. It fails when r fails or a line exceeds maxLineBytes.
 func Read(r io.Reader) (lines []Line, skipped int, err error) {
 	scanner := bufio.NewScanner(r)
 	scanner.Buffer(nil, maxLineBytes)
--- a/internal/explain/report.go
+++ b/internal/explain/report.go
@@ -13,8 +13,8 @@
 )
 
 const (
-	// lookBack is how long before the request state changes are included: the
-	// duration of a lease, an election and a change of the primary together.
+	// lookBack is how long before the start of the request state events are included. It
+	// covers the duration of a lease, an election and a change of the primary together.
 	lookBack = 10 * time.Second
 	// maxClockSkew is the clock difference between hosts that is allowed for.
 	maxClockSkew = 500 * time.Millisecond
--- a/internal/peer/call.go
+++ b/internal/peer/call.go
@@ -20,8 +20,8 @@
 var ErrUnreachable = errors.New("peer unreachable")
 
 // Call sends a request to host and decodes the response into reply, which may be
-// nil. It returns a result.Error when the peer responded with one,
-// ErrUnreachable when the connection failed, or the error of ctx.
+// nil. It returns a result.Error when the peer responded with one or the request
+// could not be queued, ErrUnreachable when the connection failed, or the error of ctx.
 func (n *Node) Call(ctx context.Context, host, addr string, kind Kind, msg, reply any) error {
 	body, err := Marshal(msg)
 	if err != nil {
--- a/internal/peer/handshake.go
+++ b/internal/peer/handshake.go
@@ -74,8 +74,9 @@
 }
 
 // verify checks the hello, the proof and the certificate of the peer, which sent frame in
-// the given role, and registers the peer's incarnation. The incarnation is registered last:
-// an unauthenticated peer must not be able to replace another process.
+// the given role, and records the peer's incarnation. dialer and acceptor are the encoded
+// hellos of the two sides. The incarnation is recorded last: an unauthenticated peer must
+// not be able to replace another process.
 func (n *Node) verify(frame handshakeFrame, role string, dialer, acceptor []byte, state *tls.ConnectionState) (Identity, error) {
 	h, err := n.checkHello(frame.Hello)
 	if err != nil {
--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -79,8 +79,8 @@
 	return "kind_" + strconv.Itoa(int(k))
 }
 
-// known reports whether the kind is defined. Messages of other kinds are refused
-// as malformed.
+// isDefined reports whether the kind is one of the constants. Messages of other kinds are
+// refused as malformed.
 func (k Kind) isDefined() bool {
 	_, ok := kinds[k]
 	return ok
--- a/internal/peer/node.go
+++ b/internal/peer/node.go
@@ -110,7 +110,7 @@
 	}
 }
 
-// Host returns the identity of this host.
+// Host returns the name that identifies this host in the fleet.
 func (n *Node) Host() string { return n.opts.Host }
 
 // Incarnation returns the incarnation of this process.
@@ -246,7 +246,7 @@
 }
 
 // advertised returns the address that peers dial: the configured one, else the one that the
-// listener is bound to, else the one to listen on.
+// listener is bound to, else, before Listen, the one to listen on.
 func (n *Node) advertised() string {
 	if n.opts.Advertise != "" {
 		return n.opts.Advertise
--- a/internal/peer/node_test.go
+++ b/internal/peer/node_test.go
@@ -85,7 +85,7 @@
 		t.Fatalf("got %v, want the error code of the handler", err)
 	}
 	if got := counterValue(t, a.metrics.messages.WithLabelValues("status", directionOut)); got < 2 {
-		t.Errorf("counted %v messages out", got)
+		t.Errorf("counted %v outgoing messages, want at least 2", got)
 	}
 }
 
@@ -128,7 +128,7 @@
 			test.change(&opts)
 			a := startNode(t, opts, nil)
 			if _, err := call(t, a, b, "hello"); !errors.Is(err, ErrUnreachable) {
-				t.Fatalf("got %v, want unreachable", err)
+				t.Fatalf("got %v, want ErrUnreachable", err)
 			}
 			refused := counterValue(t, a.metrics.refused.WithLabelValues(codeLabel(test.code))) +
 				counterValue(t, b.metrics.refused.WithLabelValues(codeLabel(test.code)))
@@ -149,7 +149,7 @@
 		t.Fatal(err)
 	}
 	if _, err := n.checkHello(data); result.CodeOf(err) != result.PeerVersion {
-		t.Fatalf("got %v, want a refusal of the version", err)
+		t.Fatalf("got %v, want PeerVersion", err)
 	}
 }
 
@@ -181,7 +181,7 @@
 	defer cancel()
 	err := a.Call(ctx, "b", b.Addr(), KindStatus, []int{1, 2}, nil)
 	if result.CodeOf(err) != result.PeerMalformed {
-		t.Fatalf("got %v, want malformed", err)
+		t.Fatalf("got %v, want PeerMalformed", err)
 	}
 	if got := counterValue(t, b.metrics.refused.WithLabelValues(codeLabel(result.PeerMalformed))); got != 1 {
 		t.Errorf("counted %v malformed messages, want 1", got)
@@ -202,11 +202,11 @@
 		}
 	}
 	if len(dropped) != 1 || string(q.items[len(q.items)-1].data) != "second" {
-		t.Fatalf("dropped %v, kept %q last", dropped, q.items[len(q.items)-1].data)
+		t.Fatalf("dropped %v, want one message; the last in the queue is %q, want \"second\"", dropped, q.items[len(q.items)-1].data)
 	}
 	q.put(outgoing{kind: KindGoodbye})
 	if err := q.put(outgoing{kind: KindGoodbye}); result.CodeOf(err) != result.QueueFull {
-		t.Fatalf("got %v, want a full queue", err)
+		t.Fatalf("got %v, want QueueFull", err)
 	}
 }
 
@@ -225,10 +225,10 @@
 		}
 		again, err := Marshal(e)
 		if err != nil {
-			t.Fatalf("encode what was decoded: %v", err)
+			t.Fatalf("encode the decoded envelope: %v", err)
 		}
 		if _, err := decodeEnvelope(again); err != nil {
-			t.Fatalf("decode what was encoded: %v", err)
+			t.Fatalf("decode the encoded envelope: %v", err)
 		}
 	})
 }
--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -53,6 +53,8 @@
 	return nil
 }
 
+// full reports whether a message of size bytes must not be added. An empty queue accepts a
+// message of any size.
 func (q *queue) full(size int) bool {
 	return len(q.items) >= queueMessages || (len(q.items) > 0 && q.bytes+size > queueBytes)
 }
--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -14,7 +14,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// urlPath is the URL path of the WebSocket endpoint for peers.
+// urlPath is the URL path at which peers open a WebSocket.
 const urlPath = "/peer"
 
 // Listen binds the listener, so that Addr is valid before Run. Further calls have no effect.
--- a/internal/peer/tls_test.go
+++ b/internal/peer/tls_test.go
@@ -115,14 +115,14 @@
 		t.Run(name, func(t *testing.T) {
 			a := startNode(t, opts, echo)
 			if _, err := call(t, a, b, "hello"); !errors.Is(err, ErrUnreachable) {
-				t.Errorf("to the host with TLS: %v", err)
+				t.Errorf("call to the host with TLS: got %v, want ErrUnreachable", err)
 			}
 			if _, err := call(t, b, a, "hello"); !errors.Is(err, ErrUnreachable) {
-				t.Errorf("from the host with TLS: %v", err)
+				t.Errorf("call from the host with TLS: got %v, want ErrUnreachable", err)
 			}
 			refused := counterValue(t, b.metrics.refused.WithLabelValues(codeLabel(result.PeerAuth)))
 			if opts.TLS != nil && refused == 0 {
-				t.Error("no refusal was counted")
+				t.Error("no refusal with code PeerAuth was counted")
 			}
 		})
 	}
--- a/internal/supervise/supervise_test.go
+++ b/internal/supervise/supervise_test.go
@@ -47,10 +47,10 @@
 	cancel()
 	<-done
 	if siblingStarts != 1 {
-		t.Errorf("sibling started %d times", siblingStarts)
+		t.Errorf("sibling started %d times, want once", siblingStarts)
 	}
 	if failures != 3 {
-		t.Errorf("failing task ran %d times", failures)
+		t.Errorf("failing task ran %d times, want 3", failures)
 	}
 }
 
