--- a/internal/peer/kinds.go
+++ b/internal/peer/kinds.go
@@ -10,32 +10,32 @@
 // 30-39: failover; 40-49: session positions; 50-59: quotas; 60-69: forwarded
 // requests of callers.
 const (
-	KindConsensus Kind = 1
-	KindProposal  Kind = 2
+	KindConsensus Kind = 1 // consensus message between control hosts
+	KindProposal  Kind = 2 // request to change the agreed state
 
-	KindRelayOK  Kind = 10
-	KindDelta    Kind = 11
-	KindSnapshot Kind = 12
-	KindRenew    Kind = 13
-	KindRenewOK  Kind = 14
-	KindGoodbye  Kind = 15
-	KindAnnounce Kind = 16
-	KindStatus   Kind = 17
-	KindDocument Kind = 18
-	KindRenewNo  Kind = 19
+	KindRelayOK  Kind = 10 // answer of the leader to a lease request of a relay
+	KindDelta    Kind = 11 // changes of the agreed state, for a subscriber
+	KindSnapshot Kind = 12 // whole agreed state, for a subscriber
+	KindRenew    Kind = 13 // request or release of configuration leases
+	KindRenewOK  Kind = 14 // answer of a control host to a lease request of a subscriber
+	KindGoodbye  Kind = 15 // request to remove the sender's host
+	KindAnnounce Kind = 16 // announcement of an endpoint
+	KindStatus   Kind = 17 // request for the status of the fleet
+	KindDocument Kind = 18 // request for the accepted configuration
+	KindRenewNo  Kind = 19 // refusal of a lease request by a control host without state
 
-	KindObservation Kind = 30
-	KindPosition    Kind = 31
-	KindPromote     Kind = 32
-	KindLag         Kind = 33
+	KindObservation Kind = 30 // observed condition of an endpoint, for the leader
+	KindPosition    Kind = 31 // request to probe an endpoint
+	KindPromote     Kind = 32 // request to promote an endpoint
+	KindLag         Kind = 33 // reserved, not sent
 
-	KindGather Kind = 40
-	KindForget Kind = 41
+	KindGather Kind = 40 // request for the positions of a service
+	KindForget Kind = 41 // reserved, not sent
 
-	KindQuota   Kind = 50
-	KindQuotaOK Kind = 51
+	KindQuota   Kind = 50 // lease request of a holder to an owner of limits
+	KindQuotaOK Kind = 51 // answer of the owner
 
-	KindCancel Kind = 60
+	KindCancel Kind = 60 // forwarded cancel request of a caller
 )
 
 // kindInfo holds the name of a kind in metrics and logs and its treatment in the outgoing
