--- a/internal/peer/queue.go
+++ b/internal/peer/queue.go
@@ -21,15 +21,15 @@
 // queue is the bounded queue of outgoing messages to one peer. Adding a message never
 // blocks.
 type queue struct {
-	mu      sync.Mutex
-	items   []outgoing
-	bytes   int
-	wake    chan struct{} // receives a token when a message is added
-	dropped func(Kind)    // called for each message dropped
+	mu     sync.Mutex
+	items  []outgoing
+	bytes  int
+	wake   chan struct{} // receives a token when a message is added
+	onDrop func(Kind)    // called for each message dropped
 }
 
-func newQueue(dropped func(Kind)) *queue {
-	return &queue{wake: make(chan struct{}, 1), dropped: dropped}
+func newQueue(onDrop func(Kind)) *queue {
+	return &queue{wake: make(chan struct{}, 1), onDrop: onDrop}
 }
 
 // put appends a message. When the queue is full, it drops the oldest droppable messages
@@ -40,7 +40,7 @@
 	defer q.mu.Unlock()
 	for q.full(len(msg.data)) {
 		if !q.dropOldestDroppable() {
-			q.dropped(msg.kind)
+			q.onDrop(msg.kind)
 			return result.New(result.QueueFull, "outgoing queue to the peer is full")
 		}
 	}
@@ -53,6 +53,8 @@
 	return nil
 }
 
+// full reports whether a message of size bytes must not be added. An empty queue accepts a
+// message of any size.
 func (q *queue) full(size int) bool {
 	return len(q.items) >= queueMessages || (len(q.items) > 0 && q.bytes+size > queueBytes)
 }
@@ -64,7 +66,7 @@
 		}
 		q.bytes -= len(msg.data)
 		q.items = append(q.items[:i], q.items[i+1:]...)
-		q.dropped(msg.kind)
+		q.onDrop(msg.kind)
 		return true
 	}
 	return false
@@ -91,6 +93,6 @@
 		if !ok {
 			return
 		}
-		q.dropped(msg.kind)
+		q.onDrop(msg.kind)
 	}
 }
