--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -77,7 +77,7 @@
 		{
 			What:    "shares of a changed rate in force everywhere",
 			Steps:   "as above, then the end of the longest quota lease",
-			Seconds: election + counted + quota.DefaultLease.Seconds(), Bound: b.Dissemination,
+			Seconds: election + counted + quota.DefaultShareLease.Seconds(), Bound: b.Dissemination,
 		},
 		{
 			What:    "a change of primary, primary and control leader isolated together",
--- a/internal/capacity/pure.go
+++ b/internal/capacity/pure.go
@@ -267,7 +267,7 @@
 	var cost quotaCost
 	for end := q.now.Add(d); q.now.Before(end); {
 		q.now = q.now.Add(quotaTick)
-		q.owner.SetAuthority(q.now.Add(time.Second))
+		q.owner.SetOwnerLease(q.now.Add(time.Second))
 		for _, h := range q.holders {
 			for _, key := range q.keys {
 				h.Offer(q.now, key, 1)
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -257,8 +257,8 @@
 	for _, e := range s.endpointsInUse() {
 		u := limits.Usage{
 			Service: e.record.Service, Endpoint: e.record.ID,
-			Connections: e.pool.Stats().Open, WantedConnections: e.pool.TakePeak(),
-			OwnSlots: true,
+			Connections: e.pool.Stats().Open, ConnectionDemand: e.pool.TakePeak(),
+			UnleasedSlots: true,
 		}
 		all = append(all, u)
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -121,7 +121,7 @@
 func (d *Daemon) limitsConfig() limits.Config {
 	cfg := limits.DefaultConfig()
 	cfg.Lease = leaseConfig()
-	cfg.FloorConnections, cfg.Probes, cfg.Headroom, cfg.RateFloor = 1, 2, 1, rateFloor
+	cfg.FloorConnections, cfg.ProbeConnections, cfg.HeadroomConnections, cfg.RateFloor = 1, 2, 1, rateFloor
 	cfg.Tolerance = d.opts.Tolerance
 	return cfg
 }
--- a/internal/entry/usage.go
+++ b/internal/entry/usage.go
@@ -11,13 +11,13 @@
 	for _, use := range s.backends.poolUsage() {
 		// The monitor's own connection is not part of the pool.
 		u := limits.Usage{
-			Service:           use.service,
-			Endpoint:          use.endpoint,
-			Connections:       use.open + 1,
-			WantedConnections: use.peak + 1,
+			Service:          use.service,
+			Endpoint:         use.endpoint,
+			Connections:      use.open + 1,
+			ConnectionDemand: use.peak + 1,
 		}
 		if g, ok := s.gate.(*gate.Gate); ok {
-			u.Slots, u.WantedSlots = g.TakeUsage(use.endpoint)
+			u.Slots, u.SlotDemand = g.TakeUsage(use.endpoint)
 		}
 		all = append(all, u)
 	}
--- a/internal/limits/floor.go
+++ b/internal/limits/floor.go
@@ -16,9 +16,9 @@
 	bucket *rate.Limiter
 }
 
-// newFloorBucket returns the bucket of a process that has just started. It holds
-// only the reserve: the former process of the host may have spent the part of the
-// burst.
+// newFloorBucket returns the bucket of a process that has just started. It contains
+// only the reserve, because the former process of the host may have spent the host's
+// part of the burst.
 func newFloorBucket(now time.Time, w note.Workspace, size fleetSize) *floorBucket {
 	f := &floorBucket{}
 	f.bucket = rate.NewLimiter(f.rateAndBurst(w, size))
@@ -42,13 +42,13 @@
 // take spends a token if there is one.
 func (f *floorBucket) take(now time.Time) bool { return f != nil && f.bucket.AllowN(now, 1) }
 
-// takeIfFull spends a token only if the bucket is full, when further tokens would
-// be lost.
+// takeIfFull spends a token only if the bucket is full and would lose the tokens that
+// accrue next.
 func (f *floorBucket) takeIfFull(now time.Time) bool {
 	return f != nil && f.bucket.TokensAt(now) >= float64(f.bucket.Burst()) && f.take(now)
 }
 
-// maxWait returns the maximum time until the next token.
+// maxWait returns an upper bound of the time until the next token.
 func (f *floorBucket) maxWait() time.Duration {
 	if f == nil || f.bucket.Limit() <= 0 {
 		return idleWait
--- a/internal/limits/floor_test.go
+++ b/internal/limits/floor_test.go
@@ -12,7 +12,7 @@
 
 func floorConfig() Config {
 	cfg := DefaultConfig()
-	cfg.FloorConnections, cfg.Probes, cfg.RateFloor = 1, 2, 0.1
+	cfg.FloorConnections, cfg.ProbeConnections, cfg.RateFloor = 1, 2, 0.1
 	return cfg
 }
 
@@ -34,10 +34,10 @@
 		leased := limitsOf(floorConfig(), state)[rateKey("w")]
 		floor := size.rateFloorFraction(w) * float64(hosts)
 		if sum := leased.Rate + floor*w.Rate; sum > w.Rate*1.000001 || sum < w.Rate*0.999999 {
-			t.Errorf("rates add up to %v of %v", sum, w.Rate)
+			t.Errorf("rates add up to %v, want %v", sum, w.Rate)
 		}
 		if sum := leased.Burst + floor*w.Burst; sum > w.Burst*1.000001 {
-			t.Errorf("bursts add up to %v of %v", sum, w.Burst)
+			t.Errorf("bursts add up to %v, want at most %v", sum, w.Burst)
 		}
 	})
 }
@@ -61,7 +61,7 @@
 		t.Error("new process has tokens that its former process may have spent")
 	}
 	if taken := takeAll(h.rateFloors["w"], now.Add(time.Second)); taken != 4 { // a tenth of 80, for one of two hosts
-		t.Errorf("%d tokens after a second", taken)
+		t.Errorf("%d tokens after a second, want 4", taken)
 	}
 }
 
@@ -109,7 +109,7 @@
 		}
 		allowed := w.Rate*cfg.Tolerance.Window.Seconds() + w.Burst + cfg.Tolerance.allowance(w)
 		if spent > allowed*1.000001 {
-			t.Errorf("%v operations in %v, %v are allowed", spent, cfg.Tolerance.Window, allowed)
+			t.Errorf("%v operations in %v, want at most %v", spent, cfg.Tolerance.Window, allowed)
 		}
 	})
 }
@@ -128,6 +128,6 @@
 	now := time.Unix(1000, 0)
 	f := newFloorBucket(now, w, sizeOf(cfg, state))
 	if taken := takeAll(f, now); taken != 4 { // half of 89, for one of nine hosts
-		t.Errorf("%d tokens at the start", taken)
+		t.Errorf("%d tokens at the start, want 4", taken)
 	}
 }
--- a/internal/limits/holder.go
+++ b/internal/limits/holder.go
@@ -18,20 +18,20 @@
 type Usage struct {
 	Service  string
 	Endpoint string
-	// Connections is the number of open connections. WantedConnections is the maximum
-	// that was checked out or requested at once since the last report.
-	Connections       int
-	WantedConnections int
-	// Slots is the number of slots in use. WantedSlots is the maximum that was in use
-	// or requested at once.
-	Slots       int
-	WantedSlots int
-	// OwnSlots is set if the host needs no leased slots because the endpoint has a
-	// queue of its own.
-	OwnSlots bool
+	// Connections is the number of open connections. ConnectionDemand is the maximum
+	// that was checked out or waited for at once since the last report.
+	Connections      int
+	ConnectionDemand int
+	// Slots is the number of slots in use. SlotDemand is the maximum that was in use or
+	// waited for at once since the last report.
+	Slots      int
+	SlotDemand int
+	// UnleasedSlots is set if the host needs no lease of the endpoint's slots, because
+	// the endpoint queues statements itself. Slots and SlotDemand are then ignored.
+	UnleasedSlots bool
 }
 
-// Pool is the consumer of connections and slots on an entry host.
+// Pool uses the connections and slots of an entry host's shares.
 type Pool interface {
 	// Usage lists the endpoints in use.
 	Usage() []Usage
@@ -50,12 +50,13 @@
 
 	mu    sync.Mutex
 	quota *quota.Holder
-	epoch uint64 // of the set of owners
-	// connectionFloors are the numbers of connections that need no lease, by service.
+	epoch uint64 // agreed.State.OwnersEpoch of the latest applied state
+	// connectionFloors are the numbers of connections per endpoint that need no lease,
+	// by service.
 	connectionFloors map[string]int
 	// rateFloors are the parts of rates that need no lease, by workspace.
 	rateFloors map[string]*floorBucket
-	// lastRound is when the last round of requests was sent.
+	// lastRound is when requestRound last ran.
 	lastRound time.Time
 	// appliedState is the state from which the floors were derived.
 	appliedState *agreed.State
@@ -77,7 +78,7 @@
 	return h
 }
 
-// SetPool sets the consumer of connections and slots.
+// SetPool sets the user of connections and slots. Call it before Run.
 func (h *Holder) SetPool(p Pool) { h.pool = p }
 
 // Connections returns how many connections to an endpoint the host may open.
@@ -150,12 +151,12 @@
 
 // urgentInterval is the minimum time between two rounds of requests while callers
 // wait, so that a host without a share of a rate need not wait for the next tick.
-// It is a few round trips between failure domains (3 ms).
+// It is a few times the round trip between failure domains (3 ms).
 const urgentInterval = 10 * time.Millisecond
 
-// hasUrgent reports whether a request waits in a workspace that is not overloaded,
-// for which the fleet has tokens. Those of overloaded workspaces wait for the next
-// tick.
+// hasUrgent reports whether a request waits in a workspace that is not overloaded, so
+// that its owner may grant tokens at once. Requests of overloaded workspaces wait for
+// the next tick.
 func (h *Holder) hasUrgent() bool {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -167,7 +168,8 @@
 	return false
 }
 
-// requestRound reports the use of units and sends the requests that are due.
+// requestRound reports the use of connections and slots, and sends the requests that
+// are due.
 func (h *Holder) requestRound(now time.Time) {
 	state := h.view.Current().State
 	if state == nil {
@@ -179,9 +181,9 @@
 	h.applyState(state)
 	for _, u := range usage {
 		floor := h.connectionFloors[u.Service]
-		h.quota.ReportUsage(now, connectionKey(u.Endpoint), float64(max(u.Connections-floor, 0)), float64(max(u.WantedConnections-floor, 0)))
-		if !u.OwnSlots {
-			h.quota.ReportUsage(now, slotKey(u.Endpoint), float64(u.Slots), float64(u.WantedSlots))
+		h.quota.ReportUsage(now, connectionKey(u.Endpoint), float64(max(u.Connections-floor, 0)), float64(max(u.ConnectionDemand-floor, 0)))
+		if !u.UnleasedSlots {
+			h.quota.ReportUsage(now, slotKey(u.Endpoint), float64(u.Slots), float64(u.SlotDemand))
 		}
 	}
 	batches := h.quota.Requests(now)
--- a/internal/limits/keys.go
+++ b/internal/limits/keys.go
@@ -31,10 +31,10 @@
 // quotaConfig derives the quota settings from the configuration lease under which
 // owners act.
 func quotaConfig(cfg lease.Config) quota.Config {
-	return quota.Config{Authority: cfg.Duration, Drift: cfg.Drift}
+	return quota.Config{OwnerLease: cfg.Duration, Drift: cfg.Drift}
 }
 
-// limitsOf returns every limit that the agreed state sets.
+// limitsOf returns the leased part of every limit in the agreed state, by quota key.
 func limitsOf(cfg Config, state *agreed.State) map[string]quota.Limit {
 	all := make(map[string]quota.Limit)
 	size := sizeOf(cfg, state)
@@ -62,18 +62,18 @@
 	// host may open without a lease, so that a request on an idle host need not wait
 	// for one.
 	FloorConnections int
-	// Probes is the number of an endpoint's connections reserved for probes.
-	// A negative value reserves one for each watching failure domain and one for the
-	// control leader.
-	Probes int
-	// Headroom is the number of connections per entry host that are left unused.
+	// ProbeConnections is the number of an endpoint's connections that are reserved for
+	// probes. A negative value reserves one for each failure domain with watchers and
+	// one for the control leader.
+	ProbeConnections int
+	// HeadroomConnections is the number of connections per entry host that are left unused.
 	// After a power loss an endpoint still counts the connections of the lost
 	// processes for some seconds, while the restarted hosts need new ones.
-	Headroom int
+	HeadroomConnections int
 	// RateFloor is the fraction of a rate that is permanently divided evenly among
 	// the entry hosts. It needs no lease and is available while a key has no owner.
 	RateFloor float64
-	// Tolerance is how far the fleet may exceed a rate.
+	// Tolerance is the permitted excess over a workspace's limit.
 	Tolerance Tolerance
 }
 
@@ -96,13 +96,13 @@
 
 // reserveFraction is the fraction of the tolerance that the hosts hold as reserve.
 // A host may spend its reserve a second time in a window after a restart, so at
-// most half of the tolerance fits.
+// most half of the tolerance can be held in reserve.
 const reserveFraction = 0.5
 
 // DefaultConfig returns the settings for endpoints that are probed by watchers: an
 // entry host has one connection for its monitor and one for requests.
 func DefaultConfig() Config {
-	return Config{Lease: lease.DefaultConfig(), FloorConnections: 2, Probes: -1}
+	return Config{Lease: lease.DefaultConfig(), FloorConnections: 2, ProbeConnections: -1}
 }
 
 // floorSlots is the number of statements that a host without a lease may run at
@@ -134,12 +134,12 @@
 // hosts may use. The others are reserved for probes, and for headroom if enough
 // connections for the floors remain.
 func (f fleetSize) availableConnections(connections int) int {
-	probes := f.cfg.Probes
+	probes := f.cfg.ProbeConnections
 	if probes < 0 {
 		probes = min(f.domains, failover.MaxWatcherDomains) + 1
 	}
 	connections -= probes
-	if spare := connections - f.cfg.Headroom*f.entryHosts; spare >= f.cfg.FloorConnections*f.entryHosts {
+	if spare := connections - f.cfg.HeadroomConnections*f.entryHosts; spare >= f.cfg.FloorConnections*f.entryHosts {
 		connections = spare
 	}
 	return max(connections, 1)
@@ -188,7 +188,7 @@
 	return hosts
 }
 
-// holderIDs returns the processes that may hold leases.
+// holderIDs returns the processes that may hold leases: those of the entry hosts.
 func holderIDs(state *agreed.State) []quota.HolderID {
 	var all []quota.HolderID
 	for _, h := range state.Hosts {
@@ -199,5 +199,6 @@
 	return all
 }
 
-// tickInterval is the interval of the Owner and Holder tasks.
+// tickInterval is the interval at which the Owner and Holder tasks run without other
+// events.
 const tickInterval = 100 * time.Millisecond
--- a/internal/limits/limits_test.go
+++ b/internal/limits/limits_test.go
@@ -124,7 +124,8 @@
 	f.publish()
 }
 
-// TestFleetStaysWithinRate has callers on three hosts spend as fast as they can.
+// TestFleetStaysWithinRate has callers on three hosts acquire tokens as fast as they
+// can.
 func TestFleetStaysWithinRate(t *testing.T) {
 	f := newFleet(t, 2, 3)
 	ctx, cancel := context.WithTimeout(context.Background(), testTimeout)
@@ -146,11 +147,11 @@
 	}
 	callers.Wait()
 	elapsed := time.Since(start).Seconds()
-	if most := testRate*elapsed + testBurst; float64(granted.Load()) > most {
-		t.Errorf("%d grants in %.2f s, at most %.0f are allowed", granted.Load(), elapsed, most)
+	if allowed := testRate*elapsed + testBurst; float64(granted.Load()) > allowed {
+		t.Errorf("%d grants in %.2f s, want at most %.0f", granted.Load(), elapsed, allowed)
 	}
 	if granted.Load() < 3*testRate {
-		t.Errorf("only %d grants before the timeout", granted.Load())
+		t.Errorf("%d grants before the timeout, want 3*testRate", granted.Load())
 	}
 }
 
@@ -217,9 +218,9 @@
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: DefaultConfig(), entryHosts: hosts, domains: min(hosts, 4)}
 			floors := size.connectionFloor(connections) * hosts
-			shared := size.leasedConnections(connections)
-			if shared < 0 || floors+shared > max(connections-size.domains-1, 1) {
-				t.Errorf("%d connections, %d hosts: floors %d, shared %d", connections, hosts, floors, shared)
+			leased := size.leasedConnections(connections)
+			if leased < 0 || floors+leased > max(connections-size.domains-1, 1) {
+				t.Errorf("%d connections, %d hosts: floors %d, leased %d, want connections left for probes", connections, hosts, floors, leased)
 			}
 		}
 	}
@@ -235,10 +236,10 @@
 	holder.applyState(f.state)
 	holder.mu.Unlock()
 	if n := holder.Connections("s", "e"); n != DefaultConfig().FloorConnections {
-		t.Errorf("%d connections", n)
+		t.Errorf("%d connections without a lease, want FloorConnections", n)
 	}
 	if n := holder.Slots("s", "e"); n != floorSlots {
-		t.Errorf("%d slots", n)
+		t.Errorf("%d slots without a lease, want floorSlots", n)
 	}
 }
 
@@ -263,7 +264,7 @@
 	h.mu.Unlock()
 	h.serve(now)
 	if len(first.ready) != 0 || len(second.ready) != 1 {
-		t.Errorf("served: first %v, second %v", len(first.ready) == 1, len(second.ready) == 1)
+		t.Errorf("served: first %v, second %v; want only the second", len(first.ready) == 1, len(second.ready) == 1)
 	}
 }
 
@@ -271,14 +272,14 @@
 // connections wherever the endpoint has enough for the floors and the headroom.
 func TestHeadroomLeftWhenConnectionsSuffice(t *testing.T) {
 	cfg := DefaultConfig()
-	cfg.FloorConnections, cfg.Probes, cfg.Headroom = 1, 2, 1
+	cfg.FloorConnections, cfg.ProbeConnections, cfg.HeadroomConnections = 1, 2, 1
 	for connections := 1; connections <= 60; connections++ {
 		for hosts := 1; hosts <= 20; hosts++ {
 			size := fleetSize{cfg: cfg, entryHosts: hosts, domains: min(hosts, 4)}
 			used := size.connectionFloor(connections)*hosts + size.leasedConnections(connections)
-			left := max(connections-cfg.Probes, 1) - used
-			if left < 0 || left == 0 && connections-cfg.Probes >= 2*hosts {
-				t.Errorf("%d connections, %d hosts: %d left", connections, hosts, left)
+			left := max(connections-cfg.ProbeConnections, 1) - used
+			if left < 0 || left == 0 && connections-cfg.ProbeConnections >= 2*hosts {
+				t.Errorf("%d connections, %d hosts: %d left unused, want headroom", connections, hosts, left)
 			}
 		}
 	}
--- a/internal/limits/owner.go
+++ b/internal/limits/owner.go
@@ -84,7 +84,7 @@
 // logLeasesKnown logs when all leases of the owner's keys have become known, and
 // when they are unknown again.
 func (o *Owner) logLeasesKnown(now time.Time) {
-	known, quiet := o.quota.LeasesKnown()
+	known, lastSpentAt := o.quota.LeasesKnown()
 	if known == o.leasesKnown {
 		return
 	}
@@ -93,14 +93,14 @@
 		o.log.Info("limits_unknown")
 		return
 	}
-	o.log.Info("limits_known", "after_ms", now.Sub(o.startedAt).Milliseconds(), "quiet_ms", now.Sub(quiet).Milliseconds())
+	o.log.Info("limits_known", "after_ms", now.Sub(o.startedAt).Milliseconds(), "quiet_ms", now.Sub(lastSpentAt).Milliseconds())
 }
 
 func (o *Owner) handle(now time.Time, r ownerRequest) {
 	if r.request.Host != r.from.Host || r.request.Incarnation != r.from.Incarnation {
 		return // a host may request shares only for itself
 	}
-	o.quota.SetAuthority(o.view.Current().ValidUntil)
+	o.quota.SetOwnerLease(o.view.Current().ValidUntil)
 	reply := o.quota.Handle(now, r.request)
 	if err := o.peers.Send(r.from.Host, r.from.Addr, peer.KindQuotaOK, reply); err != nil {
 		o.log.Debug("quota_reply_failed", "peer", r.from.Host, "err", err.Error())
@@ -123,11 +123,11 @@
 // setLimits passes added, changed and removed limits to the quota owner.
 func (o *Owner) setLimits(now time.Time, state *agreed.State) {
 	next := limitsOf(o.cfg, state)
-	fresh := o.newKeysNeverLeased(now, state)
+	newNeverLeased := o.newKeysNeverLeased(now, state)
 	for key, limit := range next {
 		old, known := o.limits[key]
 		if !known || old != limit {
-			o.quota.SetLimit(now, key, limit, fresh && !known)
+			o.quota.SetLimit(now, key, limit, newNeverLeased && !known)
 		}
 	}
 	for key := range o.limits {
@@ -138,18 +138,18 @@
 	o.limits = next
 }
 
-// newKeysNeverLeased reports whether a key that appears now cannot have leases
-// granted before this process followed the state: either the fleet has its first
-// catalog, or the process is older than any lease.
+// newKeysNeverLeased reports whether no lease can exist of a key that is added now:
+// either the fleet has its first catalog, or this process has followed the state for
+// longer than any lease lasts.
 func (o *Owner) newKeysNeverLeased(now time.Time, state *agreed.State) bool {
 	if state.Catalog.Stamp.Number <= 1 || o.state != nil && o.state.Catalog.Stamp.Number == 0 {
 		return true
 	}
-	return o.state != nil && now.Sub(o.startedAt) > 2*(o.cfg.Lease.Duration+quota.DefaultLease)
+	return o.state != nil && now.Sub(o.startedAt) > 2*(o.cfg.Lease.Duration+quota.DefaultShareLease)
 }
 
 // removeDeparted reclaims the shares of processes that are no longer registered. A
-// host is deregistered only after its configuration lease has ended.
+// process is deregistered only after its configuration lease has ended.
 func (o *Owner) removeDeparted(now time.Time, state *agreed.State) {
 	if o.state == nil {
 		return
--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -8,39 +8,39 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// idleWait is the pause of Holder.Run while no request waits, and the maximum wait
-// of a request without a deadline.
+// idleWait is the time between two calls of Holder.serve while no request waits, and
+// the maximum wait of a request without a deadline.
 const idleWait = time.Minute
 
 // minWait is the minimum pause between two attempts to serve waiting requests.
 const minWait = time.Millisecond
 
-// overloadPatience bounds the wait of a request whose workspace exceeds its rate
+// overloadMaxWait bounds the wait of a request whose workspace exceeds its rate
 // across the fleet. It is half of the shortest latency target of a route (200 ms):
 // requests that are served still meet the target, the others are refused early.
-const overloadPatience = 100 * time.Millisecond
+const overloadMaxWait = 100 * time.Millisecond
 
-// queue holds the requests of one workspace that wait for tokens, in order of
+// queue contains the requests of one workspace that wait for tokens, in order of
 // arrival. The newest is served first: while requests arrive faster than the rate
-// allows, as after an interruption, the newest can still meet their deadlines and
-// the oldest are late already.
+// allows, as after an interruption, the newest can still meet their deadlines, and
+// the oldest no longer can. A queue exists only while it has waiters.
 type queue struct {
 	waiters []*waiter
 	// overloaded is set while the demand of the fleet persistently exceeds the
 	// workspace's rate.
 	overloaded bool
-	// nextToken is when the next token is expected.
-	nextToken time.Time
+	// nextTokenAt is when the next token is expected.
+	nextTokenAt time.Time
 }
 
 type waiter struct {
 	deadline time.Time
-	ready    chan error // buffered
+	ready    chan error // receives nil once a token was taken; buffered
 }
 
 // Acquire implements entry.Limiter. A request waits for a token until its deadline.
 // It is refused early only if the workspace exceeds its rate across the fleet: after
-// overloadPatience, or at once if the waiting requests already fill the time until
+// overloadMaxWait, or at once if the waiting requests already fill the time until
 // the deadline.
 func (h *Holder) Acquire(ctx context.Context, workspace string) error {
 	w, err := h.takeOrEnqueue(ctx, workspace)
@@ -79,7 +79,7 @@
 			h.quota.Withdraw(key, 1)
 			return nil, nil
 		}
-		q = &queue{overloaded: decision.Over, nextToken: now.Add(min(decision.Wait, floor.maxWait()))}
+		q = &queue{overloaded: decision.Overloaded, nextTokenAt: now.Add(min(decision.Wait, floor.maxWait()))}
 		h.queues[workspace] = q
 	}
 	deadline := now.Add(idleWait)
@@ -87,9 +87,9 @@
 		deadline = clock.Deadline(end)
 	}
 	if q.overloaded {
-		deadline = earlier(deadline, now.Add(overloadPatience))
+		deadline = earlier(deadline, now.Add(overloadMaxWait))
 	}
-	if wait, late := h.exceedsDeadline(now, workspace, q, deadline); late {
+	if wait, exceeds := h.exceedsDeadline(now, workspace, q, deadline); exceeds {
 		h.quota.Withdraw(key, 1)
 		return nil, rateExceeded(workspace, wait)
 	}
@@ -106,9 +106,9 @@
 	return b
 }
 
-// exceedsDeadline returns how long a new request would have to wait, and reports
-// whether that ends after its deadline. It reports false unless the workspace is
-// overloaded and the host has a share.
+// exceedsDeadline estimates how long a new request would wait if all waiting requests
+// were served before it, and reports whether that exceeds its deadline. It reports
+// false unless the workspace is overloaded and the host has a share.
 func (h *Holder) exceedsDeadline(now time.Time, workspace string, q *queue, deadline time.Time) (time.Duration, bool) {
 	if !q.overloaded {
 		return 0, false
@@ -117,7 +117,7 @@
 	if rate <= 0 {
 		return 0, false
 	}
-	wait := max(q.nextToken.Sub(now), 0) + time.Duration(float64(len(q.waiters))/rate*float64(time.Second))
+	wait := max(q.nextTokenAt.Sub(now), 0) + time.Duration(float64(len(q.waiters))/rate*float64(time.Second))
 	return wait, now.Add(wait).After(deadline)
 }
 
@@ -185,11 +185,11 @@
 	floor := h.rateFloors[workspace]
 	for len(q.waiters) > 0 {
 		decision := h.quota.Take(now, rateKey(workspace), 1)
-		q.overloaded = decision.Over
+		q.overloaded = decision.Overloaded
 		if !decision.Granted {
 			if !floor.take(now) {
 				wait := min(decision.Wait, floor.maxWait())
-				q.nextToken = now.Add(wait)
+				q.nextTokenAt = now.Add(wait)
 				return wait
 			}
 			h.quota.Withdraw(rateKey(workspace), 1)
--- a/internal/limits/static.go
+++ b/internal/limits/static.go
@@ -11,7 +11,7 @@
 )
 
 // Static is an entry.Limiter that gives every entry host an equal, fixed share of
-// each workspace's rate. It is a baseline for measurements.
+// each workspace's rate. It is a baseline for benchmarks.
 type Static struct {
 	view view.Source
 
--- a/internal/quota/bench_test.go
+++ b/internal/quota/bench_test.go
@@ -82,7 +82,7 @@
 func (p *pairBench) second() {
 	for range int(time.Second / benchInterval) {
 		p.now = p.now.Add(benchInterval)
-		p.owner.SetAuthority(p.now.Add(time.Second))
+		p.owner.SetOwnerLease(p.now.Add(time.Second))
 		p.b.StopTimer()
 		p.offer()
 		p.b.StartTimer()
@@ -124,7 +124,7 @@
 	h.SetEpoch(1, []string{"c0"})
 	o := NewOwner(Config{}, "c0", 1, start)
 	o.SetEpoch(start, 1, []string{"c0"})
-	o.SetAuthority(start.Add(time.Hour))
+	o.SetOwnerLease(start.Add(time.Hour))
 	o.SetLimit(start, "workspace/a", Limit{Rate: 1e12, Burst: 1e12}, true)
 	h.Offer(start, "workspace/a", 1)
 	for range 2 { // the first reply carries only the owner's incarnation
--- a/internal/quota/bucket.go
+++ b/internal/quota/bucket.go
@@ -18,7 +18,7 @@
 	}
 }
 
-// resize changes the share and returns the number of tokens that exceed the new
+// resize changes the share, and removes and returns the tokens that exceed the new
 // burst.
 func (b *bucket) resize(now time.Time, share Share) float64 {
 	b.refill(now)
@@ -33,10 +33,10 @@
 	b.level = min(b.share.Burst, b.level+tokens)
 }
 
-// creditQuietPeriod raises the level to the tokens accrued during a period in
-// which none were spent.
-func (b *bucket) creditQuietPeriod(quiet time.Duration) {
-	b.level = max(b.level, min(b.share.Burst, b.share.Rate*quiet.Seconds()))
+// creditIdleTime raises the level to the tokens accrued during a period in which
+// none were spent.
+func (b *bucket) creditIdleTime(idle time.Duration) {
+	b.level = max(b.level, min(b.share.Burst, b.share.Rate*idle.Seconds()))
 }
 
 // timeUntil returns the time until the bucket holds n tokens.
--- a/internal/quota/fleet_test.go
+++ b/internal/quota/fleet_test.go
@@ -14,7 +14,7 @@
 type machine struct {
 	name  string
 	drift float64
-	// epoch is the number of the set of owners that the machine uses.
+	// epoch identifies the set of owners that the machine uses.
 	epoch       uint64
 	isolated    bool
 	incarnation uint64 // number of processes started so far
@@ -58,8 +58,8 @@
 	loss     float64
 	maxDelay time.Duration
 	checks   map[string]*spendCheck
-	bytes    func(any) // counts messages, when set
-	// noQuarantine injects a fault: owners grant immediately after a start.
+	bytes    func(any) // receives each message that is sent, if set
+	// noQuarantine injects a fault: owners grant shares at once after a restart.
 	noQuarantine bool
 }
 
@@ -72,13 +72,13 @@
 	failed string
 }
 
-// rounding allows for floating-point errors, in tokens.
-const rounding = 1e-6
+// roundingTolerance allows for floating-point errors, in tokens.
+const roundingTolerance = 1e-6
 
 func (c *spendCheck) spend(now time.Duration, n float64) {
 	c.level = min(c.limit.Burst, c.level+c.limit.Rate*(now-c.last).Seconds()) - n
 	c.last = now
-	if c.level < -rounding && c.failed == "" {
+	if c.level < -roundingTolerance && c.failed == "" {
 		c.failed = fmt.Sprintf("%.3f tokens over the limit at %v", -c.level, now)
 	}
 }
@@ -174,7 +174,7 @@
 	f.now += d
 	for _, c := range f.controls {
 		if c.epoch == f.epoch && !c.isolated {
-			c.owner.SetAuthority(c.clock(f.now).Add(f.cfg.Authority))
+			c.owner.SetOwnerLease(c.clock(f.now).Add(f.cfg.OwnerLease))
 		}
 		c.owner.Tick(c.clock(f.now))
 	}
--- a/internal/quota/held.go
+++ b/internal/quota/held.go
@@ -9,7 +9,8 @@
 	// requestInterval is the interval between requests while a holder's share does
 	// not cover its demand.
 	requestInterval = 100 * time.Millisecond
-	// demandChange is the relative change of demand that is reported at once.
+	// demandChange is the relative change of demand from which on a request is due at
+	// once.
 	demandChange = 0.25
 	// demandTimeConstant is the time constant of the demand estimate.
 	demandTimeConstant = 500 * time.Millisecond
@@ -21,10 +22,10 @@
 
 // heldKey is the state of one key at a holder.
 type heldKey struct {
-	name    string
-	isUnits bool
-	// callerCounts is set if the caller counts units itself (ReportUsage);
-	// unitDemand is then its total demand.
+	name        string
+	isUnitLimit bool
+	// callerCounts is set if the caller counts its units itself (ReportUsage).
+	// unitDemand is then its demand, including the units in use.
 	callerCounts bool
 	unitDemand   float64
 	stamp        Stamp
@@ -37,16 +38,18 @@
 	overloaded bool
 	lowDemand  bool
 
-	offered        float64 // since measuredAt
+	offered        float64 // tokens requested since measuredAt
 	backlog        float64 // tokens or units of waiting requests
 	measuredAt     time.Time
 	arrivalRate    float64 // tokens per second
 	demand         float64
 	reportedDemand float64 // demand in the latest request
 	lastUse        time.Time
-	needsMore      bool
+	needsMore      bool // the share was insufficient since the latest request
 	nextRequest    time.Time
-	firstSeq       uint64 // of the first request since the key came into use
+	// firstSeq is the sequence number of the first request since the key came into
+	// use, zero before it. Replies to earlier requests are ignored.
+	firstSeq uint64
 }
 
 func (k *heldKey) valid(now time.Time) bool { return now.Before(k.expires) }
@@ -61,14 +64,16 @@
 	k.returned = 0
 }
 
-// measure updates the demand estimate: an exponential moving average of the
-// arrival rate, plus the rate that serves the backlog within backlogTarget.
+// measure updates the demand. The demand for a rate is an exponential moving average
+// of the arrival rate, plus the rate that serves the backlog within backlogTarget.
+// The demand for units is reported by the caller, or is the number of units in use
+// or waited for.
 func (k *heldKey) measure(now time.Time) {
 	if k.callerCounts {
 		k.demand = k.unitDemand
 		return
 	}
-	if k.isUnits {
+	if k.isUnitLimit {
 		k.demand = k.inUse + k.backlog
 		return
 	}
@@ -80,13 +85,16 @@
 	k.demand = k.arrivalRate + k.backlog/backlogTarget.Seconds()
 }
 
-// due reports whether a request to the owner is due.
+// due reports whether a request to the owner is due: the share does not cover the
+// demand, the demand has changed by demandChange, or the renewal interval has passed.
 func (k *heldKey) due(now time.Time) bool {
 	changed := math.Abs(k.demand-k.reportedDemand) > demandChange*max(k.reportedDemand, 1)
 	return k.needsMore || changed || !now.Before(k.nextRequest)
 }
 
-// request returns the part of a request to the owner that describes the key.
+// request returns the part of a request to the owner that describes the key. The
+// reported burst includes units in use beyond the share, also after the lease has
+// expired.
 func (k *heldKey) request(now time.Time) KeyRequest {
 	kr := KeyRequest{
 		Key: k.name, Demand: float32(k.demand), Level: float32(k.bucket.level), Returned: k.returned,
@@ -100,14 +108,14 @@
 	return kr
 }
 
-// requested records that the key was included in a request sent now.
-func (k *heldKey) requested(now time.Time, cfg Config) {
-	renew := cfg.Renew
+// recordRequest records that the key is included in a request sent now.
+func (k *heldKey) recordRequest(now time.Time, cfg Config) {
+	interval := cfg.RenewInterval
 	if k.lowDemand && k.valid(now) {
-		renew = cfg.Lease / 2
+		interval = cfg.ShareLease / 2
 	}
 	k.reportedDemand, k.returned, k.needsMore = k.demand, 0, false
-	k.nextRequest = now.Add(renew)
+	k.nextRequest = now.Add(interval)
 }
 
 // apply replaces the share by that of a newer grant. It ignores a grant that is
--- a/internal/quota/holder.go
+++ b/internal/quota/holder.go
@@ -22,25 +22,25 @@
 	unitKeys          map[string]bool // keys that are limits of units
 	keys              map[string]*heldKey
 	order             []*heldKey // the keys in the order of their first use
-	// leaseReports tracks, by owner, the report of all leases.
+	// leaseReports tracks the report of all leases to each owner, by host.
 	leaseReports map[string]*leaseReport
-	// quietSince is when a token was last spent, or when the process started.
-	quietSince time.Time
+	// lastSpentAt is when a token was last spent, or when Requests was first called.
+	lastSpentAt time.Time
 }
 
 // leaseReport tracks whether an owner has acknowledged a request that lists all
 // leases of its keys (Request.Complete).
 type leaseReport struct {
-	// incarnation is the owner's, zero while unknown.
+	// incarnation is the incarnation of the owner, zero while unknown.
 	incarnation uint64
 	seq         uint64 // of the latest request that listed all leases
 	confirmed   bool
 	nextAttempt time.Time
 }
 
-// maxQuietPeriod bounds the reported quiet period. It is far longer than the time
-// in which any burst refills.
-const maxQuietPeriod = time.Hour
+// maxReportedIdleTime bounds Request.IdleMS. It is far longer than the time in which
+// any burst refills.
+const maxReportedIdleTime = time.Hour
 
 // leaseReportInterval is the retry interval of the report of all leases.
 const leaseReportInterval = 100 * time.Millisecond
@@ -53,13 +53,14 @@
 
 // Decision is the result of Take.
 type Decision struct {
-	// Granted is set if the tokens were spent. Otherwise Wait is the time after
-	// which to retry.
+	// Granted is set if the tokens were spent or the units taken. Otherwise Wait is
+	// the time after which to retry.
 	Granted bool
 	Wait    time.Duration
-	// Over is set if the demand of all hosts exceeds the limit: a request
-	// that cannot wait may then be refused because of its workspace's own load.
-	Over bool
+	// Overloaded is set if Granted is not and the demand of all hosts exceeds the
+	// limit. A request that cannot wait may then be refused, because the load of its
+	// own workspace is the cause.
+	Overloaded bool
 }
 
 // NewHolder returns the holder of an entry host.
@@ -106,7 +107,8 @@
 	}
 }
 
-// Take spends n tokens, or takes n units, if the holder's share covers them.
+// Take spends n tokens, or takes n units, if the holder's lease is valid and its share
+// covers them.
 func (h *Holder) Take(now time.Time, key string, n float64) Decision {
 	k := h.key(now, key)
 	k.advance(now)
@@ -114,22 +116,22 @@
 	switch {
 	case !k.valid(now):
 		k.needsMore = true
-		return Decision{Wait: requestInterval, Over: k.overloaded}
-	case k.isUnits && k.inUse+n <= k.bucket.share.Burst:
+		return Decision{Wait: requestInterval, Overloaded: k.overloaded}
+	case k.isUnitLimit && k.inUse+n <= k.bucket.share.Burst:
 		k.inUse += n
 		k.backlog = max(0, k.backlog-n)
 		return Decision{Granted: true}
-	case k.isUnits:
+	case k.isUnitLimit:
 		k.needsMore = true
-		return Decision{Wait: requestInterval, Over: k.overloaded}
+		return Decision{Wait: requestInterval, Overloaded: k.overloaded}
 	case k.bucket.level >= n:
 		k.bucket.level -= n
-		h.quietSince = now
+		h.lastSpentAt = now
 		k.backlog = max(0, k.backlog-n)
 		return Decision{Granted: true}
 	}
 	k.needsMore = true
-	return Decision{Wait: k.waitTime(n), Over: k.overloaded}
+	return Decision{Wait: k.waitTime(n), Overloaded: k.overloaded}
 }
 
 // Release gives back n units that were taken by Take.
@@ -146,7 +148,7 @@
 // share.
 func (h *Holder) Refund(now time.Time, key string, n float64) {
 	k := h.keys[key]
-	if k == nil || k.isUnits || !k.valid(now) {
+	if k == nil || k.isUnitLimit || !k.valid(now) {
 		return
 	}
 	k.advance(now)
@@ -154,7 +156,8 @@
 }
 
 // Units returns how many units of a key the holder may use now, and how many are
-// in use. If inUse exceeds allowed, the caller must release the difference.
+// in use. It allows none once the lease has expired. If inUse exceeds allowed, the
+// caller must release the difference.
 func (h *Holder) Units(now time.Time, key string) (allowed, inUse float64) {
 	k := h.keys[key]
 	if k == nil {
@@ -170,7 +173,7 @@
 func (h *Holder) key(now time.Time, name string) *heldKey {
 	k := h.keys[name]
 	if k == nil {
-		k = &heldKey{name: name, isUnits: h.unitKeys[name], measuredAt: now}
+		k = &heldKey{name: name, isUnitLimit: h.unitKeys[name], measuredAt: now}
 		k.bucket.refilledAt = now
 		h.keys[name] = k
 		h.order = append(h.order, k)
@@ -178,17 +181,17 @@
 	return k
 }
 
-// Batch is a request together with the host name of the owner it is addressed to.
+// Batch is a request with the host of the owner to which it is addressed.
 type Batch struct {
 	Owner   string
 	Request Request
 }
 
-// Requests returns the requests that are due, one per owner. It should be
-// called every 100 ms.
+// Requests returns the requests that are due, at most one per owner, and forgets the
+// keys that are idle. It should be called every 100 ms.
 func (h *Holder) Requests(now time.Time) []Batch {
-	if h.quietSince.IsZero() {
-		h.quietSince = now
+	if h.lastSpentAt.IsZero() {
+		h.lastSpentAt = now
 	}
 	h.pruneSent(now)
 	b := batcher{holder: h, index: map[string]int{}}
@@ -204,7 +207,7 @@
 		kept = append(kept, k)
 		if k.due(now) {
 			b.add(k, k.request(now))
-			k.requested(now, h.cfg)
+			k.recordRequest(now, h.cfg)
 		}
 	}
 	clear(h.order[len(kept):])
@@ -217,8 +220,8 @@
 }
 
 // reportAllLeases adds requests that list all leases, for the owners that have
-// not acknowledged one. An owner whose incarnation is still unknown gets a request
-// that is not complete; its reply carries the incarnation.
+// not acknowledged one. The request to an owner whose incarnation is still unknown is
+// not marked complete, since the owner ignores it; its reply carries the incarnation.
 func (h *Holder) reportAllLeases(now time.Time, b *batcher) {
 	for _, owner := range h.owners {
 		report := h.leaseReports[owner]
@@ -234,13 +237,13 @@
 		r := &b.batches[i].Request
 		r.Complete, report.seq = report.incarnation != 0, r.Seq
 		if r.Complete {
-			r.QuietMS = uint32(min(now.Sub(h.quietSince), maxQuietPeriod).Milliseconds())
+			r.IdleMS = uint32(min(now.Sub(h.lastSpentAt), maxReportedIdleTime).Milliseconds())
 		}
 		r.Keys = slices.DeleteFunc(r.Keys, func(kr KeyRequest) bool { return !kr.Release })
 		for _, k := range h.order {
 			if rendezvous.Owner(h.owners, k.name) == owner {
 				b.add(k, k.request(now))
-				k.requested(now, h.cfg)
+				k.recordRequest(now, h.cfg)
 			}
 		}
 	}
@@ -254,10 +257,11 @@
 	}
 }
 
-// isIdle reports whether a share should be released. The holder then drops the
-// key. Once the key is in use again, only replies to later requests are applied.
+// isIdle reports whether the holder should release its share of a key and drop the
+// key. Once the key is in use again, only replies to later requests are applied
+// (heldKey.firstSeq).
 func (h *Holder) isIdle(now time.Time, k *heldKey) bool {
-	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.Idle
+	return k.inUse == 0 && now.Sub(k.lastUse) > h.cfg.IdleTimeout
 }
 
 // batcher collects key requests into one request per owner.
@@ -297,11 +301,11 @@
 	return i
 }
 
-// pruneSent drops the send times of requests whose replies could only grant
-// expired leases.
+// pruneSent drops the send times of requests older than a lease: the grants in their
+// replies have already expired.
 func (h *Holder) pruneSent(now time.Time) {
 	old := 0
-	for old < len(h.sent) && now.Sub(h.sent[old].at) > h.cfg.Lease {
+	for old < len(h.sent) && now.Sub(h.sent[old].at) > h.cfg.ShareLease {
 		old++
 	}
 	h.sent = slices.Delete(h.sent, 0, old)
@@ -320,12 +324,12 @@
 // former process of the owner, to a former process of this host, and those whose
 // leases have already expired.
 func (h *Holder) Receive(now time.Time, r Reply) {
-	at, known := h.sentAt(r.Seq)
-	if !known || r.Epoch != h.epoch || r.HolderIncarnation != h.incarnation || r.Incarnation < h.ownerIncarnations[r.Owner] {
+	at, ok := h.sentAt(r.Seq)
+	if !ok || r.Epoch != h.epoch || r.HolderIncarnation != h.incarnation || r.Incarnation < h.ownerIncarnations[r.Owner] {
 		return
 	}
 	if r.Incarnation > h.ownerIncarnations[r.Owner] {
-		h.noteOwnerRestart(r.Owner, r.Incarnation)
+		h.recordOwnerRestart(r.Owner, r.Incarnation)
 	}
 	h.confirmLeaseReport(r)
 	expires := at.Add(time.Duration(r.LeaseMS) * time.Millisecond)
@@ -338,9 +342,9 @@
 	}
 }
 
-// noteOwnerRestart records a new incarnation of an owner and makes requests for
+// recordOwnerRestart records a new incarnation of an owner and makes requests for
 // all its keys due at once.
-func (h *Holder) noteOwnerRestart(owner string, incarnation uint64) {
+func (h *Holder) recordOwnerRestart(owner string, incarnation uint64) {
 	h.ownerIncarnations[owner] = incarnation
 	for _, k := range h.order {
 		if rendezvous.Owner(h.owners, k.name) == owner {
--- a/internal/quota/owned.go
+++ b/internal/quota/owned.go
@@ -5,19 +5,20 @@
 	"time"
 )
 
-// lowDemandFraction is the fraction of a limit below which demand counts as low.
+// lowDemandFraction is the fraction of a limit below which demand counts as low
+// (Grant.LowDemand).
 const lowDemandFraction = 0.5
 
-// overloadFraction is the multiple of a limit above which demand counts as
-// overload. It leaves a margin because the estimate includes waiting requests,
-// which are a short-lived backlog.
-const overloadFraction = 1.25
+// overloadFactor is the multiple of a limit above which demand counts as overload.
+// It leaves a margin because the demand includes waiting requests, which may be a
+// short-lived backlog.
+const overloadFactor = 1.25
 
 // A key is overloaded once its demand has exceeded the limit for overloadDelay, the
 // time constant of the demand estimate. For reconnectWindow after the whole limit
 // has become available, as when the fleet restarts, overload is not reported:
-// callers then reconnect all at once, and a rate of 1.5 times the usual load works
-// off an interruption of two seconds in four.
+// callers then reconnect all at once. A rate of 1.5 times the normal load serves the
+// backlog of an interruption of two seconds within four.
 const (
 	overloadDelay   = demandTimeConstant
 	reconnectWindow = 4 * time.Second
@@ -30,7 +31,7 @@
 	demand      float64
 	grants      []outstandingGrant // oldest first
 	inUse       float64            // units in use, as reported
-	// leased is the most that the holder may be using.
+	// leased is the maximum that the holder may be using (recomputeLeased).
 	leased Share
 }
 
@@ -44,8 +45,9 @@
 }
 
 // ownedKey is the state of one key at its owner. The part of the limit that is
-// neither leased nor reserved is the share of the pool, from which tokens are
-// granted.
+// neither leased nor reserved is free: it is the share of the pool, from which tokens
+// are granted. A new share is at most the holder's current lease plus the free part,
+// so grants never make leased and reserved exceed the limit together.
 type ownedKey struct {
 	cfg           Config
 	name          string
@@ -56,17 +58,18 @@
 	reserved Share
 	leased   Share // sum over holders
 	demand   float64
-	// overloadedSince is when the demand rose above the limit, zero while it is
-	// below.
+	// overloadedSince is when the demand rose above overloadFactor times the limit,
+	// zero while it is not above it.
 	overloadedSince time.Time
 	pool            bucket
-	// adopted is set once a lease of the former owner was reported.
+	// adopted is set once a lease that a former owner granted has been adopted.
 	adopted bool
-	// openedAt is when the whole limit became available; holderCount is the number
-	// of processes that may request shares of it.
-	openedAt    time.Time
-	holderCount int
-	holders     map[HolderID]*holderState
+	// fullyAvailableAt is when the whole limit became available because all leases
+	// were known, zero if it has not. holderCount is the number of processes that may
+	// request shares of it.
+	fullyAvailableAt time.Time
+	holderCount      int
+	holders          map[HolderID]*holderState
 }
 
 func newOwnedKey(cfg Config, name string, limit Limit, now, quarantineEnd time.Time) *ownedKey {
@@ -79,8 +82,8 @@
 	return k
 }
 
-// total returns the limit as a share. Its rate is reduced by the drift allowance
-// so that holders with fast clocks do not exceed it.
+// total returns the limit as a share. The rate is reduced by the drift allowance, so
+// that holders with fast clocks do not exceed the limit.
 func (k *ownedKey) total() Share {
 	return Share{Rate: k.limit.Rate / (1 + k.cfg.Drift), Burst: k.limit.Burst}
 }
@@ -91,6 +94,7 @@
 	k.resizePool(now)
 }
 
+// free returns the part of the limit that is neither leased nor reserved.
 func (k *ownedKey) free() Share {
 	return k.total().minus(k.leased).minus(k.reserved).max(Share{})
 }
@@ -133,14 +137,15 @@
 
 // acknowledge records which grant the holder uses and drops earlier ones.
 func (hs *holderState) acknowledge(stamp Stamp) {
-	hs.grants = slices.DeleteFunc(hs.grants, func(v outstandingGrant) bool { return v.stamp.Compare(stamp) < 0 })
+	hs.grants = slices.DeleteFunc(hs.grants, func(g outstandingGrant) bool { return g.stamp.Compare(stamp) < 0 })
 	if len(hs.grants) > 0 && hs.grants[0].stamp == stamp {
 		hs.grants[0].tokensInFlight = 0
 	}
 }
 
-// adopt takes over a lease that the former owner granted. It does so only during
-// the quarantine, and moves the share from the reserved part to the holder.
+// adopt records a lease that a former owner granted, and moves its share from the
+// reserved part to the holder. After the quarantine nothing is reserved and the lease
+// is ignored.
 func (k *ownedKey) adopt(now time.Time, hs *holderState, lease *HeldLease) {
 	if k.reserved == (Share{}) || lease.RemainingMS == 0 {
 		return
@@ -152,21 +157,21 @@
 	hs.grants = []outstandingGrant{{stamp: lease.Stamp, share: share, expires: now.Add(k.cfg.addDrift(remaining))}}
 }
 
-// recomputeLeased updates the most that a holder may be using: the largest of its
-// outstanding grants, its units in use, and tokens in flight.
+// recomputeLeased updates the maximum that a holder may be using: the largest of its
+// outstanding grants and of its units in use, plus the tokens in flight.
 func (k *ownedKey) recomputeLeased(now time.Time, hs *holderState) {
 	leased := Share{Burst: hs.inUse}
 	inFlight := 0.0
-	for _, v := range hs.grants {
-		if !now.Before(v.expires) {
+	for _, g := range hs.grants {
+		if !now.Before(g.expires) {
 			continue
 		}
 		// The tokens granted to a holder without a share arrive in an empty bucket, so
 		// the burst of the same grant covers them.
 		if leased != (Share{}) {
-			inFlight += v.tokensInFlight
+			inFlight += g.tokensInFlight
 		}
-		leased = leased.max(v.share)
+		leased = leased.max(g.share)
 	}
 	leased.Burst += inFlight
 	k.leased = k.leased.plus(leased.minus(hs.leased))
@@ -177,7 +182,7 @@
 // grant computes the holder's share and records it as an outstanding grant.
 func (k *ownedKey) grant(now time.Time, hs *holderState, kr KeyRequest, stamp Stamp) Grant {
 	share := k.chooseShare(now, hs)
-	hs.grants = append(hs.grants, outstandingGrant{stamp: stamp, share: share, expires: now.Add(k.cfg.addDrift(k.cfg.Lease))})
+	hs.grants = append(hs.grants, outstandingGrant{stamp: stamp, share: share, expires: now.Add(k.cfg.addDrift(k.cfg.ShareLease))})
 	level := k.pool.level
 	k.recomputeLeased(now, hs)
 	var tokens float64
@@ -194,16 +199,16 @@
 	}
 }
 
-// overloaded reports whether the demand has exceeded the limit for overloadDelay,
-// outside the reconnectWindow.
+// overloaded reports whether the demand has exceeded overloadFactor times the limit
+// for overloadDelay, outside the reconnectWindow.
 func (k *ownedKey) overloaded(now time.Time) bool {
 	switch {
-	case k.demand <= overloadFraction*k.limit.capacity():
+	case k.demand <= overloadFactor*k.limit.capacity():
 		k.overloadedSince = time.Time{}
 	case k.overloadedSince.IsZero():
 		k.overloadedSince = now
 	}
-	return !k.overloadedSince.IsZero() && now.Sub(k.overloadedSince) >= overloadDelay && now.Sub(k.openedAt) >= reconnectWindow
+	return !k.overloadedSince.IsZero() && now.Sub(k.overloadedSince) >= overloadDelay && now.Sub(k.fullyAvailableAt) >= reconnectWindow
 }
 
 // capacity returns the limit in the unit of demand: tokens per second, or units.
@@ -222,23 +227,24 @@
 	return hs.grants[len(hs.grants)-1].share
 }
 
-// expire reclaims expired leases.
+// expire reclaims expired leases, and removes holders that have neither a grant nor
+// sent a request for the time of a lease.
 func (k *ownedKey) expire(now time.Time) {
 	k.advance(now)
 	for id, hs := range k.holders {
-		hs.grants = slices.DeleteFunc(hs.grants, func(v outstandingGrant) bool { return !now.Before(v.expires) })
+		hs.grants = slices.DeleteFunc(hs.grants, func(g outstandingGrant) bool { return !now.Before(g.expires) })
 		k.recomputeLeased(now, hs)
 		// During the quarantine the holder's sequence number is kept, so that a delayed
 		// request cannot be adopted twice.
-		silent := now.After(hs.lastRequest.Add(k.cfg.addDrift(k.cfg.Lease)))
-		if len(hs.grants) == 0 && silent && !now.Before(k.quarantineEnd) {
+		inactive := now.After(hs.lastRequest.Add(k.cfg.addDrift(k.cfg.ShareLease)))
+		if len(hs.grants) == 0 && inactive && !now.Before(k.quarantineEnd) {
 			k.removeHolder(id, hs)
 		}
 	}
 	k.resizePool(now)
 }
 
-// removeHolder reclaims all that is leased to a holder.
+// removeHolder removes a holder, and with it its lease and its demand.
 func (k *ownedKey) removeHolder(id HolderID, hs *holderState) {
 	k.leased = k.leased.minus(hs.leased)
 	k.demand -= hs.demand
--- a/internal/quota/owner.go
+++ b/internal/quota/owner.go
@@ -17,21 +17,21 @@
 	owners      []string
 	// ownedSince is when this process last took over keys: its start or the latest
 	// change of the epoch.
-	ownedSince   time.Time
-	authorityEnd time.Time
-	limits       map[string]Limit
-	neverLeased  map[string]bool // limits without any former lease
-	keys         map[string]*ownedKey
-	lastID       uint64
-	// holders are the processes that may hold leases. reported are those that have
-	// reported all their leases to this owner in this epoch; leasesKnown is set once
-	// all holders have.
+	ownedSince    time.Time
+	ownerLeaseEnd time.Time
+	limits        map[string]Limit
+	neverLeased   map[string]bool // keys of which no lease was ever granted
+	keys          map[string]*ownedKey
+	lastID        uint64
+	// holders are the processes that may hold leases. reported contains the processes
+	// that have reported all their leases to this owner in this epoch. leasesKnown is
+	// set once it contains all holders.
 	holders     []HolderID
 	reported    map[HolderID]bool
 	leasesKnown bool
-	// quietSince is the latest time at which a token may have been spent, according
+	// lastSpentAt is the latest time at which a token may have been spent, according
 	// to the holders' lease reports.
-	quietSince time.Time
+	lastSpentAt time.Time
 }
 
 // NewOwner returns the Owner of a control host. The incarnation must be greater
@@ -56,7 +56,7 @@
 	o.epoch, o.owners, o.ownedSince = epoch, slices.Clone(owners), now
 	clear(o.neverLeased)
 	clear(o.reported)
-	o.leasesKnown, o.quietSince = false, time.Time{}
+	o.leasesKnown, o.lastSpentAt = false, time.Time{}
 	for key := range o.keys {
 		if !next || rendezvous.Owner(o.owners, key) != o.host {
 			delete(o.keys, key)
@@ -64,22 +64,22 @@
 	}
 }
 
-// SetAuthority sets the time until which the host may act as owner: the end of
-// its configuration lease.
-func (o *Owner) SetAuthority(until time.Time) { o.authorityEnd = until }
+// SetOwnerLease sets the time until which the host may act as owner: the end of its
+// configuration lease.
+func (o *Owner) SetOwnerLease(until time.Time) { o.ownerLeaseEnd = until }
 
-// SetLimit sets the limit of a key. If fresh is set, no lease of the key can exist
-// because the key is new in the fleet; its whole burst is then available at once.
-// A zero limit removes the key.
-func (o *Owner) SetLimit(now time.Time, key string, limit Limit, fresh bool) {
+// SetLimit sets the limit of a key. If neverLeased is set, no lease of the key can
+// exist because the key is new in the fleet; its whole burst is then available at
+// once. A zero limit removes the key.
+func (o *Owner) SetLimit(now time.Time, key string, limit Limit, neverLeased bool) {
 	if limit == (Limit{}) {
 		delete(o.limits, key)
 		delete(o.keys, key)
-		o.quietSince = now // holders may still spend their leases of the key
+		o.lastSpentAt = now // holders may still spend their leases of the key
 		return
 	}
 	o.limits[key] = limit
-	if fresh {
+	if neverLeased {
 		o.neverLeased[key] = true
 	}
 	if k := o.keys[key]; k != nil {
@@ -94,21 +94,23 @@
 	o.endQuarantine(now)
 }
 
-// recordLeaseReport records that a holder has reported all its leases and how long
-// ago it last spent a token. Once all holders have reported, no lease is unknown,
-// and the buckets of keys without a lease have refilled since the last spending.
-func (o *Owner) recordLeaseReport(now time.Time, id HolderID, quiet time.Duration) {
+// recordLeaseReport records that a holder has reported all its leases, and how long
+// ago it last spent a token. Once all holders have reported, no lease is unknown, and
+// the buckets of keys without a lease have refilled since lastSpentAt.
+func (o *Owner) recordLeaseReport(now time.Time, id HolderID, idle time.Duration) {
 	o.reported[id] = true
-	if since := now.Add(-quiet); since.After(o.quietSince) {
-		o.quietSince = since
+	if since := now.Add(-idle); since.After(o.lastSpentAt) {
+		o.lastSpentAt = since
 	}
 	o.endQuarantine(now)
 }
 
 // LeasesKnown reports whether every holder has reported its leases to this owner in
-// the current epoch, and the latest time at which any of them may have spent a
-// token before its report.
-func (o *Owner) LeasesKnown() (bool, time.Time) { return o.leasesKnown, o.quietSince }
+// the current epoch. It also returns the latest time at which any of them may have
+// spent a token before its report.
+func (o *Owner) LeasesKnown() (bool, time.Time) {
+	return o.leasesKnown, o.lastSpentAt
+}
 
 // endQuarantine makes the whole limit of all keys available once every holder has
 // reported its leases.
@@ -125,28 +127,28 @@
 	for _, k := range o.keys {
 		k.quarantineEnd = now
 		k.advance(now)
-		k.openedAt, k.holderCount = now, len(o.holders)
+		k.fullyAvailableAt, k.holderCount = now, len(o.holders)
 		if k.unleased() {
-			k.pool.creditQuietPeriod(now.Sub(o.quietSince))
+			k.pool.creditIdleTime(now.Sub(o.lastSpentAt))
 		}
 	}
 }
 
 // Handle answers a request. A request for another epoch or another incarnation of
-// this host, or one that arrives after the host's authority has ended, gets a reply
+// this host, or one that arrives after the end of the owner lease, gets a reply
 // without grants; the reply carries the incarnation that the holder must address.
 func (o *Owner) Handle(now time.Time, req Request) Reply {
 	reply := Reply{
 		Owner: o.host, Epoch: o.epoch, Incarnation: o.incarnation,
 		HolderIncarnation: req.Incarnation, Seq: req.Seq,
-		LeaseMS: uint32(o.cfg.Lease.Milliseconds()),
+		LeaseMS: uint32(o.cfg.ShareLease.Milliseconds()),
 	}
-	if req.Epoch != o.epoch || req.OwnerIncarnation != o.incarnation || !now.Before(o.authorityEnd) {
+	if req.Epoch != o.epoch || req.OwnerIncarnation != o.incarnation || !now.Before(o.ownerLeaseEnd) {
 		return reply
 	}
 	if reply.Complete = req.Complete; reply.Complete {
-		quiet := time.Duration(req.QuietMS) * time.Millisecond
-		defer o.recordLeaseReport(now, HolderID{req.Host, req.Incarnation}, o.cfg.subtractDrift(quiet))
+		idle := time.Duration(req.IdleMS) * time.Millisecond
+		defer o.recordLeaseReport(now, HolderID{req.Host, req.Incarnation}, o.cfg.subtractDrift(idle))
 	}
 	for _, kr := range req.Keys {
 		if g, ok := o.handleKey(now, HolderID{req.Host, req.Incarnation}, req.Seq, kr); ok {
@@ -182,8 +184,10 @@
 	return k.grant(now, hs, kr, Stamp{Epoch: o.epoch, Incarnation: o.incarnation, ID: o.lastID}), true
 }
 
-// key returns the state of a key, which it creates if needed, or nil if this host
-// does not own the key.
+// key returns the state of a key, which it creates if needed, or nil if the key has no
+// limit or this host does not own it. A new key is in quarantine until all leases of
+// former owners have expired, unless none were granted or all are known. A former
+// owner may grant leases for the duration of an owner lease after ownedSince.
 func (o *Owner) key(now time.Time, key string) *ownedKey {
 	if k := o.keys[key]; k != nil {
 		return k
@@ -192,7 +196,7 @@
 	if !known || rendezvous.Owner(o.owners, key) != o.host {
 		return nil
 	}
-	quarantineEnd := o.ownedSince.Add(o.cfg.addDrift(o.cfg.Authority + o.cfg.Lease))
+	quarantineEnd := o.ownedSince.Add(o.cfg.addDrift(o.cfg.OwnerLease + o.cfg.ShareLease))
 	if o.neverLeased[key] || o.leasesKnown {
 		quarantineEnd = o.ownedSince
 	}
@@ -201,10 +205,10 @@
 		k.pool.level = limit.Burst
 		delete(o.neverLeased, key)
 	} else if o.leasesKnown {
-		k.pool.creditQuietPeriod(now.Sub(o.quietSince))
+		k.pool.creditIdleTime(now.Sub(o.lastSpentAt))
 	}
 	if o.leasesKnown {
-		k.openedAt, k.holderCount = now, len(o.holders)
+		k.fullyAvailableAt, k.holderCount = now, len(o.holders)
 	}
 	o.keys[key] = k
 	return k
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -116,22 +116,22 @@
 					return
 				}
 			}
-			t.Fatal("no run exceeded a limit")
+			t.Fatal("spendCheck reported no violation in any run with the injected fault")
 		})
 	}
 }
 
 // load is a stream of requests that are retried until they are granted or have
-// waited longer than patience.
+// waited longer than maxWait.
 type load struct {
-	fleet    *fleet
-	key      string
-	rate     float64 // requests per second over all hosts
-	patience time.Duration
-	waiting  []waiting
-	served   int
-	refused  int
-	perHost  map[string]int
+	fleet   *fleet
+	key     string
+	rate    float64 // requests per second over all hosts
+	maxWait time.Duration
+	waiting []waiting
+	served  int
+	refused int
+	perHost map[string]int
 }
 
 type waiting struct {
@@ -165,23 +165,23 @@
 }
 
 func (l *load) retry() {
-	var still []waiting
+	var remaining []waiting
 	for _, w := range l.waiting {
 		switch {
 		case l.fleet.retry(w.entry, l.key):
 			l.done(w.entry)
-		case l.fleet.now-w.since > l.patience:
+		case l.fleet.now-w.since > l.maxWait:
 			l.refused++
 			w.entry.holder.Withdraw(l.key, 1)
 		default:
-			still = append(still, w)
+			remaining = append(remaining, w)
 		}
 	}
-	l.waiting = still
+	l.waiting = remaining
 }
 
 func newLoad(f *fleet, key string, rate float64) *load {
-	return &load{fleet: f, key: key, rate: rate, patience: 3 * time.Second, perHost: map[string]int{}}
+	return &load{fleet: f, key: key, rate: rate, maxWait: 3 * time.Second, perHost: map[string]int{}}
 }
 
 // TestLoadWithinRateIsServed issues 85% of a rate through 9 hosts while the owners
@@ -200,7 +200,7 @@
 		f.propagateEpoch()
 		l.run(rng, 20*time.Second)
 		if l.refused > 0 || f.violation() != "" {
-			t.Errorf("seed %d: %d refused of %d, violation %q", seed, l.refused, l.served+l.refused, f.violation())
+			t.Errorf("seed %d: %d of %d requests refused, want none; violation %q", seed, l.refused, l.served+l.refused, f.violation())
 		}
 	}
 }
@@ -212,23 +212,23 @@
 	l := newLoad(f, "workspace/a", 600)
 	l.run(rand.New(rand.NewPCG(1, 9)), 60*time.Second)
 	if used := float64(l.served) / (200 * 60); used < 0.9 || f.violation() != "" {
-		t.Fatalf("used %.2f of the rate, violation %q", used, f.violation())
+		t.Fatalf("used %.2f of the rate, want at least 0.9; violation %q", used, f.violation())
 	}
-	if !f.entries[0].holder.Take(f.entries[0].clock(f.now), "workspace/a", 1000).Over {
+	if !f.entries[0].holder.Take(f.entries[0].clock(f.now), "workspace/a", 1000).Overloaded {
 		t.Fatal("overload of the workspace is not reported")
 	}
 }
 
-// TestReconnectSurgeIsNotOverload issues the requests of two seconds at once, as
-// callers do that reconnect after an interruption. Overload must not be reported
-// for such a surge, nor for the normal load that follows.
-func TestReconnectSurgeIsNotOverload(t *testing.T) {
+// TestReconnectSurgeNotReportedAsOverload issues the requests of two seconds at once,
+// as callers do that reconnect after an interruption. Overload must not be reported for
+// them, nor for the normal load that follows.
+func TestReconnectSurgeNotReportedAsOverload(t *testing.T) {
 	f := newFleet(1, 3, 3, map[string]Limit{"k": {Rate: 160, Burst: 10}})
 	f.step(time.Millisecond)
 	for i := range 200 {
 		f.take(f.entries[i%len(f.entries)], "k")
 	}
-	offered := func(d time.Duration) (over bool) {
+	overloadReported := func(d time.Duration) (overloaded bool) {
 		for range int(d / (50 * time.Millisecond)) {
 			for i := range 5 { // 100 a second
 				f.take(f.entries[i%len(f.entries)], "k")
@@ -236,22 +236,22 @@
 			f.step(50 * time.Millisecond)
 			for _, e := range f.entries {
 				e.waiting = slices.DeleteFunc(e.waiting, func(key string) bool { return f.retry(e, key) })
-				over = over || e.holder.Take(e.clock(f.now), "k", 1000).Over
+				overloaded = overloaded || e.holder.Take(e.clock(f.now), "k", 1000).Overloaded
 			}
 		}
-		return over
+		return overloaded
 	}
-	if offered(reconnectWindow - 100*time.Millisecond) {
-		t.Error("a surge of reconnecting callers is reported as overload")
+	if overloadReported(reconnectWindow - 100*time.Millisecond) {
+		t.Error("the requests of reconnecting callers are reported as overload")
 	}
-	if offered(reconnectWindow); offered(reconnectWindow) {
+	if overloadReported(reconnectWindow); overloadReported(reconnectWindow) {
 		t.Error("normal load is reported as overload")
 	}
 }
 
-// TestDeadHolderShareIsReclaimed checks that units held by a process that has
+// TestUnitsReclaimedAfterHolderEnds checks that units held by a process that has
 // ended become available to another host.
-func TestDeadHolderShareIsReclaimed(t *testing.T) {
+func TestUnitsReclaimedAfterHolderEnds(t *testing.T) {
 	f := newFleet(1, 1, 2, map[string]Limit{"endpoint/x": {Burst: 4}})
 	taken := func(e *entry) float64 {
 		for range 200 {
@@ -266,7 +266,7 @@
 		t.Fatalf("one holder got %v of 4 units", got)
 	}
 	if got := taken(f.entries[1]); got != 0 {
-		t.Fatalf("the second holder got %v units in use by the first", got)
+		t.Fatalf("the second holder got %v units while the first uses all, want 0", got)
 	}
 	f.startHolder(f.entries[0])
 	if got := taken(f.entries[1]); got != 4 {
@@ -274,18 +274,18 @@
 	}
 }
 
-// TestSmallRateIsUsedByImpatientCallers issues twice a rate of a few tokens per
+// TestSmallRateUsedWithShortWaits issues twice a rate of a few tokens per
 // second and host, from callers that wait at most 100 ms. It guards against tokens
 // lost in the buckets of hosts without requests: at least seven eighths of the rate
 // must be used.
-func TestSmallRateIsUsedByImpatientCallers(t *testing.T) {
+func TestSmallRateUsedWithShortWaits(t *testing.T) {
 	const rate = 20.0
 	used := 0.0
 	const seeds = 5
 	for seed := range uint64(seeds) {
 		f := newFleet(seed, 3, 9, map[string]Limit{"workspace/a": {Rate: rate, Burst: rate}})
 		l := newLoad(f, "workspace/a", 2*rate)
-		l.patience = 100 * time.Millisecond
+		l.maxWait = 100 * time.Millisecond
 		l.run(rand.New(rand.NewPCG(seed, 9)), 60*time.Second)
 		used += float64(l.served) / (rate * 60) / seeds
 		if v := f.violation(); v != "" {
@@ -293,6 +293,6 @@
 		}
 	}
 	if used < 7.0/8 {
-		t.Errorf("used %.2f of the rate", used)
+		t.Errorf("used %.2f of the rate, want at least 0.875", used)
 	}
 }
--- a/internal/quota/report.go
+++ b/internal/quota/report.go
@@ -2,18 +2,18 @@
 
 import "time"
 
-// ReportUsage sets how many units of a key the host has in use and its demand for
-// units. It is for callers that count their units themselves, in place of Take and
-// Release. Units in use beyond the demand, such as idle connections, count against
-// the limit until they are given up.
-func (h *Holder) ReportUsage(now time.Time, key string, inUse, wanted float64) {
+// ReportUsage sets how many units of a key the host has in use, and its total demand
+// for units. It replaces Take and Release for callers that count their units
+// themselves. Units in use beyond the demand, such as idle connections, count against
+// the limit until they are released.
+func (h *Holder) ReportUsage(now time.Time, key string, inUse, demand float64) {
 	k := h.key(now, key)
-	k.isUnits, k.callerCounts = true, true
-	k.inUse, k.unitDemand = inUse, wanted
-	if !k.valid(now) || wanted > k.bucket.share.Burst {
+	k.isUnitLimit, k.callerCounts = true, true
+	k.inUse, k.unitDemand = inUse, demand
+	if !k.valid(now) || demand > k.bucket.share.Burst {
 		k.needsMore = true
 	}
-	if wanted > 0 {
+	if demand > 0 {
 		k.lastUse = now
 	}
 }
--- a/internal/quota/share.go
+++ b/internal/quota/share.go
@@ -6,17 +6,17 @@
 )
 
 // hysteresis is the minimum change of a share's rate, as a fraction of the mean
-// share. Smaller changes keep the rate of the latest grant.
+// share. A smaller change is not applied: the rate of the latest grant is kept.
 const hysteresis = 0.1
 
 // spareFraction is the fraction of the unrequested rate that holders get in
-// advance. The rest stays with the owner, one round trip from any holder that
-// needs more.
+// advance. The rest stays with the owner, from where a holder that needs more gets it
+// in one round trip.
 const spareFraction = 0.5
 
 // equalShareTime is how long after the whole limit has become available a holder's
-// target is at most an equal share. Otherwise the first to request would get
-// everything, and give it up only after a round trip or two (100 ms each).
+// target is at most an equal share. Otherwise the first holder to request would get
+// the whole limit, and give it up only after one or two requests (requestInterval).
 const equalShareTime = 400 * time.Millisecond
 
 // pooledFraction is the fraction of a rate that stays in the owner's pool if each
@@ -30,12 +30,12 @@
 // rate is pooled. One request and reply per token then cost less than 5 KB/s.
 const smallShareRate = 20
 
-// minPoolTime is the minimum time of its rate that a burst must cover for the rate
-// to be pooled: the burst bounds the tokens that the owner can grant between two
-// requests of a holder (requestInterval).
+// minPoolTime is the minimum of burst divided by rate for the rate to be pooled: the
+// burst bounds the tokens that the owner can grant between two requests of a holder
+// (requestInterval).
 const minPoolTime = 5 * requestInterval
 
-// minBurst is the smallest useful share: a bucket must hold one token.
+// minBurst is the smallest useful burst, in tokens: a bucket must hold one token.
 const minBurst = 1
 
 // chooseShare returns the share that the holder should have. It never exceeds the
@@ -47,7 +47,7 @@
 	}
 	target := k.targetFor(hs)
 	total := k.total()
-	if k.holderCount > 0 && now.Sub(k.openedAt) < equalShareTime {
+	if k.holderCount > 0 && now.Sub(k.fullyAvailableAt) < equalShareTime {
 		target = min(target, total.Rate/float64(k.holderCount))
 	}
 	share := Share{Rate: target}
@@ -64,9 +64,9 @@
 }
 
 // targetFor returns the holder's part of the capacity that is not pooled. If the
-// demand exceeds it, the capacity is divided in proportion to demand. Otherwise
-// the holder gets its demand plus an equal part of the spare capacity, of which one
-// part stays with the owner for new holders.
+// demand exceeds it, the capacity is divided in proportion to demand. Otherwise the
+// holder gets its demand plus an equal part of the spare capacity, of which a part of
+// the same size stays with the owner for new holders.
 func (k *ownedKey) targetFor(hs *holderState) float64 {
 	capacity := k.total().Rate
 	if k.limit.Rate == 0 {
@@ -100,15 +100,15 @@
 	if hs.demand > 0 {
 		target = max(target, 1)
 	}
-	if target+1 <= hs.demand && available.Burst-k.owedToOthers(hs) >= target+1 {
+	if target+1 <= hs.demand && available.Burst-k.claimableByOthers(hs) >= target+1 {
 		target++
 	}
 	return Share{Burst: math.Floor(min(target, available.Burst))}
 }
 
-// owedToOthers returns the number of units that the other holders may still
-// request within their targets.
-func (k *ownedKey) owedToOthers(hs *holderState) float64 {
+// claimableByOthers returns the number of units that the other holders demand, within
+// their targets, and do not lease yet.
+func (k *ownedKey) claimableByOthers(hs *holderState) float64 {
 	total := 0.0
 	for _, other := range k.holders {
 		if other != hs {
--- a/internal/quota/takeover_test.go
+++ b/internal/quota/takeover_test.go
@@ -31,7 +31,7 @@
 	f.changeOwners(remaining)
 	f.propagateEpoch()
 	granted := 0
-	for range 40 { // two seconds, less than Config.Authority alone
+	for range 40 { // two seconds, less than the default of Config.OwnerLease alone
 		f.step(50 * time.Millisecond)
 		f.take(f.entries[1], "k") // had no share under the former owner
 	}
@@ -117,7 +117,7 @@
 		waiting += len(e.waiting)
 	}
 	if served := offered - waiting; served < 150 { // three quarters
-		t.Errorf("served %d of about 200 tokens in the second after a quiet second", served)
+		t.Errorf("served %d of about 200 requests after an idle second, want at least 150", served)
 	}
 	if v := f.violation(); v != "" {
 		t.Error(v)
@@ -132,12 +132,12 @@
 	o := NewOwner(Config{}, "c", 1, now)
 	o.SetEpoch(now, 1, []string{"c"})
 	o.SetHolders(now, []HolderID{{"h", 1}})
-	o.SetAuthority(now.Add(time.Minute))
+	o.SetOwnerLease(now.Add(time.Minute))
 	o.SetLimit(now, "k", Limit{Rate: 10, Burst: 10}, false)
 	o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, OwnerIncarnation: 1, Seq: 1, Complete: true})
 	o.SetHolders(now, []HolderID{{"h", 2}})
 	reply := o.Handle(now, Request{Host: "h", Incarnation: 2, Epoch: 1, OwnerIncarnation: 1, Seq: 2, Keys: []KeyRequest{{Key: "k", Demand: 1}}})
 	if len(reply.Grants) != 1 || reply.Grants[0].Share.Rate == 0 {
-		t.Errorf("grants %+v", reply.Grants)
+		t.Errorf("grants %+v, want one with a rate", reply.Grants)
 	}
 }
--- a/internal/quota/types.go
+++ b/internal/quota/types.go
@@ -7,38 +7,37 @@
 
 // Defaults of Config.
 const (
-	DefaultLease     = 8 * time.Second
-	DefaultAuthority = 3 * time.Second
-	// DefaultRenew bounds how long a new holder of a contended key waits
+	DefaultShareLease = 8 * time.Second
+	DefaultOwnerLease = 3 * time.Second
+	// DefaultRenewInterval bounds how long a new holder of a contended key waits
 	// until the other holders' shares shrink.
-	DefaultRenew = time.Second
-	DefaultIdle  = 2 * time.Second
-	// DefaultDrift is the maximum relative difference between the clock rates
-	// of two hosts.
-	DefaultDrift = 0.001
+	DefaultRenewInterval = time.Second
+	DefaultIdleTimeout   = 2 * time.Second
+	DefaultDrift         = 0.001
 )
 
 // Config holds the settings shared by owners and holders. Zero values select
 // the defaults.
 type Config struct {
-	// Lease is how long a holder may use a share after its request was sent.
-	Lease time.Duration
-	// Authority is how long a control host that has been replaced may still act
-	// as owner before it notices: the duration of a configuration lease.
-	Authority time.Duration
-	// Renew is the interval between requests for a key with steady demand.
-	// For a key with low demand (Grant.LowDemand) it is half the lease.
-	Renew time.Duration
-	// Idle is the time without demand after which a holder releases a share.
-	Idle  time.Duration
+	// ShareLease is how long a holder may use a share after its request was sent.
+	ShareLease time.Duration
+	// OwnerLease is how long a control host that has been replaced may still act as
+	// owner: the duration of its configuration lease.
+	OwnerLease time.Duration
+	// RenewInterval is the interval between requests for a key with steady demand.
+	// For a key with low demand (Grant.LowDemand) it is half of ShareLease.
+	RenewInterval time.Duration
+	// IdleTimeout is the time without use after which a holder releases a share.
+	IdleTimeout time.Duration
+	// Drift is the maximum relative difference between the clock rates of two hosts.
 	Drift float64
 }
 
 func (c Config) withDefaults() Config {
-	c.Lease = cmp.Or(c.Lease, DefaultLease)
-	c.Authority = cmp.Or(c.Authority, DefaultAuthority)
-	c.Renew = cmp.Or(c.Renew, DefaultRenew)
-	c.Idle = cmp.Or(c.Idle, DefaultIdle)
+	c.ShareLease = cmp.Or(c.ShareLease, DefaultShareLease)
+	c.OwnerLease = cmp.Or(c.OwnerLease, DefaultOwnerLease)
+	c.RenewInterval = cmp.Or(c.RenewInterval, DefaultRenewInterval)
+	c.IdleTimeout = cmp.Or(c.IdleTimeout, DefaultIdleTimeout)
 	c.Drift = cmp.Or(c.Drift, DefaultDrift)
 	return c
 }
@@ -91,7 +90,7 @@
 type Request struct {
 	Host        string `cbor:"1,keyasint"`
 	Incarnation uint64 `cbor:"2,keyasint"`
-	// Epoch is the number of the set of owners that the holder uses.
+	// Epoch identifies the set of owners that the holder uses.
 	Epoch uint64 `cbor:"3,keyasint"`
 	// OwnerIncarnation is the incarnation of the owner last seen by the holder. An
 	// owner ignores a request for another incarnation: it may have been sent to a
@@ -104,9 +103,9 @@
 	// owner's keys. Once all holders have sent such a request in the current epoch,
 	// the owner need not wait for unreported leases to expire.
 	Complete bool `cbor:"7,keyasint,omitempty"`
-	// QuietMS is the time since the process last spent a token, in milliseconds,
+	// IdleMS is the time since the process last spent a token, in milliseconds,
 	// rounded down. It is sent with Complete.
-	QuietMS uint32 `cbor:"8,keyasint,omitempty"`
+	IdleMS uint32 `cbor:"8,keyasint,omitempty"`
 }
 
 // KeyRequest is the part of a request for one key.
@@ -165,7 +164,7 @@
 	Tokens float64 `cbor:"4,keyasint,omitempty"`
 	// Overloaded is set if the total demand of all holders exceeds the limit.
 	Overloaded bool `cbor:"5,keyasint,omitempty"`
-	// LowDemand is set if the demand is so far below the limit that a new holder
-	// can be served from the unleased part.
+	// LowDemand is set if the total demand is below half of the limit, so that a new
+	// holder can be served from the free part.
 	LowDemand bool `cbor:"6,keyasint,omitempty"`
 }
