--- a/internal/admit/fair.go
+++ b/internal/admit/fair.go
@@ -40,10 +40,9 @@
 }
 
 // classQueue is a start-time fair queue (SFQ) over the workspaces of one class.
-// active contains exactly the flows that have waiters.
+// active contains exactly the flows that have waiters, in no particular order.
 type classQueue struct {
-	flows map[string]*flow
-	// active lists the flows with waiters.
+	flows  map[string]*flow
 	active []*flow
 	// virtualTime is the lowest start tag at the time of the latest pop. It never
 	// decreases.
@@ -93,7 +92,7 @@
 	}
 	next := c.lowestTag(nil, math.Inf(1))
 	// The virtual time advances to the lowest start tag even if another flow is
-	// served: a flow that is passed over must keep its place.
+	// served: a flow that is passed over must not lose its precedence.
 	c.virtualTime = max(c.virtualTime, next.start)
 	if ready != nil && !ready(next.workspace) {
 		if f := c.lowestTag(ready, next.start+ReadySlack.Seconds()); f != nil {
@@ -108,7 +107,7 @@
 	return w
 }
 
-// take removes the first waiter, or the newest if the first has waited for
+// take removes and returns the first waiter, or the newest if the first has waited for
 // lifoAfter.
 func (f *flow) take(now time.Time) *waiter {
 	at := 0
@@ -135,9 +134,11 @@
 	return next
 }
 
+// charge returns the estimated slot time of a request of the workspace.
 func (c *classQueue) charge(r Request) time.Duration { return c.flows[r.Workspace].cost }
 
-// settle replaces the estimated charge by the slot time that was used.
+// settle replaces the estimated charge by the slot time that was used. The flow still
+// exists, because prune keeps flows with running requests.
 func (c *classQueue) settle(r runningRequest, used time.Duration) {
 	f := c.flows[r.request.Workspace]
 	f.running--
@@ -148,7 +149,9 @@
 	f.cost += time.Duration(costGain * float64(used-f.cost))
 }
 
-// prune removes idle flows whose finish tag is not ahead of the virtual time.
+// prune removes idle flows whose finish tag is not ahead of the virtual time. A later
+// request of such a workspace gets the same start tag in a new flow. Only the estimate of
+// its cost starts anew.
 func (c *classQueue) prune() {
 	if len(c.flows)-len(c.active) < maxIdleFlows {
 		return
--- a/internal/admit/floor.go
+++ b/internal/admit/floor.go
@@ -9,30 +9,30 @@
 // maxCredit bounds the slot time that a floor accumulates, per slot.
 const maxCredit = 100 * time.Millisecond
 
-// floor guarantees a class a minimum share of slot time. While the class has
+// floor gives a class a minimum share of slot time. While the class has
 // waiters it accrues credit for its share of all slots. The slot time of its
 // completed requests is deducted from the credit.
 type floor struct {
 	class note.Class
 	share float64
 	// credit is in seconds of slot time, negative if the class used more than its
-	// share. It stays between -maxDebt and maxCredit per slot.
+	// share. It stays between -maxDebt and maxCredit times the number of slots.
 	credit     float64
 	updated    time.Time
-	wasWaiting bool
+	hadWaiters bool
 }
 
 // accrue adds the credit earned since the last call, and records whether the class
-// has waiters from now on. A class without waiters keeps no positive credit.
-func (f *floor) accrue(now time.Time, l load, waits bool) {
-	if f.wasWaiting && now.After(f.updated) {
+// has waiters now. A class without waiters keeps no positive credit.
+func (f *floor) accrue(now time.Time, l load, hasWaiters bool) {
+	if f.hadWaiters && now.After(f.updated) {
 		earned := now.Sub(f.updated).Seconds() * f.share * float64(l.slots)
 		f.credit = min(f.credit+earned, maxCredit.Seconds()*float64(l.slots))
 	}
-	if !waits && f.credit > 0 {
+	if !hasWaiters && f.credit > 0 {
 		f.credit = 0
 	}
-	f.updated, f.wasWaiting = now, waits
+	f.updated, f.hadWaiters = now, hasWaiters
 }
 
 // spend deducts the slot time of a completed request from the credit. The debt is
--- a/internal/admit/queue.go
+++ b/internal/admit/queue.go
@@ -12,32 +12,32 @@
 // load is the current use of an endpoint's slots.
 type load struct {
 	slots   int
-	total   int
-	running map[note.Class]int
+	total   int                // running requests
+	running map[note.Class]int // running requests by class
 }
 
 // Queue admits requests to the slots of one endpoint. Each request gets exactly one
 // Start or Refuse unless it is cancelled while it waits. Queue is not safe for
 // concurrent use.
 type Queue struct {
-	cfg        Config
-	discipline discipline
-	waiting    map[uint64]*waiter
-	running    map[uint64]runningRequest
-	byClass    map[note.Class]int
-	queued     map[string]int // waiting requests by workspace
-	deadlines  deadlineHeap
-	effects    []Effect
+	cfg                Config
+	discipline         discipline
+	waiting            map[uint64]*waiter
+	running            map[uint64]runningRequest
+	runningByClass     map[note.Class]int
+	waitingByWorkspace map[string]int // waiting requests by workspace
+	deadlines          deadlineHeap
+	effects            []Effect
 }
 
 // New returns an empty Queue.
 func New(cfg Config) *Queue {
 	q := &Queue{
-		cfg:     cfg,
-		waiting: make(map[uint64]*waiter),
-		running: make(map[uint64]runningRequest),
-		byClass: make(map[note.Class]int),
-		queued:  make(map[string]int),
+		cfg:                cfg,
+		waiting:            make(map[uint64]*waiter),
+		running:            make(map[uint64]runningRequest),
+		runningByClass:     make(map[note.Class]int),
+		waitingByWorkspace: make(map[string]int),
 	}
 	if cfg.Policy == PolicyFIFO {
 		q.discipline = &fifo{}
@@ -60,7 +60,7 @@
 	switch {
 	case !r.Deadline.IsZero() && !now.Before(r.Deadline):
 		q.refuse(r.ID, result.DeadlineInQueue)
-	case q.queued[r.Workspace] >= q.cfg.QueueLimit:
+	case q.waitingByWorkspace[r.Workspace] >= q.cfg.QueueLimit:
 		q.refuse(r.ID, result.QueueFull)
 	default:
 		q.enqueue(now, r)
@@ -73,14 +73,14 @@
 	q.expireDeadlines(now)
 	if r, ok := q.running[id]; ok {
 		delete(q.running, id)
-		q.byClass[r.request.Class]--
-		q.discipline.settle(r, now.Sub(r.since))
+		q.runningByClass[r.request.Class]--
+		q.discipline.settle(r, now.Sub(r.startedAt))
 	}
 	return q.dispatch(now)
 }
 
 // Cancel removes a waiting request without an effect for it. It reports whether the
-// request was still waiting.
+// request was still waiting: a request whose deadline has passed is refused instead.
 func (q *Queue) Cancel(now time.Time, id uint64) (bool, []Effect) {
 	q.expireDeadlines(now)
 	w, ok := q.waiting[id]
@@ -91,8 +91,7 @@
 	return ok, q.dispatch(now)
 }
 
-// SetSlots changes the number of slots. Running requests continue even if they are
-// more than that.
+// SetSlots changes the number of slots. If more requests are running, they continue.
 func (q *Queue) SetSlots(now time.Time, slots int) []Effect {
 	q.expireDeadlines(now)
 	q.cfg.Slots = slots
@@ -105,8 +104,8 @@
 	return q.dispatch(now)
 }
 
-// NextDeadline returns the time at which Tick is due, or false when no waiting
-// request has a deadline.
+// NextDeadline returns the time at which Tick is due, or false if no waiting request
+// has a deadline.
 func (q *Queue) NextDeadline() (time.Time, bool) {
 	if len(q.deadlines) == 0 {
 		return time.Time{}, false
@@ -139,7 +138,7 @@
 func (q *Queue) enqueue(now time.Time, r Request) {
 	w := &waiter{Request: r, arrived: now, heapIndex: -1}
 	q.waiting[r.ID] = w
-	q.queued[r.Workspace]++
+	q.waitingByWorkspace[r.Workspace]++
 	if !r.Deadline.IsZero() {
 		heap.Push(&q.deadlines, w)
 	}
@@ -150,9 +149,9 @@
 // it.
 func (q *Queue) removeWaiter(w *waiter) {
 	delete(q.waiting, w.ID)
-	q.queued[w.Workspace]--
-	if q.queued[w.Workspace] == 0 {
-		delete(q.queued, w.Workspace)
+	q.waitingByWorkspace[w.Workspace]--
+	if q.waitingByWorkspace[w.Workspace] == 0 {
+		delete(q.waitingByWorkspace, w.Workspace)
 	}
 	if w.heapIndex >= 0 {
 		heap.Remove(&q.deadlines, w.heapIndex)
@@ -162,13 +161,13 @@
 // dispatch starts waiting requests until the discipline returns none.
 func (q *Queue) dispatch(now time.Time) []Effect {
 	for {
-		w := q.discipline.pop(now, load{slots: q.cfg.Slots, total: len(q.running), running: q.byClass})
+		w := q.discipline.pop(now, load{slots: q.cfg.Slots, total: len(q.running), running: q.runningByClass})
 		if w == nil {
 			break
 		}
 		q.removeWaiter(w)
-		q.running[w.ID] = runningRequest{request: w.Request, since: now, estimate: q.discipline.charge(w.Request)}
-		q.byClass[w.Class]++
+		q.running[w.ID] = runningRequest{request: w.Request, startedAt: now, estimate: q.discipline.charge(w.Request)}
+		q.runningByClass[w.Class]++
 		q.effects = append(q.effects, Start{ID: w.ID})
 	}
 	return q.effects
--- a/internal/admit/queue_test.go
+++ b/internal/admit/queue_test.go
@@ -38,7 +38,7 @@
 	maxSlots int
 }
 
-func (c *checker) take(now time.Time, effects []Effect) {
+func (c *checker) apply(now time.Time, effects []Effect) {
 	for _, e := range effects {
 		switch ef := e.(type) {
 		case Start:
@@ -139,7 +139,7 @@
 					r.Deadline = now.Add(time.Duration(rapid.IntRange(0, 200).Draw(t, "deadline")) * time.Millisecond)
 				}
 				c.waiting[r.ID] = r
-				c.take(now, c.q.Arrive(now, r))
+				c.apply(now, c.q.Arrive(now, r))
 			},
 			"done": func(t *rapid.T) {
 				if len(c.running) == 0 {
@@ -147,7 +147,7 @@
 				}
 				id := anyOf(c.running)
 				delete(c.running, id)
-				c.take(now, c.q.Done(now, id))
+				c.apply(now, c.q.Done(now, id))
 			},
 			"cancel": func(t *rapid.T) {
 				if len(c.waiting) == 0 {
@@ -160,16 +160,16 @@
 				if !ok {
 					c.waiting[id] = r // its deadline has just passed
 				}
-				c.take(now, effects)
+				c.apply(now, effects)
 			},
 			"pass": func(t *rapid.T) {
 				now = now.Add(time.Duration(rapid.IntRange(1, 50).Draw(t, "ms")) * time.Millisecond)
-				c.take(now, c.q.Tick(now))
+				c.apply(now, c.q.Tick(now))
 			},
 			"slots": func(t *rapid.T) {
 				c.slots = rapid.IntRange(1, 6).Draw(t, "slots")
 				c.maxSlots = max(c.maxSlots, c.slots)
-				c.take(now, c.q.SetSlots(now, c.slots))
+				c.apply(now, c.q.SetSlots(now, c.slots))
 			},
 		})
 	})
@@ -182,7 +182,7 @@
 	late.Deadline = epoch.Add(time.Second)
 	q.Arrive(epoch, late)
 	if due, ok := q.NextDeadline(); !ok || !due.Equal(late.Deadline) {
-		t.Fatalf("next deadline %v %v", due, ok)
+		t.Fatalf("next deadline %v (found: %v), want that of the waiting request", due, ok)
 	}
 	got := q.Done(late.Deadline, 1)
 	want := Refuse{ID: 2, Code: result.DeadlineInQueue}
@@ -203,11 +203,11 @@
 		t.Fatalf("got %v, want %v", last, want)
 	}
 	if got := q.Arrive(epoch, req(9, "b", note.ClassInteractive)); len(got) != 0 {
-		t.Fatalf("another workspace was affected: %v", got)
+		t.Fatalf("effects %v for a request of another workspace, want none", got)
 	}
 }
 
-func TestClassesAreServedByPrecedence(t *testing.T) {
+func TestClassesServedByPrecedence(t *testing.T) {
 	q := New(DefaultConfig(2))
 	q.Arrive(epoch, req(9, "a", note.ClassInteractive)) // keeps running throughout
 	q.Arrive(epoch, req(1, "a", note.ClassInteractive))
@@ -224,7 +224,7 @@
 		}
 	}
 	if !slices.Equal(order, []uint64{4, 3, 2}) {
-		t.Fatalf("order %v", order)
+		t.Fatalf("order %v, want interactive, correction, bulk: [4 3 2]", order)
 	}
 }
 
@@ -235,13 +235,13 @@
 		t.Fatalf("a second bulk request started: %v", got)
 	}
 	if got := starts(q.Arrive(epoch, req(3, "crew", note.ClassInteractive))); !slices.Equal(got, []uint64{3}) {
-		t.Fatalf("started %v beside a bulk request", got)
+		t.Fatalf("started %v beside a bulk request, want [3]", got)
 	}
 	if got := starts(q.Arrive(epoch, req(4, "crew", note.ClassInteractive))); len(got) != 0 {
 		t.Fatalf("a second interactive request started: %v", got)
 	}
 	if got := starts(q.Done(epoch, 1)); !slices.Equal(got, []uint64{2}) {
-		t.Fatalf("started %v after the bulk request", got)
+		t.Fatalf("started %v after the bulk request, want [2]", got)
 	}
 }
 
@@ -253,7 +253,7 @@
 		q.Arrive(epoch, req(id, "a", precedence[2-id]))
 	}
 	if got := starts(q.Done(epoch, 0)); !slices.Equal(got, []uint64{1}) {
-		t.Fatalf("started %v", got)
+		t.Fatalf("started %v, want [1]", got)
 	}
 }
 
@@ -322,7 +322,7 @@
 		for i, s := range sources {
 			fair := total.Seconds() * float64(slots) * s.weight / weights
 			if got := used[i].Seconds() / fair; got < 0.9 || got > 1.1 {
-				t.Fatalf("workspace %d of %+v got %.2f of its fair share", i, sources, got)
+				t.Fatalf("workspace %d of %+v got %.2f of its fair share, want 0.9 to 1.1", i, sources, got)
 			}
 		}
 	})
@@ -351,7 +351,7 @@
 		now = now.Add(service)
 		next := starts(q.Done(now, running))
 		if len(next) != 1 {
-			t.Fatalf("started %v", next)
+			t.Fatalf("started %v, want one request", next)
 		}
 		running = next[0]
 		order = append(order, owner[running])
@@ -359,9 +359,9 @@
 	return order
 }
 
-// TestLongRequestIsChargedToLaterTurns guards against a workspace that escapes the
+// TestLongRequestChargedWithoutWaiters guards against a workspace that escapes the
 // charge for a long request because none of its requests waits when it completes.
-func TestLongRequestIsChargedToLaterTurns(t *testing.T) {
+func TestLongRequestChargedWithoutWaiters(t *testing.T) {
 	q := New(DefaultConfig(1))
 	owner := map[uint64]string{1: "long"}
 	q.Arrive(epoch, req(1, "long", note.ClassInteractive))
@@ -377,7 +377,7 @@
 	q.Arrive(now, req(100, "long", note.ClassInteractive))
 	order := nextStarts(t, q, now, running, owner, 15, 5*time.Millisecond)
 	if slices.Contains(order, "long") {
-		t.Fatalf("order %v: the workspace owes 100 ms", order)
+		t.Fatalf("order %v, want no request of the workspace that used 100 ms", order)
 	}
 }
 
@@ -412,13 +412,13 @@
 		}
 	}
 	if served < 9 || served > 11 {
-		t.Fatalf("%d of 20 starts went to the workspace that was idle: %v", served, order)
+		t.Fatalf("%d of 20 starts went to the workspace that was idle, want 9 to 11: %v", served, order)
 	}
 }
 
-// TestNewestServedFirstOnceOldestWaitsTooLong has three requests of one workspace
+// TestNewestServedFirstAfterLongWait has three requests of one workspace
 // wait for one slot, for less than lifoAfter and for lifoAfter.
-func TestNewestServedFirstOnceOldestWaitsTooLong(t *testing.T) {
+func TestNewestServedFirstAfterLongWait(t *testing.T) {
 	for _, c := range []struct {
 		waited time.Duration
 		next   uint64
@@ -436,8 +436,8 @@
 }
 
 // TestReadyWorkspaceServedAheadWithinSlack has two workspaces compete for one slot
-// and one connection, which serves one workspace at a time. They must take turns of
-// several requests, and both must get their share.
+// and one connection, which serves one workspace at a time. Each must be served several
+// requests in a row, and both must get their share.
 func TestReadyWorkspaceServedAheadWithinSlack(t *testing.T) {
 	const cost = 30 * time.Millisecond
 	now := time.Unix(100, 0)
@@ -460,19 +460,19 @@
 	served, changes := map[string]int{}, 0
 	for range 100 {
 		now = now.Add(cost)
-		was := workspaces[running]
-		connected = was
-		served[was]++
-		arrive(was)
+		previous := workspaces[running]
+		connected = previous
+		served[previous]++
+		arrive(previous)
 		running = q.Done(now, running)[0].(Start).ID
-		if workspaces[running] != was {
+		if workspaces[running] != previous {
 			changes++
 		}
 	}
 	if served["a"] < 40 || served["b"] < 40 {
-		t.Errorf("served %v", served)
+		t.Errorf("served %v, want at least 40 of each workspace", served)
 	}
 	if changes > 50 {
-		t.Errorf("the workspace changed %d times in 100 requests", changes)
+		t.Errorf("the workspace changed %d times in 100 requests, want at most 50", changes)
 	}
 }
--- a/internal/admit/types.go
+++ b/internal/admit/types.go
@@ -25,9 +25,9 @@
 // Defaults of Config.
 const (
 	DefaultQueueLimit      = 1000 // requests per workspace
-	DefaultCorrectionFloor = 0.2
-	DefaultBulkFloor       = 0.1
-	DefaultBulkCap         = 0.6
+	DefaultCorrectionFloor = 0.2  // of the slot time
+	DefaultBulkFloor       = 0.1  // of the slot time
+	DefaultBulkCap         = 0.6  // of the slots
 )
 
 // Config holds the settings of a Queue.
@@ -35,7 +35,7 @@
 	Policy Policy
 	// Slots is the number of requests that may run on the endpoint at once.
 	Slots int
-	// QueueLimit is the number of requests of one workspace that may wait.
+	// QueueLimit is the maximum number of waiting requests of one workspace.
 	QueueLimit int
 	// CorrectionFloor and BulkFloor are the minimum shares of slot time that a class
 	// gets over time while its requests wait, whatever the load of higher classes.
@@ -70,7 +70,7 @@
 
 // Request is a request for one slot.
 type Request struct {
-	// ID is unique among the requests of the queue.
+	// ID is unique among the waiting and running requests of the queue.
 	ID        uint64
 	Workspace string
 	// Weight is the workspace's share relative to others; zero means one.
@@ -83,10 +83,10 @@
 // Effect is an output of a Queue.
 type Effect interface{ isEffect() }
 
-// Start starts a request. The caller reports its completion with Done.
+// Start starts a request. The caller must report its completion with Done.
 type Start struct{ ID uint64 }
 
-// Refuse refuses a request, which was not run.
+// Refuse refuses a request that has not started.
 type Refuse struct {
 	ID uint64
 	// Code is DeadlineInQueue or QueueFull.
@@ -100,19 +100,19 @@
 type waiter struct {
 	Request
 	arrived   time.Time
-	heapIndex int
+	heapIndex int // in Queue.deadlines, or -1
 }
 
 // lifoAfter is the wait of a workspace's oldest request from which on its newest
-// request is served first. A workspace with a longer wait gets more requests than
-// can be served: the newest are then served in time, and the oldest are refused at
-// their deadline.
+// request is served first. A workspace with a longer wait sends more requests than can
+// be served: the newest are then served before their deadline, and the oldest are
+// refused at theirs.
 const lifoAfter = 100 * time.Millisecond
 
 // runningRequest is a request that holds a slot.
 type runningRequest struct {
-	request Request
-	since   time.Time
+	request   Request
+	startedAt time.Time
 	// estimate is the slot time charged to the workspace at the start.
 	estimate time.Duration
 }
--- a/internal/connpool/alive_test.go
+++ b/internal/connpool/alive_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// pair returns both ends of a TCP connection.
-func pair(t *testing.T) (near, far net.Conn) {
+// tcpPair returns both ends of a TCP connection.
+func tcpPair(t *testing.T) (near, far net.Conn) {
 	t.Helper()
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -29,29 +29,29 @@
 	return near, far
 }
 
-// TestIsIdleWithConcurrentReader guards against a check that blocks behind a pending read. A
-// shutdown checks every idle session while its reader waits for the next request.
+// TestIsIdleWithConcurrentReader guards against a check that blocks until a pending read
+// ends. A shutdown checks every idle session while its reader waits for the next request.
 func TestIsIdleWithConcurrentReader(t *testing.T) {
-	near, far := pair(t)
+	near, far := tcpPair(t)
 	go func() { _, _ = near.Read(make([]byte, 1)) }()
-	answered := make(chan bool, 1)
+	reported := make(chan bool, 1)
 	go func() {
 		time.Sleep(50 * time.Millisecond) // lets the reader start; either order must work
-		answered <- IsIdle(near)
+		reported <- IsIdle(near)
 	}()
 	select {
-	case idle := <-answered:
+	case idle := <-reported:
 		if !idle {
-			t.Error("an idle connection is not reported as idle")
+			t.Error("IsIdle reports false for an idle connection")
 		}
 	case <-time.After(time.Minute):
-		t.Fatal("IsIdle waits for the reader")
+		t.Fatal("IsIdle did not return while a read is pending")
 	}
 	_ = far
 }
 
 func TestIsIdleClosedConnection(t *testing.T) {
-	near, far := pair(t)
+	near, far := tcpPair(t)
 	_ = far.Close()
 	for IsIdle(near) { // until the end of the stream arrives
 		time.Sleep(time.Millisecond)
--- a/internal/connpool/keys_test.go
+++ b/internal/connpool/keys_test.go
@@ -27,16 +27,17 @@
 	p.Release(b, true)
 	c := acquireKey(t, p, "c")
 	if !a.closed || b.closed || *dialed != 3 {
-		t.Errorf("closed %v and %v, %d dialed", a.closed, b.closed, *dialed)
+		t.Errorf("closed %v and %v, want only the first; %d dialed, want 3", a.closed, b.closed, *dialed)
 	}
 	p.Release(c, true)
 	if s := p.Stats(); s.Open != 2 {
-		t.Errorf("%d connections open, limit %d", s.Open, s.Limit)
+		t.Errorf("%d connections open, want 2 at the limit of %d", s.Open, s.Limit)
 	}
 }
 
 // TestBusyKeyDoesNotStarveOthers guards against starvation: at the limit, a connection is
-// handed to requests of its own key without end while a request of another key waits.
+// delivered again and again to requests of its own key while a request of another key
+// waits.
 func TestBusyKeyDoesNotStarveOthers(t *testing.T) {
 	p, _ := newPool(1)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
@@ -69,6 +70,6 @@
 		p.Release(acquireKey(t, p, key), true)
 	}
 	if n := p.TakePeak(); n != 3 {
-		t.Errorf("peak demand of %d connections for three keys", n)
+		t.Errorf("peak demand of %d connections for three keys, want 3", n)
 	}
 }
--- a/internal/connpool/pool.go
+++ b/internal/connpool/pool.go
@@ -15,7 +15,7 @@
 const (
 	// dialTimeout bounds one dial.
 	dialTimeout = 5 * time.Second
-	// maxIdleTime is how long an idle connection stays open.
+	// maxIdleTime is the time after which Sweep closes an idle connection.
 	maxIdleTime = 60 * time.Second
 	// redialDelay is the wait after a failed dial. It doubles with each further failure
 	// up to maxRedialDelay: an endpoint may count the connections of a lost machine
@@ -33,7 +33,7 @@
 	keyRetention = 5 * time.Second
 )
 
-// ErrClosed is returned by Acquire after Close: the endpoint is no longer in use.
+// ErrClosed is returned by Acquire after Close.
 var ErrClosed = errors.New("the endpoint is no longer in use")
 
 // Conn is a pooled connection.
@@ -51,10 +51,10 @@
 // Dial opens a connection with a key.
 type Dial[C Conn] func(ctx context.Context, key string) (C, error)
 
-// Pool holds the connections to one endpoint. It is safe for concurrent use. Of the idle
-// connections with a key the one used last is checked out first, so that surplus ones
-// time out. At the limit, an idle connection is closed to open one for a waiting request
-// with another key.
+// Pool manages the connections to one endpoint. It is safe for concurrent use. Of the
+// idle connections with a key the one used last is checked out first, so that those not
+// needed reach maxIdleTime. At the limit, an idle connection is closed to open one for a
+// waiting request with another key.
 //
 // open counts the connections that are checked out, idle or being dialed. Each waiter
 // receives exactly one grant unless it is removed from waiters first.
@@ -64,12 +64,12 @@
 	mu        sync.Mutex
 	limit     int
 	open      int
-	dialing   map[string]int
-	openByKey map[string]int // open connections by key, without those being dialed
-	idle      []idleConn[C]  // ordered by the time of their release
-	waiters   []*waiter[C]   // ordered by their arrival
-	lastUsed  map[string]time.Time
-	lastErr   error
+	dialing   map[string]int       // dials in progress by key
+	openByKey map[string]int       // open connections by key, without those being dialed
+	idle      []idleConn[C]        // ordered by the time of their release
+	waiters   []*waiter[C]         // ordered by their arrival
+	lastUsed  map[string]time.Time // latest request by key, see keyRetention
+	lastErr   error                // of the latest dial, nil if it succeeded
 	// failures counts the failed dials since the last success. After a failure the next
 	// dial starts no earlier than retryAt, and only one runs at a time.
 	failures int
@@ -81,14 +81,14 @@
 
 // idleConn is an idle connection with the time of its release.
 type idleConn[C Conn] struct {
-	conn  C
-	since time.Time
+	conn       C
+	releasedAt time.Time
 }
 
 type waiter[C Conn] struct {
-	key   string
-	since time.Time
-	ready chan grant[C]
+	key        string
+	enqueuedAt time.Time
+	ready      chan grant[C]
 }
 
 type grant[C Conn] struct {
@@ -134,7 +134,7 @@
 func (p *Pool[C]) HasIdle(key string) bool {
 	p.mu.Lock()
 	defer p.mu.Unlock()
-	return slices.ContainsFunc(p.idle, func(r idleConn[C]) bool { return r.conn.Key() == key })
+	return slices.ContainsFunc(p.idle, func(c idleConn[C]) bool { return c.conn.Key() == key })
 }
 
 // demand returns the number of connections that are checked out or waited for.
@@ -146,9 +146,9 @@
 	return p.open - dialing - len(p.idle) + len(p.waiters)
 }
 
-// TakePeak returns how many connections the pool could use: the greatest number that was
-// checked out or waited for at once since the last call, and at least one for each key
-// that was used within keyRetention.
+// TakePeak returns the demand for connections: the greatest number that was checked out
+// or waited for at once since the last call, and at least one for each key that was
+// requested within keyRetention.
 func (p *Pool[C]) TakePeak() int {
 	p.mu.Lock()
 	defer p.mu.Unlock()
@@ -164,9 +164,10 @@
 }
 
 // Acquire checks out a connection with the key. It waits until one is available, a dial
-// fails while the key has no other connection, or ctx ends. Of the idle connections it
-// takes the one used last for which prefer returns true, or else the one used last;
-// prefer may be nil. It returns ErrClosed after Close.
+// fails while the key has no other connection, or ctx ends. During the delay after a
+// failed dial, it returns the error of that dial at once if the key has no connection. Of
+// the idle connections with the key it takes the one used last for which prefer returns
+// true, or else the one used last; prefer may be nil. It returns ErrClosed after Close.
 func (p *Pool[C]) Acquire(ctx context.Context, key string, prefer func(C) bool) (C, error) {
 	var none C
 	now := time.Now()
@@ -189,7 +190,7 @@
 		closeAll(dead)
 		return none, err
 	}
-	w := &waiter[C]{key: key, since: now, ready: make(chan grant[C], 1)}
+	w := &waiter[C]{key: key, enqueuedAt: now, ready: make(chan grant[C], 1)}
 	p.waiters = append(p.waiters, w)
 	p.peak = max(p.peak, p.demand())
 	surplus := append(dead, p.openForWaiters()...)
@@ -235,30 +236,30 @@
 	p.closed = true
 	idle := p.idle
 	p.idle = nil
-	for _, r := range idle {
-		p.removeOpen(r.conn)
+	for _, c := range idle {
+		p.removeOpen(c.conn)
 	}
 	for _, w := range p.waiters {
 		w.ready <- grant[C]{err: ErrClosed}
 	}
 	p.waiters = nil
 	p.mu.Unlock()
-	for _, r := range idle {
-		r.conn.Close()
+	for _, c := range idle {
+		c.conn.Close()
 	}
 }
 
 // deliver hands c to the first waiter with its key, or adds it to the idle connections.
-// It returns false when the connection should be closed instead, because the first of
+// It returns false if the connection should be closed instead, because the first of
 // all waiters has another key and has been bypassed for maxBypassTime.
 func (p *Pool[C]) deliver(now time.Time, c C) bool {
 	key := c.Key()
 	at := slices.IndexFunc(p.waiters, func(w *waiter[C]) bool { return w.key == key })
 	if at < 0 {
-		p.idle = append(p.idle, idleConn[C]{conn: c, since: now})
+		p.idle = append(p.idle, idleConn[C]{conn: c, releasedAt: now})
 		return true
 	}
-	if first := p.waiters[0]; at > 0 && p.dialing[first.key] == 0 && now.Sub(first.since) >= maxBypassTime {
+	if first := p.waiters[0]; at > 0 && p.dialing[first.key] == 0 && now.Sub(first.enqueuedAt) >= maxBypassTime {
 		return false
 	}
 	w := p.waiters[at]
@@ -276,36 +277,36 @@
 		if at < 0 {
 			return conn, false, dead
 		}
-		r := p.idle[at]
+		candidate := p.idle[at]
 		p.idle = slices.Delete(p.idle, at, at+1)
-		if now.Sub(r.since) < livenessCheckAfter || r.conn.Alive() {
-			return r.conn, true, dead
+		if now.Sub(candidate.releasedAt) < livenessCheckAfter || candidate.conn.Alive() {
+			return candidate.conn, true, dead
 		}
-		dead = append(dead, p.removeOpen(r.conn))
+		dead = append(dead, p.removeOpen(candidate.conn))
 	}
 }
 
 // findIdle returns the index of the idle connection that takeIdle returns, or -1.
 func (p *Pool[C]) findIdle(key string, prefer func(C) bool) int {
-	last := -1
+	fallback := -1
 	for i := len(p.idle) - 1; i >= 0; i-- {
 		c := p.idle[i].conn
 		switch {
 		case c.Key() != key:
 		case prefer == nil || prefer(c):
 			return i
-		case last < 0:
-			last = i
+		case fallback < 0:
+			fallback = i
 		}
 	}
-	return last
+	return fallback
 }
 
 // trimIdle removes idle connections over the limit, and those idle since before the given
 // time. The caller closes them.
 func (p *Pool[C]) trimIdle(before time.Time) []C {
 	var surplus []C
-	for len(p.idle) > 0 && (p.open > p.limit || p.idle[0].since.Before(before)) {
+	for len(p.idle) > 0 && (p.open > p.limit || p.idle[0].releasedAt.Before(before)) {
 		surplus = append(surplus, p.evict())
 	}
 	return surplus
@@ -328,9 +329,9 @@
 	return c
 }
 
-// openForWaiters dials connections in the background for waiters that no connection being
-// dialed with their key will serve. It returns the idle connections that it evicted at
-// the limit, for the caller to close.
+// openForWaiters dials connections in the background for the waiters that exceed the dials
+// in progress for their key. It returns the idle connections that it evicted at the limit,
+// for the caller to close.
 func (p *Pool[C]) openForWaiters() []C {
 	var evicted []C
 	if p.closed {
@@ -388,8 +389,8 @@
 	}
 }
 
-// dialFailed fails the waiters whose key has no open connection and no dial in progress.
-// For the others another dial is scheduled.
+// dialFailed fails the waiters whose key has no open connection and no dial in progress,
+// and schedules another dial if other waiters remain.
 func (p *Pool[C]) dialFailed(err error) {
 	p.open--
 	p.lastErr = err
@@ -397,11 +398,11 @@
 	p.failures++
 	p.retryAt = time.Now().Add(delay)
 	p.waiters = slices.DeleteFunc(p.waiters, func(w *waiter[C]) bool {
-		hopeless := p.openByKey[w.key] == 0 && p.dialing[w.key] == 0
-		if hopeless {
+		unservable := p.openByKey[w.key] == 0 && p.dialing[w.key] == 0
+		if unservable {
 			w.ready <- grant[C]{err: err}
 		}
-		return hopeless
+		return unservable
 	})
 	if len(p.waiters) > 0 {
 		time.AfterFunc(delay, p.retryDial)
@@ -428,7 +429,7 @@
 	}
 	// A connection was delivered in the meantime: pass it to another waiter.
 	if g := <-w.ready; g.err == nil {
-		p.idle = append(p.idle, idleConn[C]{conn: g.conn, since: time.Now()})
+		p.idle = append(p.idle, idleConn[C]{conn: g.conn, releasedAt: time.Now()})
 		p.deliverIdle(g.conn)
 	}
 }
--- a/internal/connpool/pool_test.go
+++ b/internal/connpool/pool_test.go
@@ -50,10 +50,10 @@
 		p.Release(conn, true)
 	}
 	if got := acquire(t, p, func(x *fakeConn) bool { return x == b }); got != b {
-		t.Errorf("checked out %d, preferred %d", got.number, b.number)
+		t.Errorf("checked out connection %d, want the preferred %d", got.number, b.number)
 	}
 	if got := acquire(t, p, func(*fakeConn) bool { return false }); got != c {
-		t.Errorf("checked out %d, used last %d", got.number, c.number)
+		t.Errorf("checked out connection %d, want %d, which was used last", got.number, c.number)
 	}
 }
 
@@ -65,7 +65,7 @@
 	b.unusable = true
 	p.Release(b, true)
 	if !a.closed || !b.closed || acquire(t, p, nil).closed || *dialed != 3 {
-		t.Errorf("first closed %v, second %v, %d dialed", a.closed, b.closed, *dialed)
+		t.Errorf("first closed %v, second %v, want both; %d dialed, want 3", a.closed, b.closed, *dialed)
 	}
 }
 
@@ -77,7 +77,7 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	cancel()
 	if _, err := p.Acquire(ctx, "", nil); err == nil {
-		t.Fatal("checked out a second connection")
+		t.Fatal("checked out a second connection at a limit of 1")
 	}
 	p.Release(a, true)
 	if got := acquire(t, p, nil); got != a {
@@ -94,13 +94,13 @@
 		dialed.Add(1)
 		return nil, refused
 	}, 4)
-	const asked = 1000
-	for i := range asked {
+	const requests = 1000
+	for i := range requests {
 		if _, err := p.Acquire(context.Background(), strconv.Itoa(i%8), nil); !errors.Is(err, refused) {
 			t.Fatal(err)
 		}
 	}
-	if n := dialed.Load(); n > asked/10 {
-		t.Errorf("%d dials for %d requests", n, asked)
+	if n := dialed.Load(); n > requests/10 {
+		t.Errorf("%d dials for %d failed requests, want at most a tenth", n, requests)
 	}
 }
--- a/internal/gate/gate.go
+++ b/internal/gate/gate.go
@@ -13,7 +13,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// SlotRequest is a request for a slot of one endpoint.
+// SlotRequest is a request for a slot of one endpoint. The fields from Workspace on are
+// those of admit.Request.
 type SlotRequest struct {
 	Endpoint  string
 	Service   string
@@ -33,18 +34,18 @@
 	endpoints map[string]*endpointQueue
 }
 
-// New returns a Gate. slots returns the number of slots of this host at an endpoint and
-// may change over time. ready reports whether a request of a workspace could start there
-// without delay; nil if that is irrelevant.
+// New returns a Gate. slots returns the number of slots that this host may use at an
+// endpoint, which may change over time. ready is admit.Config.Ready for an endpoint, or
+// nil.
 func New(policy admit.Policy, slots func(service, endpoint string) int, ready func(endpoint, workspace string) bool) *Gate {
 	return &Gate{policy: policy, slots: slots, ready: ready, endpoints: make(map[string]*endpointQueue)}
 }
 
-// AcquireSlot waits for a slot until ctx ends and returns a function that frees it, which
-// must be called when the request has ended. The error is a result.Error
-// whose code has NotRun set.
-func (g *Gate) AcquireSlot(ctx context.Context, a SlotRequest) (func(), error) {
-	return g.queueFor(a).acquire(ctx, a)
+// AcquireSlot waits for a slot until ctx ends, and returns a function that frees it. The
+// caller must call the function once, when the request has ended. The error is a
+// result.Error whose code has NotRun set.
+func (g *Gate) AcquireSlot(ctx context.Context, r SlotRequest) (func(), error) {
+	return g.queueFor(r).acquire(ctx, r)
 }
 
 // Waiting returns the number of requests that wait for a slot of an endpoint.
@@ -61,19 +62,19 @@
 }
 
 // queueFor returns the queue of the endpoint and creates it on first use.
-func (g *Gate) queueFor(a SlotRequest) *endpointQueue {
+func (g *Gate) queueFor(r SlotRequest) *endpointQueue {
 	g.mu.Lock()
 	defer g.mu.Unlock()
-	e, ok := g.endpoints[a.Endpoint]
+	e, ok := g.endpoints[r.Endpoint]
 	if !ok {
-		slots := func() int { return g.slots(a.Service, a.Endpoint) }
+		slots := func() int { return g.slots(r.Service, r.Endpoint) }
 		cfg := admit.DefaultConfig(slots())
 		cfg.Policy = g.policy
 		if g.ready != nil {
-			cfg.Ready = func(workspace string) bool { return g.ready(a.Endpoint, workspace) }
+			cfg.Ready = func(workspace string) bool { return g.ready(r.Endpoint, workspace) }
 		}
 		e = &endpointQueue{queue: admit.New(cfg), slots: slots, waiting: make(map[uint64]chan error)}
-		g.endpoints[a.Endpoint] = e
+		g.endpoints[r.Endpoint] = e
 	}
 	return e
 }
@@ -87,19 +88,18 @@
 	// peak is the greatest number of requests that ran or waited at once since the
 	// last call of TakeUsage.
 	peak int
-	// currentSlots is the number of slots that the queue was last set to.
+	// currentSlots is the number of slots that resize last passed to the queue.
 	currentSlots int
 	lastID       uint64
 	// waiting holds the channel of each waiting request by its ID in the queue. It
 	// receives nil when the request starts and an error when it is refused.
-	waiting map[uint64]chan error
-	timer   *time.Timer
-	// timerArmed reports whether the timer is set.
+	waiting    map[uint64]chan error
+	timer      *time.Timer
 	timerArmed bool
 }
 
 // acquire queues a request and waits until it is started or refused, or until ctx ends.
-func (e *endpointQueue) acquire(ctx context.Context, a SlotRequest) (func(), error) {
+func (e *endpointQueue) acquire(ctx context.Context, r SlotRequest) (func(), error) {
 	decision := make(chan error, 1)
 	e.mu.Lock()
 	now := time.Now()
@@ -108,25 +108,25 @@
 	id := e.lastID
 	e.waiting[id] = decision
 	e.apply(e.queue.Arrive(now, admit.Request{
-		ID: id, Workspace: a.Workspace, Weight: a.Weight, Class: a.Class, Deadline: a.Deadline,
+		ID: id, Workspace: r.Workspace, Weight: r.Weight, Class: r.Class, Deadline: r.Deadline,
 	}))
 	e.peak = max(e.peak, e.queue.Running()+e.queue.Waiting())
 	e.mu.Unlock()
 	select {
 	case err := <-decision:
-		return e.finishWait(id, a, err)
+		return e.finishWait(id, r, err)
 	case <-ctx.Done():
 	}
 	if !e.cancel(id) {
-		return e.finishWait(id, a, <-decision)
+		return e.finishWait(id, r, <-decision)
 	}
-	return nil, result.New(result.DeadlineInQueue, "waiting for a slot of endpoint %s", a.Endpoint)
+	return nil, result.New(result.DeadlineInQueue, "waiting for a slot of endpoint %s", r.Endpoint)
 }
 
 // finishWait returns the function that frees the slot, or the error of a refusal.
-func (e *endpointQueue) finishWait(id uint64, a SlotRequest, err error) (func(), error) {
+func (e *endpointQueue) finishWait(id uint64, r SlotRequest, err error) (func(), error) {
 	if code := result.CodeOf(err); code != 0 {
-		return nil, result.New(code, "waiting for a slot of endpoint %s", a.Endpoint)
+		return nil, result.New(code, "waiting for a slot of endpoint %s", r.Endpoint)
 	}
 	return func() { e.release(id) }, nil
 }
@@ -151,7 +151,7 @@
 	return waiting
 }
 
-// resize passes a changed number of slots to the queue.
+// resize passes a changed number of slots to the queue. The caller holds e.mu.
 func (e *endpointQueue) resize(now time.Time) {
 	if slots := e.slots(); slots != e.currentSlots {
 		e.currentSlots = slots
@@ -159,7 +159,8 @@
 	}
 }
 
-// apply notifies waiting requests of the decisions of the queue and sets the timer.
+// apply notifies waiting requests of the decisions of the queue, and sets the timer. The
+// caller holds e.mu.
 func (e *endpointQueue) apply(effects []admit.Effect) {
 	for _, effect := range effects {
 		switch effect := effect.(type) {
@@ -204,7 +205,7 @@
 }
 
 // TakeUsage returns the number of requests that run on an endpoint, and the greatest
-// number that ran or waited at once since the last call.
+// number that ran or waited at once since the last call, which it resets.
 func (g *Gate) TakeUsage(endpoint string) (running, peak int) {
 	g.mu.Lock()
 	e, ok := g.endpoints[endpoint]
--- a/internal/pacing/baseline.go
+++ b/internal/pacing/baseline.go
@@ -7,10 +7,10 @@
 	// baseline. If the latency of single statements varies by 70%, the mean varies by
 	// 18%.
 	batchSize = 16
-	// riseGain is the gain of the moving average for a slower batch. It is small, so
-	// that a lasting queue at the endpoint does not become part of the baseline.
+	// riseGain is the weight in the moving average of a batch slower than the baseline.
+	// It is small, so that a lasting queue at the endpoint raises the baseline slowly.
 	riseGain = 0.05
-	// fallGain is the gain for a faster batch.
+	// fallGain is the weight of a batch faster than the baseline.
 	fallGain = 0.5
 )
 
@@ -20,11 +20,12 @@
 	kinds map[string]*kindBaseline
 }
 
+// kindBaseline is the baseline of one kind, and the sum of the current batch.
 type kindBaseline struct {
-	known    bool
-	duration time.Duration
-	sum      time.Duration
-	count    int
+	initialized bool
+	latency     time.Duration
+	sum         time.Duration
+	count       int
 }
 
 // NewBaseline returns an empty Baseline.
@@ -33,35 +34,35 @@
 // Excess records the latency of a statement and returns by how much it is above the
 // baseline of its kind. The result may be negative, and is zero until the first
 // batch of the kind is complete.
-func (u *Baseline) Excess(kind string, took time.Duration) time.Duration {
-	k := u.kinds[kind]
+func (b *Baseline) Excess(kind string, latency time.Duration) time.Duration {
+	k := b.kinds[kind]
 	if k == nil {
 		k = &kindBaseline{}
-		u.kinds[kind] = k
+		b.kinds[kind] = k
 	}
 	excess := time.Duration(0)
-	if k.known {
-		excess = took - k.duration
+	if k.initialized {
+		excess = latency - k.latency
 	}
-	k.update(took)
+	k.update(latency)
 	return excess
 }
 
-func (k *kindBaseline) update(took time.Duration) {
-	k.sum += took
+func (k *kindBaseline) update(latency time.Duration) {
+	k.sum += latency
 	k.count++
 	if k.count < batchSize {
 		return
 	}
 	mean := k.sum / batchSize
 	k.sum, k.count = 0, 0
-	if !k.known {
-		k.known, k.duration = true, mean
+	if !k.initialized {
+		k.initialized, k.latency = true, mean
 		return
 	}
 	gain := riseGain
-	if mean < k.duration {
+	if mean < k.latency {
 		gain = fallGain
 	}
-	k.duration += time.Duration(gain * float64(mean-k.duration))
+	k.latency += time.Duration(gain * float64(mean-k.latency))
 }
--- a/internal/pacing/sim_test.go
+++ b/internal/pacing/sim_test.go
@@ -148,8 +148,8 @@
 		s.run(length)
 		wait := s.atEndpoint / time.Duration(s.served)
 		used := s.busy.Seconds() / (simSlots * length.Seconds())
-		if wait > 2*DefaultConfig().High || used < 0.95 {
-			t.Errorf("seed %d: mean wait in the endpoint's queue %v, %.2f of its slots used", seed, wait, used)
+		if wait > 2*DefaultConfig().DecreaseAbove || used < 0.95 {
+			t.Errorf("seed %d: mean wait in the endpoint's queue %v, want at most twice DecreaseAbove; %.2f of its slots used, want at least 0.95", seed, wait, used)
 		}
 	}
 }
@@ -161,7 +161,7 @@
 		s := newSim(seed, 0.7, unevenRates)
 		s.run(20 * time.Second)
 		if wait := s.atHost / time.Duration(s.served); wait > 20*time.Millisecond {
-			t.Errorf("seed %d: mean wait in the hosts' queues %v", seed, wait)
+			t.Errorf("seed %d: mean wait in the hosts' queues %v, want at most 20ms", seed, wait)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	s.run(25 * time.Second)
 	for i, h := range s.hosts {
 		if n := h.limit.Allowed(s.maxInProgress); n < s.maxInProgress/2 {
-			t.Errorf("host %d is still limited to %d statements in progress", i, n)
+			t.Errorf("host %d is still limited to %d statements in progress, want at least half of maxInProgress", i, n)
 		}
 	}
 }
