--- a/internal/limits/queue.go
+++ b/internal/limits/queue.go
@@ -23,7 +23,7 @@
 // queue contains the requests of one workspace that wait for tokens, in order of
 // arrival. The newest is served first: while requests arrive faster than the rate
 // allows, as after an interruption, the newest can still meet their deadlines, and
-// the oldest no longer can. A queue exists only while it has waiters.
+// the oldest no longer can. Holder.serve removes a queue without waiters.
 type queue struct {
 	waiters []*waiter
 	// overloaded is set while the demand of the fleet persistently exceeds the
--- a/internal/quota/quota_test.go
+++ b/internal/quota/quota_test.go
@@ -244,6 +244,7 @@
 	if overloadReported(reconnectWindow - 100*time.Millisecond) {
 		t.Error("the requests of reconnecting callers are reported as overload")
 	}
+	// Only the second period counts: the backlog is served in the first.
 	if overloadReported(reconnectWindow); overloadReported(reconnectWindow) {
 		t.Error("normal load is reported as overload")
 	}
