--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -10,21 +10,24 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-func TestDropAfterCommitKeepsTheWrite(t *testing.T) {
+// A connection dropped after the commit leaves the client without a response, but the
+// write must remain.
+func TestDropAfterCommitKeepsWrite(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
 	conn := connect(t, primary)
 	primary.Faults().DropAfterCommit(1)
 	if _, err := conn.Exec(testContext(t), "insert into records(id) values ('a')"); err == nil {
-		t.Fatal("the commit was answered")
+		t.Fatal("the client got a response to the commit")
 	}
-	if n := count(t, connect(t, primary)); n != 1 {
+	if n := countRecords(t, connect(t, primary)); n != 1 {
 		t.Errorf("%d records, want 1", n)
 	}
 }
 
-// pending starts a query and returns the channel of its result.
-func pending(conn *pgx.Conn) <-chan error {
+// startQuery runs a query in a goroutine and returns the channel that receives its
+// error.
+func startQuery(conn *pgx.Conn) <-chan error {
 	done := make(chan error, 1)
 	go func() {
 		_, err := conn.Exec(context.Background(), "select 1")
@@ -33,7 +36,9 @@
 	return done
 }
 
-func TestHeldTrafficIsDeliveredAfterwards(t *testing.T) {
+// A query sent during a fault must neither complete nor fail before the fault is
+// cleared, and must succeed afterwards on the same connection.
+func TestStallAndPartitionDeliverHeldTrafficOnceCleared(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
 	faults := map[string]func(bool){
@@ -43,10 +48,10 @@
 	for name, set := range faults {
 		conn := connect(t, primary)
 		set(true)
-		done := pending(conn)
+		done := startQuery(conn)
 		select {
 		case err := <-done:
-			t.Errorf("%s: answered: %v", name, err)
+			t.Errorf("%s: query returned during the fault: %v", name, err)
 		case <-time.After(50 * time.Millisecond):
 		}
 		set(false)
@@ -56,7 +61,9 @@
 	}
 }
 
-func TestPartitionSparesOtherLinks(t *testing.T) {
+// A partition of the replication link must not affect callers, and replication must
+// resume when it ends.
+func TestPartitionLeavesOtherLinksOpen(t *testing.T) {
 	group := startGroup(t, nil)
 	primary, replica := group.Servers[0], group.Servers[1]
 	conn := connect(t, primary)
@@ -64,22 +71,24 @@
 	mustExec(t, conn, "insert into records(id) values ('a')")
 	_, _, flushed, _ := primary.Position()
 	if _, _, got, _ := replica.Position(); got >= flushed {
-		t.Error("the cut link delivered a transaction")
+		t.Error("the partitioned link delivered a transaction")
 	}
 	primary.Faults().Clear()
-	eventually(t, "flush after the link is back", func() bool {
+	waitFor(t, "flush after the partition", func() bool {
 		_, _, got, _ := replica.Position()
 		return got == flushed
 	})
 }
 
-func TestKilledEndpointResumesFromItsFolder(t *testing.T) {
+// An endpoint that is started on the data folder of a killed one must have its flushed
+// position and its data.
+func TestKilledEndpointResumesFromDataDir(t *testing.T) {
 	opts := standin.Options{Service: "ledger", Password: password, RecordsTable: true, DataDir: t.TempDir()}
 	first, err := standin.New(opts)
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, first.Run)
+	runServer(t, first.Run)
 	mustExec(t, connect(t, first), "insert into records(id, body) values ('a', $1)", "text")
 	_, _, flushed, _ := first.Position()
 	first.Kill()
@@ -88,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, second.Run)
+	runServer(t, second.Run)
 	var body string
 	err = connect(t, second).QueryRow(testContext(t), "select body from records where id = 'a'").Scan(&body)
 	if _, _, got, _ := second.Position(); err != nil || body != "text" || got != flushed {
