--- a/internal/history/history.go
+++ b/internal/history/history.go
@@ -1,7 +1,8 @@
 // Package history checks recorded histories of requests against the guarantees of a
 // fleet: every acknowledged record is stored exactly once, a request refused as not run
-// had no effect, reads are fresh, every answer belongs to its request and no workspace
-// exceeds its rate. The checks are pure functions.
+// had no effect, writes and strong reads are linearizable, plain reads are fresh, every
+// answer belongs to its request and no workspace exceeds its rate. The checks are pure
+// functions.
 package history
 
 import (
@@ -14,6 +15,7 @@
 
 // Outcomes.
 const (
+	// Acked is the acknowledgement of the request.
 	Acked Outcome = iota
 	// NotRun is a refusal that reports that the request had no effect.
 	NotRun
@@ -80,7 +82,7 @@
 	Received string
 }
 
-// CheckAnswers finds answers that belong to another request.
+// CheckAnswers returns a violation for each answer that belongs to another request.
 func CheckAnswers(answers []Answer) []Violation {
 	var out []Violation
 	for _, a := range answers {
@@ -99,9 +101,9 @@
 }
 
 // CheckRate finds a window of time in which more requests of one workspace were served
-// than its rate (per second) and burst allow, and returns at most one. Only requests
-// entirely within a window count, so the time at which a request was admitted between
-// its start and its answer does not matter.
+// than its rate (per second) and burst allow, and returns at most one violation. A
+// request counts only in windows that contain both its start and its answer, since it
+// may have been admitted at any time between them.
 func CheckRate(served []Span, rate, burst float64) []Violation {
 	for _, first := range served {
 		within := spansAfter(served, first.Invoke)
--- a/internal/history/register.go
+++ b/internal/history/register.go
@@ -6,13 +6,13 @@
 	"github.com/anishathalye/porcupine"
 )
 
-// Kind is the kind of an operation on a record.
-type Kind uint8
+// OperationKind is the kind of an operation on a record.
+type OperationKind uint8
 
-// Kinds.
+// Kinds of operations.
 const (
 	// OpWrite sets the record's value.
-	OpWrite Kind = iota
+	OpWrite OperationKind = iota
 	// OpStrongRead reads the value with a statement that also writes, so that it
 	// is acknowledged like a write.
 	OpStrongRead
@@ -25,7 +25,7 @@
 type Operation struct {
 	Client  int
 	Record  string
-	Kind    Kind
+	Kind    OperationKind
 	Value   string
 	Outcome Outcome
 	Span
@@ -94,7 +94,7 @@
 
 // CheckFreshReads checks plain reads: a read returns the value of a write that began
 // before the read ended and that no acknowledged write had replaced before the
-// read began.
+// read began. The empty value is that of a record before its first write.
 func CheckFreshReads(ops []Operation) []Violation {
 	var out []Violation
 	for _, history := range byRecord(ops) {
--- a/test/integration/soak_test.go
+++ b/test/integration/soak_test.go
@@ -109,7 +109,7 @@
 		return
 	}
 	defer closeConn(conn)
-	op := history.Operation{Client: client, Record: service, Kind: history.Kind(rng.IntN(3))}
+	op := history.Operation{Client: client, Record: service, Kind: history.OperationKind(rng.IntN(3))}
 	invoke := time.Now()
 	switch op.Kind {
 	case history.OpWrite:
