--- a/internal/consensus/bootstrap.go
+++ b/internal/consensus/bootstrap.go
@@ -34,24 +34,24 @@
 }
 
 // tickOutsideGroup sends join requests to the other control hosts. The initial
-// voter with the lowest host name forms a group once every initial voter has
-// reported that it belongs to none. If an initial voter then loses its disk and
-// forms a second group, the disk identities of the others can belong to only one
-// of the two, so at most one has a quorum.
+// voter with the lowest host name forms a group once every other initial voter has
+// reported that it belongs to none. If that host loses its disk and forms a second
+// group, each of the other data folders can belong to only one of the two, so at
+// most one has a quorum.
 func (n *Node) tickOutsideGroup() {
 	if n.ticks%joinRequestInterval == 0 {
 		n.sendJoinRequests()
 	}
-	if n.hard.Fleet != 0 || n.bootstrap.groupExists || len(n.cfg.Founders) == 0 {
+	if n.hard.Fleet != 0 || n.bootstrap.groupExists || len(n.cfg.InitialVoters) == 0 {
 		return
 	}
-	if slices.Min(n.cfg.Founders) == n.cfg.Host && n.initialVotersReady() {
+	if slices.Min(n.cfg.InitialVoters) == n.cfg.Host && n.initialVotersReady() {
 		n.bootstrapGroup()
 	}
 }
 
 func (n *Node) sendJoinRequests() {
-	hosts := append(slices.Clone(n.cfg.Peers), n.cfg.Founders...)
+	hosts := append(slices.Clone(n.cfg.Peers), n.cfg.InitialVoters...)
 	if n.bootstrap.leader != "" {
 		hosts = append(hosts, n.bootstrap.leader)
 	}
@@ -69,7 +69,7 @@
 // initialVotersReady reports whether every other initial voter has sent a join
 // request within two request intervals.
 func (n *Node) initialVotersReady() bool {
-	for _, host := range n.cfg.Founders {
+	for _, host := range n.cfg.InitialVoters {
 		request, ok := n.bootstrap.readyPeers[host]
 		if host != n.cfg.Host && (!ok || n.ticks-request.tick > 2*joinRequestInterval) {
 			return false
@@ -82,7 +82,7 @@
 // empty snapshot at index 1, and this node starts a pre-vote at once.
 func (n *Node) bootstrapGroup() {
 	members := []Member{{Host: n.cfg.Host, Disk: n.disk, Voter: true}}
-	for _, host := range n.cfg.Founders {
+	for _, host := range n.cfg.InitialVoters {
 		if host != n.cfg.Host {
 			members = append(members, Member{Host: host, Disk: n.bootstrap.readyPeers[host].disk, Voter: true})
 		}
--- a/internal/consensus/checker_test.go
+++ b/internal/consensus/checker_test.go
@@ -48,7 +48,7 @@
 	leaders      map[uint64]uint64 // term to disk identity
 	committed    map[uint64]Entry  // by index
 	maxCommit    uint64
-	commitAtCall map[uint64]uint64 // ConfirmQuorum call to the commit at its start
+	commitAtCall map[uint64]uint64 // ConfirmQuorum call to maxCommit at its start
 	violation    string
 }
 
--- a/internal/consensus/cluster_test.go
+++ b/internal/consensus/cluster_test.go
@@ -21,8 +21,8 @@
 func (d *disk) save(u Durable) {
 	if u.Snapshot != nil {
 		d.Snapshot = *u.Snapshot
-		first := u.First
-		if u.Reset {
+		first := u.FirstIndex
+		if u.ResetLog {
 			d.Entries = nil
 		}
 		d.Entries = slices.DeleteFunc(slices.Clone(d.Entries), func(e Entry) bool { return e.Index < first })
@@ -45,13 +45,13 @@
 
 // process is a control host in a test: a node, its disk and what it applied.
 type process struct {
-	cfg          Config
-	disk         *disk
-	node         *Node // nil while down
-	state        appState
-	confirmed    []Confirmation
-	dropped      []uint64
-	joinRequests []Member
+	cfg            Config
+	disk           *disk
+	node           *Node // nil while down
+	state          appState
+	confirmed      []Confirmation
+	failedConfirms []uint64
+	joinRequests   []Member
 }
 
 // appState is the application state: the commands applied so far.
@@ -103,10 +103,10 @@
 
 func (c *cluster) add(host string, initialVoters []string) *process {
 	p := &process{cfg: Config{
-		Host: host, Peers: slices.Clone(c.hosts), Founders: initialVoters,
+		Host: host, Peers: slices.Clone(c.hosts), InitialVoters: initialVoters,
 		Rand:          rand.New(rand.NewPCG(c.rng.Uint64(), 2)),
 		ElectionTicks: c.electionTicks, HeartbeatTicks: max(1, c.electionTicks/5),
-		Trailing: 4, ChunkBytes: 64, MaxInflight: 4, MaxAppendBytes: 200,
+		TrailingEntries: 4, ChunkBytes: 64, MaxInflight: 4, MaxAppendBytes: 200,
 	}}
 	p.disk = c.newDisk()
 	c.procs[host] = p
@@ -169,8 +169,8 @@
 			p.apply(e)
 		}
 		p.confirmed = append(p.confirmed, rd.Confirmed...)
-		p.dropped = append(p.dropped, rd.Dropped...)
-		p.joinRequests = rd.Joining
+		p.failedConfirms = append(p.failedConfirms, rd.FailedConfirms...)
+		p.joinRequests = rd.JoinRequests
 		p.node.Advance(rd)
 		c.checker.observe(c, p, rd)
 		c.maybeCompact(p)
--- a/internal/consensus/config.go
+++ b/internal/consensus/config.go
@@ -15,10 +15,10 @@
 	// Peers are the other control hosts. The node sends them join requests while
 	// it belongs to no group.
 	Peers []string
-	// Founders are the hosts, this one included, that form a new group as its
-	// voters once all of them are up with empty data folders. When empty, the
-	// node can only join an existing group.
-	Founders []string
+	// InitialVoters are the hosts, this one included, that form a new group once
+	// all of them are up with empty data folders. When empty, the node can only
+	// join an existing group.
+	InitialVoters []string
 	// Rand randomises election timeouts and the identity of a new group.
 	// Required.
 	Rand *rand.Rand
@@ -27,18 +27,20 @@
 	// ElectionTicks is the minimum election timeout. Each timeout is drawn
 	// uniformly from [ElectionTicks, 2*ElectionTicks), except for the first one
 	// after a start, which may be shorter.
-	ElectionTicks  int
+	ElectionTicks int
+	// HeartbeatTicks is the interval of a leader's heartbeats. It must be shorter
+	// than ElectionTicks.
 	HeartbeatTicks int
-	// MaxAppendBytes bounds the entries of one message, except that a message
-	// holds at least one entry.
+	// MaxAppendBytes bounds the size of the entries of one append message. A single
+	// entry may exceed it.
 	MaxAppendBytes int
 	// MaxInflight bounds the unacknowledged append messages per follower.
 	MaxInflight int
 	// ChunkBytes bounds the snapshot data of one message.
 	ChunkBytes int
-	// Trailing is the number of applied entries kept after a snapshot, so that
+	// TrailingEntries is the number of applied entries kept after a snapshot, so that
 	// followers that lag by less need no snapshot.
-	Trailing uint64
+	TrailingEntries uint64
 }
 
 func (c Config) withDefaults() Config {
@@ -50,8 +52,8 @@
 	setDefault(&c.MaxAppendBytes, DefaultMaxAppendBytes)
 	setDefault(&c.MaxInflight, DefaultMaxInflight)
 	setDefault(&c.ChunkBytes, DefaultChunkBytes)
-	if c.Trailing == 0 {
-		c.Trailing = DefaultTrailing
+	if c.TrailingEntries == 0 {
+		c.TrailingEntries = DefaultTrailingEntries
 	}
 	return c
 }
--- a/internal/consensus/doc.go
+++ b/internal/consensus/doc.go
@@ -12,7 +12,7 @@
 //		store.Save(rd.Durable)             // synced before any message is sent
 //		restore the state from rd.Install, when set
 //		send rd.Messages
-//		apply rd.Committed, complete rd.Confirmed, fail rd.Dropped
+//		apply rd.Committed, complete rd.Confirmed, fail rd.FailedConfirms
 //		node.Advance(rd)
 //
 // No other method may be called between Ready and Advance. When Save fails,
--- a/internal/consensus/election.go
+++ b/internal/consensus/election.go
@@ -22,7 +22,7 @@
 
 func (n *Node) becomeFollower(term uint64, leader Member) {
 	if n.role == Leader {
-		n.dropped = append(n.dropped, n.leaderState.pendingConfirmIDs()...)
+		n.failedConfirms = append(n.failedConfirms, n.leaderState.pendingConfirmIDs()...)
 		n.leaderState = nil
 	}
 	if term > n.hard.Term {
@@ -90,8 +90,8 @@
 	return count
 }
 
-// handleVote responds to KindPreVote and KindVote. A node votes for any candidate
-// that addresses its disk identity, even one that its own log does not list yet.
+// handleVote responds to KindPreVote and KindVote. The candidate need not be a
+// member by this node's log, which may lack the latest membership.
 func (n *Node) handleVote(m *Message) {
 	kind := KindVoteResponse
 	mayGrant := n.hard.Vote == m.FromDisk || n.hard.Vote == 0 && n.leader.Disk == 0
--- a/internal/consensus/leader.go
+++ b/internal/consensus/leader.go
@@ -166,7 +166,7 @@
 	n.afterCommit()
 }
 
-// afterCommit completes confirmed calls, and steps down once the removal of this
+// afterCommit completes ConfirmQuorum calls, and steps down once the removal of this
 // node from the voters is committed.
 func (n *Node) afterCommit() {
 	n.completeConfirms()
@@ -205,8 +205,8 @@
 	return result.New(result.NotLeader, "host %s is not another voter of the group", host)
 }
 
-// continueTransfer tells the transfer target to start an election once its log is
-// complete, and sends it the missing entries before.
+// continueTransfer requests the transfer target to start an election once its log
+// is complete. Until then it sends the missing entries.
 func (n *Node) continueTransfer(p *progress) {
 	if p.member.Disk != n.leaderState.transferTarget {
 		return
--- a/internal/consensus/log.go
+++ b/internal/consensus/log.go
@@ -6,8 +6,8 @@
 	"github.com/pkg/errors"
 )
 
-// raftLog is the in-memory copy of the log since the last compaction. It holds
-// prevIndex <= snap.Index <= applied <= commit <= last() and stable <= last().
+// raftLog is the in-memory copy of the log since the last compaction. Invariants:
+// prevIndex <= snap.Index <= applied <= commit <= last(), and stable <= last().
 type raftLog struct {
 	snap Snapshot
 	// prevIndex and prevTerm identify the entry before entries[0].
@@ -42,7 +42,7 @@
 }
 
 // load initialises the log with stored entries. Those up to the snapshot are
-// dropped, because the term of the entry before them is not stored.
+// left out, because the term of the entry before them is not stored.
 func (l *raftLog) load(entries []Entry) error {
 	for i, e := range entries {
 		if e.Index != entries[0].Index+uint64(i) {
--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -10,8 +10,8 @@
 // ChangeKind is the kind of a membership change.
 type ChangeKind uint8
 
-// Kinds of membership changes. Each concerns one member, so any majority before
-// the change shares a voter with any majority after it.
+// Kinds of membership changes. Each changes one member, so any majority of the
+// voters before the change shares a voter with any majority after it.
 const (
 	AddLearner ChangeKind = iota + 1
 	Promote
@@ -63,7 +63,7 @@
 		return 0, err
 	}
 	if n.log.commit < n.leaderState.termStartIndex || !n.changeCommitted() {
-		return 0, errors.New("consensus: a membership change is in progress")
+		return 0, errors.New("consensus: the previous membership change or the first entry of the term is not committed")
 	}
 	members, err := n.applyChange(c)
 	if err != nil {
@@ -111,39 +111,39 @@
 // NextChange returns the next change that brings the membership closer to the
 // desired one, to be passed to ProposeChange by the leader. It adds joining hosts
 // as learners, promotes learners that have caught up, and replaces the data
-// folder of a host that returned with another one. It removes no host, which is
-// left to operators.
+// folder of a host that returned with another one. It never removes a host; that
+// is left to operators.
 func (n *Node) NextChange(desired []DesiredMember) (Change, bool) {
 	if n.checkLeader() != nil || n.log.commit < n.leaderState.termStartIndex || !n.changeCommitted() {
 		return Change{}, false
 	}
-	for _, w := range desired {
-		if c, ok := n.nextChangeForHost(w); ok {
+	for _, want := range desired {
+		if c, ok := n.nextChangeForHost(want); ok {
 			return c, true
 		}
 	}
 	return Change{}, false
 }
 
-func (n *Node) nextChangeForHost(w DesiredMember) (Change, bool) {
+func (n *Node) nextChangeForHost(want DesiredMember) (Change, bool) {
 	var current []Member
 	for _, m := range n.members {
-		if m.Host == w.Host {
+		if m.Host == want.Host {
 			current = append(current, m)
 		}
 	}
-	request, ok := n.leaderState.joinRequests[w.Host]
+	request, ok := n.leaderState.joinRequests[want.Host]
 	valid := ok && n.ticks-request.tick <= joinRequestLifetime
 	if valid && !slices.ContainsFunc(current, func(m Member) bool { return m.Disk == request.disk }) {
-		return n.nextAdmission(w, current, request.disk)
+		return n.nextAdmission(want, current, request.disk)
 	}
-	return n.nextHostPromotion(w, current)
+	return n.nextHostPromotion(want, current)
 }
 
 // nextAdmission adds a new data folder of a host as a learner. A former learner
 // of the host is removed first; while a former member of it responds, there is no
 // change.
-func (n *Node) nextAdmission(w DesiredMember, current []Member, disk uint64) (Change, bool) {
+func (n *Node) nextAdmission(want DesiredMember, current []Member, disk uint64) (Change, bool) {
 	for _, m := range current {
 		switch {
 		case m.Disk == n.disk || n.leaderState.progress[m.Disk].recentlyActive():
@@ -152,14 +152,14 @@
 			return Change{Kind: Remove, Member: m}, true
 		}
 	}
-	return Change{Kind: AddLearner, Member: Member{Host: w.Host, Disk: disk}}, true
+	return Change{Kind: AddLearner, Member: Member{Host: want.Host, Disk: disk}}, true
 }
 
 // nextHostPromotion promotes the learner of a desired voter once it has caught
 // up. The inactive voter of the same host that it replaces is removed first.
-func (n *Node) nextHostPromotion(w DesiredMember, current []Member) (Change, bool) {
+func (n *Node) nextHostPromotion(want DesiredMember, current []Member) (Change, bool) {
 	learner := slices.IndexFunc(current, func(m Member) bool { return !m.Voter })
-	if !w.Voter || learner < 0 || !n.caughtUp(current[learner]) {
+	if !want.Voter || learner < 0 || !n.caughtUp(current[learner]) {
 		return Change{}, false
 	}
 	for _, m := range current {
--- a/internal/consensus/member_test.go
+++ b/internal/consensus/member_test.go
@@ -13,9 +13,9 @@
 	if p == nil || !p.node.changeCommitted() || len(p.node.members) != len(c.desired) {
 		return false
 	}
-	for _, w := range c.desired {
-		m, ok := p.node.member(c.procs[w.Host].disk.Disk)
-		if !ok || m.Host != w.Host || m.Voter != w.Voter {
+	for _, want := range c.desired {
+		m, ok := p.node.member(c.procs[want.Host].disk.Disk)
+		if !ok || m.Host != want.Host || m.Voter != want.Voter {
 			return false
 		}
 	}
@@ -47,7 +47,7 @@
 	}
 	c.propose("after")
 	if got := len(c.procs[lost].state.commands); got != 21 {
-		t.Fatalf("%d commands on the new disk", got)
+		t.Fatalf("%d commands on the new disk, want 21", got)
 	}
 	c.requireNoViolation()
 }
@@ -85,7 +85,7 @@
 	c.runUntil("the new hosts are members", c.membershipSettled)
 	c.propose("after")
 	if got := len(c.procs["relay"].state.commands); got != 31 {
-		t.Fatalf("%d commands on the learner", got)
+		t.Fatalf("%d commands on the learner, want 31", got)
 	}
 	if c.procs["relay"].disk.Snapshot.Index <= 1 {
 		t.Fatal("the learner got no snapshot")
@@ -93,7 +93,7 @@
 	c.requireNoViolation()
 }
 
-func TestTransferLeadership(t *testing.T) {
+func TestTransferLeadershipElectsTarget(t *testing.T) {
 	c := newCluster(t, 14, "a", "b", "c")
 	c.propose("x")
 	to := c.nonLeader()
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -1,12 +1,12 @@
 package consensus
 
 // Kind is the type of a message between nodes.
-type Kind uint8
+type MessageKind uint8
 
 // Kinds of messages.
 const (
 	// KindPreVote asks whether the receiver would vote for the sender in Term.
-	KindPreVote Kind = iota + 1
+	KindPreVote MessageKind = iota + 1
 	KindPreVoteResponse
 	KindVote
 	KindVoteResponse
@@ -33,7 +33,7 @@
 // Message is a message between two nodes. Fields that a kind does not use are
 // zero.
 type Message struct {
-	Kind Kind `cbor:"1,keyasint"`
+	Kind MessageKind `cbor:"1,keyasint"`
 	// From and To are hosts; FromDisk and ToDisk identify the nodes.
 	From     string `cbor:"2,keyasint"`
 	FromDisk uint64 `cbor:"3,keyasint"`
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -34,13 +34,13 @@
 	incoming    *incomingSnapshot // snapshot being received
 	bootstrap   bootstrapState
 	peerRecords map[uint64]PeerRecord // by disk identity
-	// peerBootUnsaved is set while a peer's new start is not yet synced.
+	// peerBootUnsaved is set while a newer start count of a peer is not synced.
 	peerBootUnsaved bool
 
-	msgs         []Message
-	confirmed    []Confirmation
-	dropped      []uint64
-	joinRequests []Member
+	msgs           []Message
+	confirmed      []Confirmation
+	failedConfirms []uint64
+	joinRequests   []Member
 }
 
 // New returns a node that continues from the content of its data folder.
@@ -152,9 +152,9 @@
 	return true
 }
 
-// handleNewerTerm adopts the term of a message. A pre-vote and its grant carry a
-// term that nobody has entered yet and are exempt. A vote request is ignored
-// while the leader is live, unless it is part of a leadership transfer.
+// handleNewerTerm adopts the term of a message, except that of a pre-vote or of its
+// grant, which no node has entered yet. A vote request is ignored while the leader
+// is live, unless it is part of a leadership transfer.
 func (n *Node) handleNewerTerm(m *Message) bool {
 	switch m.Kind {
 	case KindPreVote:
--- a/internal/consensus/node_test.go
+++ b/internal/consensus/node_test.go
@@ -19,7 +19,7 @@
 	c.propose("x")
 	c.propose("y")
 	if got := c.procs["a"].state.commands; !slices.Equal(got, []string{"x", "y"}) {
-		t.Fatalf("applied %v", got)
+		t.Fatalf("applied %v, want [x y]", got)
 	}
 	c.requireNoViolation()
 }
@@ -35,7 +35,7 @@
 	c.propose("z")
 	for h, p := range c.procs {
 		if !slices.Equal(p.state.commands, []string{"x", "y", "z"}) {
-			t.Errorf("%s applied %v", h, p.state.commands)
+			t.Errorf("%s applied %v, want [x y z]", h, p.state.commands)
 		}
 	}
 	c.requireNoViolation()
@@ -52,12 +52,12 @@
 	}
 	c.propose("after")
 	if got := len(c.procs["a"].state.commands); got != 51 {
-		t.Fatalf("%d commands after the restart", got)
+		t.Fatalf("%d commands after the restart, want 51", got)
 	}
 	c.requireNoViolation()
 }
 
-func TestConfirmQuorum(t *testing.T) {
+func TestConfirmQuorumNeedsReachableQuorum(t *testing.T) {
 	c := newCluster(t, 4, "a", "b", "c")
 	c.propose("x")
 	p := c.leader()
@@ -74,9 +74,9 @@
 		t.Fatal(err)
 	}
 	c.processReady(p)
-	c.runUntil("dropped", func() bool { return slices.Contains(p.dropped, 8) })
+	c.runUntil("dropped", func() bool { return slices.Contains(p.failedConfirms, 8) })
 	if len(p.confirmed) != 1 {
-		t.Fatal("an isolated leader confirmed")
+		t.Fatal("an isolated leader confirmed a call")
 	}
 	c.requireNoViolation()
 }
@@ -101,7 +101,7 @@
 		c.round()
 	}
 	if c.leader() != p || p.node.hard.Term != term {
-		t.Fatalf("term went from %d to %d", term, p.node.hard.Term)
+		t.Fatalf("the leader was replaced, or its term changed from %d to %d", term, p.node.hard.Term)
 	}
 	c.requireNoViolation()
 }
--- a/internal/consensus/open_membership.go
+++ b/internal/consensus/open_membership.go
@@ -12,7 +12,8 @@
 
 // NextOpenChange returns the next change of a group with open membership, which
 // every control host may join, to be passed to ProposeChange by the leader. It
-// keeps the number of live voters high without an operator:
+// keeps the number of live voters high without an operator. A member is silent when
+// it has not responded for replaceAfterTicks.
 //
 //   - a joining host becomes a learner, and a voter once it has caught up;
 //   - a caught-up learner replaces a silent voter, preferably a former data folder
--- a/internal/consensus/open_membership_test.go
+++ b/internal/consensus/open_membership_test.go
@@ -134,7 +134,7 @@
 		c.round()
 	}
 	if n := c.leader().node.voterCount(); n != 5 {
-		t.Fatalf("%d voters", n)
+		t.Fatalf("%d voters, want 5", n)
 	}
 	c.start("d")
 	c.start("e")
--- a/internal/consensus/ready.go
+++ b/internal/consensus/ready.go
@@ -7,7 +7,7 @@
 	n.beginRoundIfQueued()
 	return n.hardStateChanged() || n.log.snapshotUnsaved || n.log.installPending ||
 		n.log.stable < n.log.last() || n.log.applied < n.log.commit ||
-		len(n.msgs) > 0 || len(n.confirmed) > 0 || len(n.dropped) > 0 ||
+		len(n.msgs) > 0 || len(n.confirmed) > 0 || len(n.failedConfirms) > 0 ||
 		len(n.joinRequests) > 0 || n.rejoin
 }
 
@@ -16,13 +16,13 @@
 func (n *Node) Ready() Ready {
 	n.beginRoundIfQueued()
 	rd := Ready{
-		Durable:   n.durable(),
-		Messages:  n.msgs,
-		Committed: n.log.slice(n.log.applied+1, n.log.commit),
-		Confirmed: n.confirmed,
-		Dropped:   n.dropped,
-		Joining:   n.joinRequests,
-		Rejoin:    n.rejoin,
+		Durable:        n.durable(),
+		Messages:       n.msgs,
+		Committed:      n.log.slice(n.log.applied+1, n.log.commit),
+		Confirmed:      n.confirmed,
+		FailedConfirms: n.failedConfirms,
+		JoinRequests:   n.joinRequests,
+		Rejoin:         n.rejoin,
 	}
 	if n.log.installPending {
 		snap := n.log.snap
@@ -34,8 +34,8 @@
 // hardStateChanged reports a change that must be synced. A change of the commit
 // index alone need not be.
 func (n *Node) hardStateChanged() bool {
-	now, was := n.hard, n.savedHard
-	return now.Term != was.Term || now.Vote != was.Vote || now.Fleet != was.Fleet || n.peerBootUnsaved
+	current, saved := n.hard, n.savedHard
+	return current.Term != saved.Term || current.Vote != saved.Vote || current.Fleet != saved.Fleet || n.peerBootUnsaved
 }
 
 func (n *Node) durable() Durable {
@@ -43,8 +43,8 @@
 	if n.log.snapshotUnsaved {
 		snap := n.log.snap
 		d.Snapshot = &snap
-		d.First = n.log.prevIndex + 1
-		d.Reset = n.log.resetStored
+		d.FirstIndex = n.log.prevIndex + 1
+		d.ResetLog = n.log.resetStored
 	}
 	d.Entries = n.log.slice(n.log.stable+1, n.log.last())
 	if n.hardStateChanged() || !d.Empty() {
@@ -72,7 +72,7 @@
 	if len(rd.Committed) > 0 {
 		n.log.applied = rd.Committed[len(rd.Committed)-1].Index
 	}
-	n.msgs, n.confirmed, n.dropped, n.joinRequests = nil, nil, nil, nil
+	n.msgs, n.confirmed, n.failedConfirms, n.joinRequests = nil, nil, nil, nil
 	if len(rd.Entries) > 0 {
 		n.log.stable = rd.Entries[len(rd.Entries)-1].Index
 		if n.role == Leader {
--- a/internal/consensus/replicate.go
+++ b/internal/consensus/replicate.go
@@ -148,8 +148,9 @@
 	p.inflight = p.inflight[free:]
 }
 
-// handleAppendReject moves next back to where the logs may match. A reordered
-// rejection of an index that is known to match is ignored.
+// handleAppendReject moves next back to where the logs may match. It ignores an
+// outdated rejection: one of an index that has matched since, one of an append
+// before the present probe, or one that arrives during a snapshot transfer.
 func (n *Node) handleAppendReject(p *progress, m *Message) {
 	if m.Index <= p.match && p.match > 0 || p.snapshot != nil {
 		return
@@ -162,6 +163,10 @@
 	n.sendAppend(p, false)
 }
 
+// handleHeartbeatResponse repairs the loss of messages. It repeats the snapshot chunk
+// or the probe, or sends an append that the follower rejects when an earlier one was
+// lost. When MaxInflight is reached it also discards the oldest append in flight,
+// whose acknowledgement may be lost.
 func (n *Node) handleHeartbeatResponse(p *progress, m *Message) {
 	p.ackedRound = max(p.ackedRound, m.Round)
 	n.completeConfirms()
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -29,10 +29,10 @@
 	scheduleSteps = 800
 	// schedulesPerCheck is the number of schedules with consecutive seeds in
 	// one check of rapid, which makes 100 checks by default.
-	schedulesPerCheck = 5
-	maxNet            = 60 // messages in flight
-	maxSeed           = 1 << 40
-	reorderWindow     = 20 // messages that may overtake each other
+	schedulesPerCheck  = 5
+	maxNetworkMessages = 60 // in flight; older ones are lost
+	maxSeed            = 1 << 40
+	reorderWindow      = 20 // messages that may overtake each other
 )
 
 func newSchedule(t testingT, seed uint64) *schedule {
@@ -94,8 +94,8 @@
 
 // stepDeliver delivers some random messages, and drops or duplicates a few.
 func (s *schedule) stepDeliver() {
-	if len(s.network) > maxNet {
-		s.network = slices.Delete(s.network, 0, len(s.network)-maxNet)
+	if len(s.network) > maxNetworkMessages {
+		s.network = slices.Delete(s.network, 0, len(s.network)-maxNetworkMessages)
 	}
 	for range 1 + s.eventRNG.IntN(6) {
 		if len(s.network) == 0 {
@@ -237,6 +237,9 @@
 	return true
 }
 
+// TestRandomSchedules checks the safety properties of Raft under random loss, duplication
+// and reordering of messages, crashes, cut links, leadership transfers and one lost disk,
+// and that the group recovers once all faults have ended.
 func TestRandomSchedules(t *testing.T) {
 	rapid.Check(t, func(rt *rapid.T) {
 		first := rapid.Uint64Range(0, maxSeed).Draw(rt, "first seed")
--- a/internal/consensus/snapshot.go
+++ b/internal/consensus/snapshot.go
@@ -20,9 +20,9 @@
 	data  []byte
 }
 
-// Compact replaces the entries up to an applied index, except for Config.Trailing
-// of them, by the application state at that index. The next Ready contains the
-// snapshot to save.
+// Compact replaces the entries up to an applied index, except for the last
+// Config.TrailingEntries of them, by the application state at that index. The next
+// Ready contains the snapshot to save.
 func (n *Node) Compact(index uint64, data []byte) error {
 	if index > n.log.applied {
 		return errors.Errorf("consensus: entry %d is not applied", index)
@@ -33,7 +33,7 @@
 	term, _ := n.log.term(index)
 	n.log.compact(Snapshot{
 		Index: index, Term: term, Members: n.log.membersAt(index), Data: data,
-	}, n.cfg.Trailing)
+	}, n.cfg.TrailingEntries)
 	return nil
 }
 
--- a/internal/consensus/stale_peer.go
+++ b/internal/consensus/stale_peer.go
@@ -4,18 +4,18 @@
 // record. It returns false, and requests that the sender rejoin, when the
 // sender's data folder is older than one that it used before.
 func (n *Node) checkSender(m *Message) bool {
-	was := n.peerRecords[m.FromDisk]
+	previous := n.peerRecords[m.FromDisk]
 	term, known := m.senderTerm()
-	if m.Boots < was.Boots || m.Boots > was.Boots && known && term < was.Term {
+	if m.Boots < previous.Boots || m.Boots > previous.Boots && known && term < previous.Term {
 		n.sendRejoin(m)
 		return false
 	}
-	now := PeerRecord{Disk: m.FromDisk, Boots: m.Boots, Term: was.Term}
+	updated := PeerRecord{Disk: m.FromDisk, Boots: m.Boots, Term: previous.Term}
 	if known {
-		now.Term = max(was.Term, term)
+		updated.Term = max(previous.Term, term)
 	}
-	n.peerRecords[m.FromDisk] = now
-	n.peerBootUnsaved = n.peerBootUnsaved || now.Boots != was.Boots
+	n.peerRecords[m.FromDisk] = updated
+	n.peerBootUnsaved = n.peerBootUnsaved || updated.Boots != previous.Boots
 	return true
 }
 
@@ -73,8 +73,8 @@
 	n.respond(m, Message{Kind: KindRejoin, Boots: m.Boots})
 }
 
-// handleRejoin follows the request only when it names the present start: a
-// response to an earlier process with the same data folder is outdated.
+// handleRejoin handles a request to rejoin. It ignores one that was sent to an
+// earlier process with the same data folder, as its start count shows.
 func (n *Node) handleRejoin(m *Message) {
 	if m.Boots == n.boots {
 		n.requireRejoin()
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -94,11 +94,11 @@
 type Durable struct {
 	// Hard replaces the stored hard state when set.
 	Hard *HardState
-	// Snapshot replaces the stored snapshot when set. Stored entries before
-	// First, and with Reset all stored entries, are deleted with it.
-	Snapshot *Snapshot
-	First    uint64
-	Reset    bool
+	// Snapshot replaces the stored snapshot when set. With it, stored entries
+	// before FirstIndex are deleted, or all of them when ResetLog is set.
+	Snapshot   *Snapshot
+	FirstIndex uint64
+	ResetLog   bool
 	// Entries replace all stored entries from Entries[0].Index on.
 	Entries []Entry
 }
@@ -129,15 +129,16 @@
 	// Committed entries are delivered once per start, in log order.
 	Committed []Entry
 	Confirmed []Confirmation
-	// Dropped lists the ConfirmQuorum calls that failed because the node is no
-	// longer the leader.
-	Dropped []uint64
-	// Joining lists the nodes that asked this leader to join the group.
-	Joining []Member
-	// Rejoin is set once the data folder is known to be an older copy of itself,
-	// to lack synced entries, or to be removed from the group. The node then
-	// ignores ticks and messages: the driver must start a new node from an empty
-	// data folder with a new identity.
+	// FailedConfirms lists the ConfirmQuorum calls that failed because the node is
+	// no longer the leader, by their IDs.
+	FailedConfirms []uint64
+	// JoinRequests lists the nodes that sent this leader a request to join the
+	// group and are not members.
+	JoinRequests []Member
+	// Rejoin is set once the data folder proved to be an older copy of itself, to
+	// lack synced entries, or to be removed from the group. The node then ignores
+	// ticks and messages, and the driver must start a new node from an empty data
+	// folder with a new identity.
 	Rejoin bool
 }
 
@@ -190,11 +191,11 @@
 
 // Defaults of Config.
 const (
-	DefaultTickInterval   = 20 * time.Millisecond
-	DefaultElectionTicks  = 15 // 300 ms, randomised up to 600 ms
-	DefaultHeartbeatTicks = 3  // 60 ms
-	DefaultMaxAppendBytes = 256 << 10
-	DefaultMaxInflight    = 32 // append messages per follower
-	DefaultChunkBytes     = 256 << 10
-	DefaultTrailing       = 1024 // entries
+	DefaultTickInterval    = 20 * time.Millisecond
+	DefaultElectionTicks   = 15 // 300 ms, randomised up to 600 ms
+	DefaultHeartbeatTicks  = 3  // 60 ms
+	DefaultMaxAppendBytes  = 256 << 10
+	DefaultMaxInflight     = 32 // append messages per follower
+	DefaultChunkBytes      = 256 << 10
+	DefaultTrailingEntries = 1024 // entries
 )
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -250,12 +250,12 @@
 			cfg.Peers = append(cfg.Peers, c.Host)
 		}
 		if c.Voter && h.opts.Bootstrap {
-			cfg.Founders = append(cfg.Founders, c.Host)
+			cfg.InitialVoters = append(cfg.InitialVoters, c.Host)
 			founder = founder || c.Host == cfg.Host
 		}
 	}
 	if h.opts.Open && !founder {
-		cfg.Founders = nil // a host that is not a seed waits to be admitted
+		cfg.InitialVoters = nil // a host that is not a seed waits to be admitted
 	}
 	return cfg
 }
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -105,7 +105,7 @@
 // handleConfirmations handles the confirmations by the leader's quorum. All entries
 // committed before a confirmation have been applied by then.
 func (h *Host) handleConfirmations(now time.Time, rd consensus.Ready) {
-	for _, id := range rd.Dropped {
+	for _, id := range rd.FailedConfirms {
 		if !h.failRead(id) {
 			h.broker.AbortRound()
 		}
@@ -187,7 +187,7 @@
 // exclusive identities a host has one process at a time, so a process may not hold
 // one after a newer process of its host was seen.
 func (h *Host) possibleHolders() []lease.ID {
-	if !h.opts.Lease.Exclusive {
+	if !h.opts.Lease.ExclusiveIdentity {
 		return h.registered
 	}
 	ids := make([]lease.ID, 0, len(h.registered))
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -109,7 +109,7 @@
 	if e.from == s.upstream().Host {
 		s.lastGrant = now
 	}
-	s.holder.Granted(e.ok)
+	s.holder.HandleRenewOK(e.ok)
 	s.publish()
 }
 
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -111,7 +111,7 @@
 func leaseConfig() lease.Config {
 	cfg := lease.DefaultConfig()
 	cfg.Duration, cfg.RenewInterval = 2*time.Second, 400*time.Millisecond
-	cfg.Exclusive = true // the identity of a host is the address that its process listens on
+	cfg.ExclusiveIdentity = true // the identity of a host is the address that its process listens on
 	return cfg
 }
 
--- a/internal/lease/broker.go
+++ b/internal/lease/broker.go
@@ -21,7 +21,7 @@
 	round     uint64 // number of the round in flight, zero when there is none
 	lastRound uint64
 	settled   uint64
-	// lastReported is the revision in the last round.
+	// lastReported is the applied revision that the last round reported.
 	lastReported uint64
 	// listedHolders are the holders in the round with number listedRound. Later rounds
 	// may refer to that list once listedAnswered is set.
@@ -31,7 +31,7 @@
 	// holdersRemoved is set when a holder was removed since the last round, so that a
 	// relay reports it to the leader even if no request is waiting.
 	holdersRemoved bool
-	// unknownLeasesUntil is when the last lease granted by a former leader has ended.
+	// unknownLeasesUntil is when all leases granted by former leaders have ended.
 	unknownLeasesUntil time.Time
 }
 
@@ -42,7 +42,7 @@
 	relay bool
 }
 
-// session is the broker's record of the leases of one subscriber.
+// session holds the latest request and the counted leases of one subscriber.
 type session struct {
 	seq     uint64
 	applied uint64
@@ -51,8 +51,7 @@
 	holdersSeq uint64
 	// leaseEnd is the end of the granted leases as counted by the broker.
 	leaseEnd time.Time
-	// pending is set while the latest request has no answer yet, which will grant a
-	// lease.
+	// pending is set while the latest request may still be answered with a lease.
 	pending bool
 }
 
@@ -64,8 +63,8 @@
 type request struct {
 	key sessionKey
 	seq uint64
-	// at is when the request arrived.
-	at time.Time
+	// receivedAt is when the request arrived.
+	receivedAt time.Time
 }
 
 // requestTimeoutDivisor gives the time limit of a waiting request as a fraction of the
@@ -144,7 +143,7 @@
 // subscriber.
 func (b *Broker) enqueue(now time.Time, key sessionKey, seq uint64) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool { return w.key == key })
-	b.waiting = append(b.waiting, request{key: key, seq: seq, at: now})
+	b.waiting = append(b.waiting, request{key: key, seq: seq, receivedAt: now})
 }
 
 // BeginRound starts a round unless one is in flight. It reports false when there is
@@ -178,7 +177,7 @@
 func (b *Broker) dropTimedOut(now time.Time) {
 	limit := b.cfg.Duration / requestTimeoutDivisor
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool {
-		if now.Sub(w.at) <= limit {
+		if now.Sub(w.receivedAt) <= limit {
 			return false
 		}
 		if s := b.sessions[w.key]; s != nil && s.seq == w.seq {
@@ -222,7 +221,7 @@
 	if s == nil {
 		return
 	}
-	if end := r.at.Add(b.cfg.counted()); end.After(s.leaseEnd) {
+	if end := r.receivedAt.Add(b.cfg.countedDuration()); end.After(s.leaseEnd) {
 		s.leaseEnd = end
 	}
 	if s.seq == r.seq {
@@ -243,27 +242,28 @@
 	b.listedAnswered = false
 }
 
-// PossibleHolders returns which of the processes may hold a valid lease.
+// PossibleHolders returns the set of processes that may hold a valid lease. It contains
+// all of ids while a new leader waits for the leases of former leaders.
 func (b *Broker) PossibleHolders(now time.Time, ids []ID) map[ID]bool {
-	held := make(map[ID]bool)
+	possible := make(map[ID]bool)
 	if now.Before(b.unknownLeasesUntil) {
 		for _, id := range ids {
-			held[id] = true
+			possible[id] = true
 		}
-		return held
+		return possible
 	}
 	b.expire(now)
 	for _, id := range b.holders() {
-		held[id] = true
+		possible[id] = true
 	}
-	return held
+	return possible
 }
 
 // BecomeLeader handles the election of this host as leader. Former leaders may have
 // granted leases that this broker does not count, the last of which ends one counted
 // lease time from now.
 func (b *Broker) BecomeLeader(now time.Time) {
-	b.unknownLeasesUntil = now.Add(b.cfg.counted())
+	b.unknownLeasesUntil = now.Add(b.cfg.countedDuration())
 }
 
 // Registrations describes the registered processes, which may act on the agreed
@@ -308,13 +308,13 @@
 // allRegisteredCounted reports whether no process other than the counted holders can
 // hold a lease of a former leader that allows it to act; see Settle.
 func (b *Broker) allRegisteredCounted(registered Registrations) bool {
-	if registered.Changed > b.settled && !b.cfg.Exclusive {
+	if registered.Changed > b.settled && !b.cfg.ExclusiveIdentity {
 		return false
 	}
 	counted := b.holders()
 	for _, id := range registered.Holders {
 		at, ok := slices.BinarySearchFunc(counted, id, compareID)
-		replaced := b.cfg.Exclusive && at < len(counted) && counted[at].Host == id.Host
+		replaced := b.cfg.ExclusiveIdentity && at < len(counted) && counted[at].Host == id.Host
 		if !ok && !replaced {
 			return false
 		}
--- a/internal/lease/holder.go
+++ b/internal/lease/holder.go
@@ -2,7 +2,7 @@
 
 import "time"
 
-// maxOutstanding is the maximum number of requests and of grants that a Holder keeps.
+// maxOutstanding bounds the unanswered requests and the grants that a Holder keeps.
 const maxOutstanding = 16
 
 // Holder is the lease of one process. It may have several grants, of which one is
@@ -27,8 +27,8 @@
 	return &Holder{cfg: cfg, seq: seq, sent: make(map[uint64]time.Time)}
 }
 
-// Renew returns the next request. The requested lease runs from now. A holder without
-// state sends zero as applied and gets no lease from the answer.
+// Renew returns the next request. The requested lease begins at now. A holder without
+// state passes zero as applied and gets no lease from the answer.
 func (h *Holder) Renew(now time.Time, applied uint64) Renew {
 	h.seq++
 	if applied > 0 {
@@ -40,19 +40,20 @@
 
 // Release cancels all outstanding requests and, unless keep is set, ends all grants.
 // It returns the message for the broker. Without that message a broker counts each
-// request as a lease from when it reads it, which may be late if it was suspended.
+// request as a lease from when it reads the request, which is late when the broker was
+// suspended.
 func (h *Holder) Release(keep bool) Renew {
 	h.seq++
 	clear(h.sent)
 	if !keep {
 		h.grants = nil
 	}
-	return Renew{Seq: h.seq, Release: true, Keeps: keep}
+	return Renew{Seq: h.seq, Release: true, KeepLeases: keep}
 }
 
-// Granted handles an answer. Answers to requests that are not outstanding are
+// HandleRenewOK handles an answer. Answers to requests that are not outstanding are
 // ignored.
-func (h *Holder) Granted(ok RenewOK) {
+func (h *Holder) HandleRenewOK(ok RenewOK) {
 	sent, known := h.sent[ok.Seq]
 	if !known {
 		return
--- a/internal/lease/lease.go
+++ b/internal/lease/lease.go
@@ -16,9 +16,9 @@
 //
 //   - No process may act on a revision below a settled revision that any leader
 //     has reported.
-//   - A lease ends at its holder no later than at the broker that counts it: the
-//     holder measures Duration from when it sent the request, the broker Duration
-//     plus Drift from when the request arrived.
+//   - A lease ends at its holder no later than at the broker that counts it. The
+//     holder measures Config.Duration from when it sent the request; the broker
+//     measures a time longer by Config.Drift, from when the request arrived.
 //   - A lease is counted from the arrival of the request, before it is granted, so
 //     that every round reports the leases that it grants.
 //   - A grant is bound to a revision: it allows no process to act on an older one.
@@ -36,13 +36,13 @@
 	Drift float64
 	// RenewInterval is the time between two requests of a holder.
 	RenewInterval time.Duration
-	// Exclusive is set when no two processes can have the same identity at a time, as
+	// ExclusiveIdentity is set when no two processes can have the same identity at a time, as
 	// when the identity is an address that the process listens on. A registered
 	// process is then proof that former ones of its host have ended.
-	Exclusive bool
+	ExclusiveIdentity bool
 }
 
-// DefaultConfig returns the times used in production.
+// DefaultConfig returns the times used in production, without ExclusiveIdentity.
 func DefaultConfig() Config {
 	return Config{
 		Duration:      3 * time.Second,
@@ -51,8 +51,8 @@
 	}
 }
 
-// counted returns how long a broker counts a lease from the arrival of the request.
-func (c Config) counted() time.Duration {
+// countedDuration returns how long a broker counts a lease from the arrival of the request.
+func (c Config) countedDuration() time.Duration {
 	return c.Duration + time.Duration(c.Drift*float64(c.Duration))
 }
 
@@ -76,15 +76,16 @@
 	// request with that number.
 	Base uint64 `cbor:"5,keyasint,omitempty"`
 	// Release states that the sender ignores the answers to all earlier requests.
-	// Unless Keeps is set, it also stops using the leases that this broker granted.
-	Release bool `cbor:"6,keyasint,omitempty"`
-	Keeps   bool `cbor:"7,keyasint,omitempty"`
+	// Unless KeepLeases is set, it also stops using the leases that this broker
+	// granted.
+	Release    bool `cbor:"6,keyasint,omitempty"`
+	KeepLeases bool `cbor:"7,keyasint,omitempty"`
 }
 
 // RenewOK grants the lease requested by the Renew with the same Seq.
 type RenewOK struct {
 	Seq uint64 `cbor:"1,keyasint"`
-	// Revision is the least revision that the lease allows to act on.
+	// Revision is the least revision on which the lease allows its holder to act.
 	Revision uint64 `cbor:"2,keyasint"`
 	// Settled is a revision that every holder of a valid lease has applied.
 	Settled uint64 `cbor:"3,keyasint"`
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -9,13 +9,12 @@
 
 func drawParams(t *rapid.T) params {
 	return params{
-		seed:     rapid.Uint64().Draw(t, "seed"),
-		hosts:    rapid.IntRange(1, 4).Draw(t, "hosts"),
-		loss:     rapid.Float64Range(0, 0.4).Draw(t, "loss"),
-		maxDelay: time.Duration(rapid.IntRange(1, 400).Draw(t, "delay_ms")) * time.Millisecond,
-		change:   time.Duration(rapid.IntRange(0, 8).Draw(t, "change_s")) * time.Second,
-		// With it, a new process of a host ends the former one.
-		exclusive: rapid.Bool().Draw(t, "exclusive"),
+		seed:                 rapid.Uint64().Draw(t, "seed"),
+		hosts:                rapid.IntRange(1, 4).Draw(t, "hosts"),
+		lossRate:             rapid.Float64Range(0, 0.4).Draw(t, "loss"),
+		maxDelay:             time.Duration(rapid.IntRange(1, 400).Draw(t, "delay_ms")) * time.Millisecond,
+		leaderChangeInterval: time.Duration(rapid.IntRange(0, 8).Draw(t, "change_s")) * time.Second,
+		exclusive:            rapid.Bool().Draw(t, "exclusive"),
 	}
 }
 
@@ -37,19 +36,19 @@
 // injected into its driver.
 func TestSimulationDetectsInjectedFaults(t *testing.T) {
 	faults := map[string]fault{
-		"relay answers alone":  faultRelayWithoutLeader,
-		"leader answers alone": faultLeaderWithoutQuorum,
-		"no wait after change": faultNoWait,
-		"wait ended for good":  faultEndWaitEarly,
-		"slow clock":           faultSlowClock,
+		"relay answers without the leader": faultRelayWithoutLeader,
+		"leader answers without a quorum":  faultLeaderWithoutQuorum,
+		"new leader does not wait":         faultNoWait,
+		"new leader ends its wait early":   faultEndWaitEarly,
+		"slow holder clock":                faultSlowClock,
 	}
 	const seeds = 300
 	for name, injected := range faults {
 		t.Run(name, func(t *testing.T) {
 			for seed := range uint64(seeds) {
 				s := newSim(params{
-					seed: seed, hosts: 3, loss: 0.1, maxDelay: 200 * time.Millisecond,
-					change: 4 * time.Second, fault: injected,
+					seed: seed, hosts: 3, lossRate: 0.1, maxDelay: 200 * time.Millisecond,
+					leaderChangeInterval: 4 * time.Second, fault: injected,
 				})
 				s.run()
 				if s.violation != "" {
@@ -57,7 +56,7 @@
 					return
 				}
 			}
-			t.Fatalf("%d runs did not find the fault", seeds)
+			t.Fatalf("no run of %d violated the invariant", seeds)
 		})
 	}
 }
@@ -70,8 +69,8 @@
 	if s.violation != "" {
 		t.Fatal(s.violation)
 	}
-	if s.actCount == 0 || s.reported+20 < s.revision() {
-		t.Fatalf("acted %d times, settled %d of %d", s.actCount, s.reported, s.revision())
+	if s.actCount == 0 || s.reportedSettled+20 < s.revision() {
+		t.Fatalf("acted %d times, settled %d of %d", s.actCount, s.reportedSettled, s.revision())
 	}
 }
 
@@ -79,10 +78,10 @@
 	now := time.Unix(100, 0)
 	h := NewHolder(DefaultConfig(), 40)
 	r := h.Renew(now, 5)
-	h.Granted(RenewOK{Seq: r.Seq + 1, Revision: 1}) // never requested
-	h.Granted(RenewOK{Seq: r.Seq, Revision: 7, Settled: 3})
+	h.HandleRenewOK(RenewOK{Seq: r.Seq + 1, Revision: 1}) // never requested
+	h.HandleRenewOK(RenewOK{Seq: r.Seq, Revision: 7, Settled: 3})
 	if !h.ValidUntil(6).IsZero() {
-		t.Fatal("the lease allows an older revision")
+		t.Fatal("the lease allows its holder to act on an older revision than granted")
 	}
 	if got, want := h.ValidUntil(7), now.Add(3*time.Second); !got.Equal(want) {
 		t.Fatalf("valid until %v, want %v", got, want)
@@ -106,20 +105,20 @@
 func TestNewLeaderSettlesOnceRegisteredHoldersAreCounted(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
-	e := Registrations{Holders: []ID{{"h", 1}}, Changed: 2}
+	registered := Registrations{Holders: []ID{{"h", 1}}, Changed: 2}
 	b.ObserveSettled(3)
 	b.BecomeLeader(now)
-	if got := b.Settle(now, 9, e); got != 3 {
-		t.Fatalf("settled %d before the host's request", got)
+	if got := b.Settle(now, 9, registered); got != 3 {
+		t.Fatalf("settled %d before the host's request, want 3", got)
 	}
-	b.Receive(now, ID{"c", 1}, Renew{Seq: 1, Applied: 8, Relay: true, Holders: e.Holders})
-	if got := b.Settle(now, 9, e); got != 8 {
+	b.Receive(now, ID{"c", 1}, Renew{Seq: 1, Applied: 8, Relay: true, Holders: registered.Holders})
+	if got := b.Settle(now, 9, registered); got != 8 {
 		t.Fatalf("settled %d, want 8", got)
 	}
 }
 
-// TestRequestWithoutStateCountsNoLease guards against a starting process, which has no
-// state yet, that limits the settled revision by its request. It gets no lease.
+// TestRequestWithoutStateCountsNoLease sends the request of a starting process, which
+// has no state yet. It gets no lease and must not limit the settled revision.
 func TestRequestWithoutStateCountsNoLease(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
@@ -130,15 +129,15 @@
 	b.Receive(now, fresh, r)
 	round, ok := b.BeginRound(now)
 	if !ok || round.Applied != 8 || len(round.Holders) != 1 {
-		t.Fatalf("round %+v", round)
+		t.Fatalf("round %+v, want revision 8 and one holder", round)
 	}
 	if answers := b.FinishRound(round.ID, 8, 8); len(answers) != 2 {
-		t.Fatalf("%d answers", len(answers))
+		t.Fatalf("%d answers, want 2", len(answers))
 	}
 	if got := b.Settle(now, 9, Registrations{}); got != 8 {
-		t.Fatalf("settled %d", got)
+		t.Fatalf("settled %d, want 8", got)
 	}
-	h.Granted(RenewOK{Seq: r.Seq, Revision: 8, Settled: 8})
+	h.HandleRenewOK(RenewOK{Seq: r.Seq, Revision: 8, Settled: 8})
 	if !h.ValidUntil(9).IsZero() {
 		t.Fatal("the process got a lease that the broker does not count")
 	}
@@ -151,44 +150,44 @@
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.Exclusive = exclusive
+		cfg.ExclusiveIdentity = exclusive
 		b := NewBroker(cfg, 0)
 		b.BecomeLeader(now)
-		e := Registrations{Holders: []ID{{"h", 2}, {"i", 2}}, Changed: 9}
-		b.Receive(now, e.Holders[0], Renew{Seq: 1, Applied: 9})
-		if got := b.Settle(now, 9, e); got != 0 {
-			t.Fatalf("exclusive %v: settled %d before the requests of all hosts", exclusive, got)
+		registered := Registrations{Holders: []ID{{"h", 2}, {"i", 2}}, Changed: 9}
+		b.Receive(now, registered.Holders[0], Renew{Seq: 1, Applied: 9})
+		if got := b.Settle(now, 9, registered); got != 0 {
+			t.Fatalf("exclusive %v: settled %d before the requests of all hosts, want 0", exclusive, got)
 		}
-		b.Receive(now, e.Holders[1], Renew{Seq: 1, Applied: 9})
-		if got := b.Settle(now, 9, e); (got == 9) != exclusive {
-			t.Fatalf("exclusive %v: settled %d", exclusive, got)
+		b.Receive(now, registered.Holders[1], Renew{Seq: 1, Applied: 9})
+		if got := b.Settle(now, 9, registered); (got == 9) != exclusive {
+			t.Fatalf("exclusive %v: settled %d, want 9 only with exclusive identities", exclusive, got)
 		}
 	}
 }
 
-// TestTimedOutRequestCountsNoLease guards against a settled revision that is limited
-// by a request which nobody waits for: its subscriber has left a relay without a
-// leader.
+// TestTimedOutRequestCountsNoLease guards against a settled revision that is limited by
+// a request whose subscriber has switched to another control host, because the relay
+// found no leader to answer it.
 func TestTimedOutRequestCountsNoLease(t *testing.T) {
 	now := time.Unix(100, 0)
 	cfg := DefaultConfig()
 	b := NewBroker(cfg, 0)
 	b.Receive(now, ID{"gone", 1}, Renew{Seq: 1, Applied: 4})
 	if round, ok := b.BeginRound(now); !ok || round.Applied != 4 {
-		t.Fatalf("round %+v", round)
+		t.Fatalf("round %+v, want revision 4", round)
 	}
 	b.AbortRound() // the leader is unknown
 	later := now.Add(cfg.Duration/requestTimeoutDivisor + time.Millisecond)
 	b.Receive(later, ID{"stays", 1}, Renew{Seq: 1, Applied: 9})
 	round, ok := b.BeginRound(later)
 	if !ok || round.Applied != 9 || len(round.Holders) != 1 {
-		t.Fatalf("round %+v", round)
+		t.Fatalf("round %+v, want revision 9 and one holder", round)
 	}
 	if answers := b.FinishRound(round.ID, 9, 9); len(answers) != 1 {
-		t.Fatalf("%d answers", len(answers))
+		t.Fatalf("%d answers, want 1", len(answers))
 	}
 	if got := b.Settle(later, 9, Registrations{}); got != 9 {
-		t.Fatalf("settled %d", got)
+		t.Fatalf("settled %d, want 9", got)
 	}
 }
 
@@ -201,11 +200,11 @@
 	b.Receive(now, ID{"h", 1}, Renew{Seq: 1, Applied: 4})
 	round, _ := b.BeginRound(now)
 	b.FinishRound(round.ID, 4, 4)
-	if got := b.Settle(now.Add(cfg.counted()-time.Millisecond), 9, Registrations{}); got != 4 {
-		t.Fatalf("settled %d while the lease is valid", got)
+	if got := b.Settle(now.Add(cfg.countedDuration()-time.Millisecond), 9, Registrations{}); got != 4 {
+		t.Fatalf("settled %d while the lease is valid, want 4", got)
 	}
-	if got := b.Settle(now.Add(cfg.counted()), 9, Registrations{}); got != 9 {
-		t.Fatalf("settled %d after its end", got)
+	if got := b.Settle(now.Add(cfg.countedDuration()), 9, Registrations{}); got != 9 {
+		t.Fatalf("settled %d after its end, want 9", got)
 	}
 }
 
@@ -215,19 +214,19 @@
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.Exclusive = exclusive
+		cfg.ExclusiveIdentity = exclusive
 		b := NewBroker(cfg, 0)
 		b.Receive(now, ID{"h", 1}, Renew{Seq: 1, Applied: 4})
 		round, _ := b.BeginRound(now)
 		b.FinishRound(round.ID, 4, 4)
 		b.Receive(now, ID{"h", 2}, Renew{Seq: 9, Applied: 8})
 		if got := b.Settle(now, 9, Registrations{}); (got == 8) != exclusive {
-			t.Errorf("exclusive %v: settled %d", exclusive, got)
+			t.Errorf("exclusive %v: settled %d, want 8 only with exclusive identities", exclusive, got)
 		}
 		b.Receive(now, ID{"i", 1}, Renew{Seq: 1, Applied: 2})
 		b.Supersede(ID{"i", 2}) // registered through another control host
 		if got := b.Settle(now, 9, Registrations{}); (got == 8) != exclusive {
-			t.Errorf("exclusive %v: settled %d with a superseded process", exclusive, got)
+			t.Errorf("exclusive %v: settled %d, want 8 only with exclusive identities, for a process superseded by registration", exclusive, got)
 		}
 	}
 }
@@ -239,14 +238,14 @@
 	now := time.Unix(100, 0)
 	for _, exclusive := range []bool{false, true} {
 		cfg := DefaultConfig()
-		cfg.Exclusive = exclusive
+		cfg.ExclusiveIdentity = exclusive
 		b := NewBroker(cfg, 0)
 		b.BecomeLeader(now)
-		e := Registrations{Holders: []ID{{"h", 1}, {"i", 1}}}
+		registered := Registrations{Holders: []ID{{"h", 1}, {"i", 1}}}
 		b.Receive(now, ID{"h", 1}, Renew{Seq: 1, Applied: 9})
 		b.Receive(now, ID{"i", 2}, Renew{Seq: 1, Applied: 9})
-		if got := b.Settle(now, 9, e); (got == 9) != exclusive {
-			t.Errorf("exclusive %v: settled %d", exclusive, got)
+		if got := b.Settle(now, 9, registered); (got == 9) != exclusive {
+			t.Errorf("exclusive %v: settled %d, want 9 only with exclusive identities", exclusive, got)
 		}
 	}
 }
@@ -262,21 +261,21 @@
 	round, _ := b.BeginRound(now)
 	b.Receive(now, id, h.Release(false))
 	if got := b.Settle(now, 9, Registrations{}); got != 9 {
-		t.Errorf("settled %d", got)
+		t.Errorf("settled %d after the release, want 9", got)
 	}
 	for _, a := range b.FinishRound(round.ID, 4, 4) {
-		h.Granted(a.OK)
+		h.HandleRenewOK(a.OK)
 	}
 	if !h.ValidUntil(9).IsZero() {
 		t.Error("the host got a lease that it had released")
 	}
 	b.Receive(now, id, r) // arrives after the release, on another connection
 	if got := b.Settle(now, 12, Registrations{}); got != 12 {
-		t.Errorf("settled %d after a request older than the release", got)
+		t.Errorf("settled %d after a request older than the release, want 12", got)
 	}
 	b.Receive(now, id, h.Renew(now, 13))
 	if got := b.Settle(now, 20, Registrations{}); got != 13 {
-		t.Errorf("settled %d after the host's next request", got)
+		t.Errorf("settled %d after the host's next request, want 13", got)
 	}
 }
 
@@ -301,7 +300,7 @@
 	relay.Receive(now, id, h.Release(false))
 	pass(relay.BeginRound(now))
 	if got := leader.Settle(now, 9, Registrations{}); got != 9 {
-		t.Errorf("settled %d without any lease", got)
+		t.Errorf("settled %d without any lease, want 9", got)
 	}
 }
 
@@ -315,21 +314,21 @@
 	b.Receive(now, id, r)
 	round, _ := b.BeginRound(now)
 	for _, a := range b.FinishRound(round.ID, 4, 4) {
-		h.Granted(a.OK)
+		h.HandleRenewOK(a.OK)
 	}
 	unread := []Renew{h.Renew(now, 4), h.Release(true)}
 	if h.ValidUntil(4).IsZero() {
 		t.Fatal("the host lost the lease that it keeps")
 	}
 	if got := b.Settle(now, 9, Registrations{}); got != 4 {
-		t.Fatalf("settled %d while the lease is in use", got)
+		t.Fatalf("settled %d while the lease is in use, want 4", got)
 	}
-	later := now.Add(DefaultConfig().counted())
+	later := now.Add(DefaultConfig().countedDuration())
 	for _, r := range unread {
 		b.Receive(later, id, r)
 	}
 	if got := b.Settle(later, 9, Registrations{}); got != 9 {
-		t.Errorf("settled %d after released requests", got)
+		t.Errorf("settled %d after released requests, want 9", got)
 	}
 }
 
@@ -344,6 +343,6 @@
 	b.Receive(now, ID{"i", 1}, Renew{Seq: 1, Applied: 9})
 	round, ok := b.BeginRound(now)
 	if !ok || round.Applied != 9 || len(round.Holders) != 1 {
-		t.Errorf("round %+v", round)
+		t.Errorf("round %+v, want revision 9 and one holder", round)
 	}
 }
--- a/internal/lease/release.go
+++ b/internal/lease/release.go
@@ -2,14 +2,14 @@
 
 import "slices"
 
-// maxReleased is the maximum number of releases that are kept; all are discarded when
-// it is reached. A request that arrives after its release has been discarded counts as
+// maxReleased bounds the recorded releases; all are discarded when it is reached. A
+// request that arrives after its release has been discarded counts as
 // a lease for a full lease time.
 const maxReleased = 4096
 
 // release drops the requests of a holder that has switched to another broker, and its
-// lease unless it keeps that. The number of the release is kept, so that an earlier
-// request which arrives later is ignored.
+// lease unless the holder keeps it. The number of the release is recorded, so that
+// Receive ignores an earlier request that arrives later.
 func (b *Broker) release(key sessionKey, r Renew) {
 	b.waiting = slices.DeleteFunc(b.waiting, func(w request) bool { return w.key == key })
 	b.inRound = slices.DeleteFunc(b.inRound, func(w request) bool { return w.key == key })
@@ -17,7 +17,7 @@
 		clear(b.released)
 	}
 	b.released[key], b.holdersRemoved = r.Seq, true
-	if s := b.sessions[key]; s != nil && r.Keeps {
+	if s := b.sessions[key]; s != nil && r.KeepLeases {
 		s.pending = false
 		return
 	}
@@ -40,9 +40,10 @@
 }
 
 // Supersede ends the leases of former processes of a host. It does nothing unless
-// Config.Exclusive is set, which makes the new process proof that they have ended.
+// Config.ExclusiveIdentity is set: only then does the new process prove that they have
+// ended.
 func (b *Broker) Supersede(id ID) {
-	if !b.cfg.Exclusive {
+	if !b.cfg.ExclusiveIdentity {
 		return
 	}
 	for key := range b.sessions {
--- a/internal/lease/sim_test.go
+++ b/internal/lease/sim_test.go
@@ -30,10 +30,11 @@
 type params struct {
 	seed     uint64
 	hosts    int
-	loss     float64
+	lossRate float64 // probability that a message is lost
 	maxDelay time.Duration
-	// change is the mean time between two changes of the leader, zero for none.
-	change time.Duration
+	// leaderChangeInterval is the mean time between two changes of the leader, zero
+	// for none.
+	leaderChangeInterval time.Duration
 	// exclusive is set when a host has one process at a time, which sends a release
 	// when it switches to another control host.
 	exclusive bool
@@ -53,14 +54,14 @@
 	order  int
 	events []simEvent
 
-	registry  []map[string]simHost // by revision
-	leader    int
-	controls  []*simControl
-	holders   []*simHolder
-	reported  uint64 // the greatest settled revision reported by any leader
-	started   uint64 // processes started so far
-	actCount  int
-	violation string
+	registry        []map[string]simHost // by revision
+	leader          int
+	controls        []*simControl
+	holders         []*simHolder
+	reportedSettled uint64 // the greatest settled revision reported by any leader
+	startCount      uint64 // processes started so far
+	actCount        int
+	violation       string
 }
 
 type simEvent struct {
@@ -71,38 +72,38 @@
 
 // simHost is the registration of a host.
 type simHost struct {
-	incarnation uint64
-	registered  uint64
+	incarnation        uint64
+	registeredRevision uint64
 }
 
 type simControl struct {
-	id          int
-	rate        float64
-	broker      *Broker
-	applied     uint64
-	leading     bool // acts as leader, perhaps after another was elected
-	ready       bool // its quorum has confirmed it since its election
-	knownLeader int  // the leader that it sends requests to
+	id              int
+	clockRate       float64
+	broker          *Broker
+	applied         uint64
+	leading         bool // acts as leader, perhaps after another was elected
+	quorumConfirmed bool // since its election
+	knownLeader     int  // the leader that it sends requests to
 	// isolatedUntil is when other control hosts reach this one again. Its subscribers
 	// reach it at all times.
 	isolatedUntil time.Duration
 }
 
 type simHolder struct {
-	id      ID
-	rate    float64
-	lease   *Holder
-	applied uint64
-	control int
-	stopped bool
+	id        ID
+	clockRate float64
+	lease     *Holder
+	applied   uint64
+	control   int
+	stopped   bool
 }
 
 func newSim(p params) *sim {
 	s := &sim{params: p, cfg: DefaultConfig(), rng: rand.New(rand.NewPCG(p.seed, 7))}
-	s.cfg.Exclusive = p.exclusive
+	s.cfg.ExclusiveIdentity = p.exclusive
 	s.registry = []map[string]simHost{{}}
 	for i := range 3 {
-		s.controls = append(s.controls, &simControl{id: i, rate: s.clockRate(), broker: NewBroker(s.cfg, 0)})
+		s.controls = append(s.controls, &simControl{id: i, clockRate: s.clockRate(), broker: NewBroker(s.cfg, 0)})
 	}
 	for i := range p.hosts {
 		s.startHolder(fmt.Sprintf("h%d", i))
@@ -110,8 +111,8 @@
 	s.elect(0)
 	s.repeat(400*time.Millisecond, s.commitRandomChange)
 	s.repeat(30*time.Millisecond, s.settleAll)
-	if p.change > 0 {
-		s.repeat(p.change, func() { s.elect(s.rng.IntN(len(s.controls))) })
+	if p.leaderChangeInterval > 0 {
+		s.repeat(p.leaderChangeInterval, func() { s.elect(s.rng.IntN(len(s.controls))) })
 	}
 	return s
 }
@@ -146,7 +147,7 @@
 
 // send delivers a message after a random delay, or loses it.
 func (s *sim) send(deliver func()) {
-	if s.rng.Float64() < s.loss {
+	if s.rng.Float64() < s.lossRate {
 		return
 	}
 	delay := time.Duration(s.rng.Float64() * float64(s.maxDelay))
@@ -166,16 +167,16 @@
 	}
 }
 
-// check records a violation when a process acts on a revision below the settled one
-// that was reported.
+// check records a violation when a process may act on a revision below the greatest
+// reported settled revision.
 func (s *sim) check() {
 	for _, h := range s.holders {
 		if !s.mayAct(h) {
 			continue
 		}
 		s.actCount++
-		if h.applied < s.reported {
-			s.violation = fmt.Sprintf("at %v host %v acts on revision %d, settled is %d", s.now, h.id, h.applied, s.reported)
+		if h.applied < s.reportedSettled {
+			s.violation = fmt.Sprintf("at %v host %v acts on revision %d, settled is %d", s.now, h.id, h.applied, s.reportedSettled)
 		}
 	}
 }
@@ -183,11 +184,11 @@
 // mayAct reports whether a process has a valid lease for its revision, in which it is
 // registered.
 func (s *sim) mayAct(h *simHolder) bool {
-	if !s.localTime(h.rate).Before(h.lease.ValidUntil(h.applied)) {
+	if !s.localTime(h.clockRate).Before(h.lease.ValidUntil(h.applied)) {
 		return false
 	}
 	reg, ok := s.registry[h.applied][h.id.Host]
-	return ok && reg.incarnation == h.id.Incarnation && h.lease.Settled() >= reg.registered
+	return ok && reg.incarnation == h.id.Incarnation && h.lease.Settled() >= reg.registeredRevision
 }
 
 func (s *sim) revision() uint64 { return uint64(len(s.registry) - 1) }
@@ -207,8 +208,8 @@
 	}
 }
 
-// apply delivers a committed revision to a control host. A former leader steps down on
-// it.
+// apply delivers a committed revision to a control host. A former leader that receives
+// one steps down.
 func (s *sim) apply(c *simControl, revision uint64) {
 	if s.now < c.isolatedUntil {
 		return
@@ -240,12 +241,12 @@
 
 // commitRandomChange commits a registration, a removal or another change.
 func (s *sim) commitRandomChange() {
-	lead := s.controls[s.leader]
+	leader := s.controls[s.leader]
 	host := s.holders[s.rng.IntN(len(s.holders))].id.Host
 	reg, ok := s.registry[s.revision()][host]
 	switch s.rng.IntN(8) {
 	case 0:
-		if ok && lead.ready && !s.held(lead, ID{host, reg.incarnation}) {
+		if ok && leader.quorumConfirmed && !s.mayHoldLease(leader, ID{host, reg.incarnation}) {
 			s.commit(func(m map[string]simHost) { delete(m, host) })
 			return
 		}
@@ -256,18 +257,19 @@
 	s.commit(func(map[string]simHost) {})
 }
 
-func (s *sim) held(c *simControl, id ID) bool {
-	return c.broker.PossibleHolders(s.localTime(c.rate), []ID{id})[id]
+// mayHoldLease reports whether a control host considers that a process may hold a lease.
+func (s *sim) mayHoldLease(c *simControl, id ID) bool {
+	return c.broker.PossibleHolders(s.localTime(c.clockRate), []ID{id})[id]
 }
 
 // startHolder starts a process and registers it. An older process of the same host
 // continues to run unless identities are exclusive.
 func (s *sim) startHolder(host string) {
-	s.started++
-	incarnation := s.started
-	h := &simHolder{id: ID{host, incarnation}, rate: s.clockRate(), lease: NewHolder(s.cfg, 0), control: s.rng.IntN(len(s.controls))}
+	s.startCount++
+	incarnation := s.startCount
+	h := &simHolder{id: ID{host, incarnation}, clockRate: s.clockRate(), lease: NewHolder(s.cfg, 0), control: s.rng.IntN(len(s.controls))}
 	if s.fault == faultSlowClock {
-		h.rate = 0.5
+		h.clockRate = 0.5
 	}
 	if s.exclusive {
 		s.holders = slices.DeleteFunc(s.holders, func(old *simHolder) bool {
@@ -297,7 +299,7 @@
 	if h.stopped {
 		return
 	}
-	r := h.lease.Renew(s.localTime(h.rate), h.applied)
+	r := h.lease.Renew(s.localTime(h.clockRate), h.applied)
 	c := s.controls[h.control]
 	s.send(func() { s.receive(c, h.id, r) })
 	applied := c.applied
@@ -308,14 +310,14 @@
 	if r.Relay && !c.leading {
 		return
 	}
-	c.broker.Receive(s.localTime(c.rate), from, r)
+	c.broker.Receive(s.localTime(c.clockRate), from, r)
 	s.startRound(c)
 }
 
 // startRound starts a round on a control host if one is due, and aborts it if it is not
 // finished within half a second.
 func (s *sim) startRound(c *simControl) {
-	round, ok := c.broker.BeginRound(s.localTime(c.rate))
+	round, ok := c.broker.BeginRound(s.localTime(c.clockRate))
 	if !ok {
 		return
 	}
@@ -326,7 +328,7 @@
 		s.finish(c, round.ID, c.applied, c.broker.Settled())
 		return
 	default:
-		s.ask(c, round)
+		s.requestFromLeader(c, round)
 	}
 	s.after(500*time.Millisecond, func() {
 		if c.broker.round == round.ID {
@@ -336,8 +338,9 @@
 	})
 }
 
-// confirm succeeds when c is the true leader at its start, since the heartbeats of the
-// round may reach the others before they elect another leader.
+// confirm finishes a round that the leader's quorum confirms. It succeeds when c is the
+// true leader at its start: the heartbeats of the round may reach the others before they
+// elect another leader.
 func (s *sim) confirm(c *simControl, round Round) {
 	if s.leader != c.id && s.fault != faultLeaderWithoutQuorum {
 		return
@@ -346,30 +349,31 @@
 		if s.leader == c.id {
 			c.applied = s.revision()
 		}
-		c.ready = true
-		s.settleOne(c)
+		c.quorumConfirmed = true
+		s.settle(c)
 		s.finish(c, round.ID, c.applied, c.broker.Settled())
 	})
 }
 
-// ask sends the request of a relay to the leader known to it.
-func (s *sim) ask(c *simControl, round Round) {
-	up := s.controls[c.knownLeader]
+// requestFromLeader sends the request of a relay to the leader that it knows.
+func (s *sim) requestFromLeader(c *simControl, round Round) {
+	leader := s.controls[c.knownLeader]
 	r := Renew{Seq: round.ID, Applied: round.Applied, Relay: true, Holders: round.Holders, Base: round.Base}
-	if s.now < up.isolatedUntil {
+	if s.now < leader.isolatedUntil {
 		return
 	}
-	s.send(func() { s.receive(up, ID{fmt.Sprintf("c%d", c.id), 1}, r) })
+	s.send(func() { s.receive(leader, ID{fmt.Sprintf("c%d", c.id), 1}, r) })
 }
 
 func (s *sim) finish(c *simControl, id, revision, settled uint64) {
 	for _, a := range c.broker.FinishRound(id, revision, settled) {
-		s.send(func() { s.answer(a) })
+		s.send(func() { s.deliverAnswer(a) })
 	}
 	s.startRound(c)
 }
 
-func (s *sim) answer(a Answer) {
+// deliverAnswer passes an answer to the relay or the holder to which it is addressed.
+func (s *sim) deliverAnswer(a Answer) {
 	for _, c := range s.controls {
 		if a.To.Host == fmt.Sprintf("c%d", c.id) {
 			s.finish(c, a.OK.Seq, a.OK.Revision, a.OK.Settled)
@@ -377,7 +381,7 @@
 	}
 	for _, h := range s.holders {
 		if h.id == a.To {
-			h.lease.Granted(a.OK)
+			h.lease.HandleRenewOK(a.OK)
 		}
 	}
 }
@@ -391,10 +395,10 @@
 	c := s.controls[id]
 	s.leader = id
 	c.applied = s.revision()
-	c.leading, c.ready, c.knownLeader = true, false, id
+	c.leading, c.quorumConfirmed, c.knownLeader = true, false, id
 	c.broker.AbortRound()
 	if s.fault != faultNoWait {
-		c.broker.BecomeLeader(s.localTime(c.rate))
+		c.broker.BecomeLeader(s.localTime(c.clockRate))
 	}
 	s.startRound(c)
 	for _, other := range s.controls {
@@ -419,27 +423,27 @@
 // settleAll reports the settled revision of every host that acts as leader.
 func (s *sim) settleAll() {
 	for _, c := range s.controls {
-		s.settleOne(c)
+		s.settle(c)
 	}
 }
 
-// settleOne reports the settled revision of a host that acts as leader and was
+// settle reports the settled revision of a host that acts as leader and was
 // confirmed by its quorum.
-func (s *sim) settleOne(c *simControl) {
-	if !c.leading || !c.ready {
+func (s *sim) settle(c *simControl) {
+	if !c.leading || !c.quorumConfirmed {
 		return
 	}
-	var e Registrations
+	var registered Registrations
 	for name, reg := range s.registry[c.applied] {
-		e.Holders = append(e.Holders, ID{name, reg.incarnation})
+		registered.Holders = append(registered.Holders, ID{name, reg.incarnation})
 	}
-	for revision := c.applied; revision > 0 && e.Changed == 0; revision-- {
+	for revision := c.applied; revision > 0 && registered.Changed == 0; revision-- {
 		if !maps.Equal(s.registry[revision], s.registry[revision-1]) {
-			e.Changed = revision
+			registered.Changed = revision
 		}
 	}
-	s.reported = max(s.reported, c.broker.Settle(s.localTime(c.rate), c.applied, e))
-	if s.fault == faultEndWaitEarly && c.broker.allRegisteredCounted(e) {
+	s.reportedSettled = max(s.reportedSettled, c.broker.Settle(s.localTime(c.clockRate), c.applied, registered))
+	if s.fault == faultEndWaitEarly && c.broker.allRegisteredCounted(registered) {
 		c.broker.unknownLeasesUntil = time.Time{}
 	}
 }
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -16,7 +16,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Random bytes of a data file are overwritten. Reading the folder must fail with
+// Overwrites random bytes of a data file. Reading the folder must fail with
 // StoreCorrupt, or return exactly the saved state when only unused space was
 // damaged.
 func TestRandomDamageIsDetected(t *testing.T) {
@@ -29,7 +29,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	refused := 0
+	detected := 0
 	rapid.Check(t, func(rt *rapid.T) {
 		seed := rapid.Uint64().Draw(rt, "seed")
 		dir := t.TempDir()
@@ -37,14 +37,14 @@
 		got, _, err := readFolder(dir)
 		switch {
 		case result.CodeOf(err) == result.StoreCorrupt:
-			refused++
+			detected++
 		case err != nil:
 			rt.Fatalf("error with another result code: %v", err)
 		case !reflect.DeepEqual(got, want):
 			rt.Fatal("damaged data was read without an error")
 		}
 	})
-	if refused == 0 {
+	if detected == 0 {
 		t.Fatal("no damage was detected")
 	}
 }
--- a/internal/store/node_test.go
+++ b/internal/store/node_test.go
@@ -25,7 +25,7 @@
 	t.Helper()
 	st := mustLoad(t, s)
 	node, err := consensus.New(consensus.Config{
-		Host: "a", Founders: []string{"a"}, Rand: rand.New(rand.NewPCG(1, 1)), Trailing: 8,
+		Host: "a", InitialVoters: []string{"a"}, Rand: rand.New(rand.NewPCG(1, 1)), TrailingEntries: 8,
 	}, st)
 	if err != nil {
 		t.Fatal(err)
@@ -35,8 +35,8 @@
 	return node, c
 }
 
-// handle saves and applies the node's pending work.
-func handle(t *testing.T, s *Store, node *consensus.Node, c *counter) {
+// processReady saves and applies the node's pending work.
+func processReady(t *testing.T, s *Store, node *consensus.Node, c *counter) {
 	t.Helper()
 	for node.HasReady() {
 		rd := node.Ready()
@@ -54,12 +54,12 @@
 	}
 }
 
-// lead ticks the node until it is the leader.
-func lead(t *testing.T, s *Store, node *consensus.Node, c *counter) {
+// tickUntilLeader ticks the node until it is the leader.
+func tickUntilLeader(t *testing.T, s *Store, node *consensus.Node, c *counter) {
 	t.Helper()
 	for node.Status().Role != consensus.Leader {
 		node.Tick()
-		handle(t, s, node, c)
+		processReady(t, s, node, c)
 	}
 }
 
@@ -67,34 +67,34 @@
 // must reach the state from before the restart, and compaction must have removed
 // the older entries.
 func TestNodeRestartRestoresState(t *testing.T) {
-	const changes, snapshotEvery = 1000, 150
+	const commands, snapshotEvery = 1000, 150
 	dir := t.TempDir()
 	s := mustOpen(t, dir)
 	node, c := startNode(t, s)
-	lead(t, s, node, c)
-	for i := uint64(1); i <= changes; i++ {
+	tickUntilLeader(t, s, node, c)
+	for i := uint64(1); i <= commands; i++ {
 		if _, err := node.Propose(binary.BigEndian.AppendUint64(nil, i)); err != nil {
 			t.Fatal(err)
 		}
-		handle(t, s, node, c)
+		processReady(t, s, node, c)
 		if i%snapshotEvery != 0 {
 			continue
 		}
 		if err := node.Compact(c.index, binary.BigEndian.AppendUint64(nil, c.sum)); err != nil {
 			t.Fatal(err)
 		}
-		handle(t, s, node, c)
+		processReady(t, s, node, c)
 	}
 	if err := s.Close(); err != nil {
 		t.Fatal(err)
 	}
 	s = mustOpen(t, dir)
 	node, c = startNode(t, s)
-	lead(t, s, node, c)
-	if want := uint64(changes * (changes + 1) / 2); c.sum != want {
+	tickUntilLeader(t, s, node, c)
+	if want := uint64(commands * (commands + 1) / 2); c.sum != want {
 		t.Fatalf("sum %d after the restart, want %d", c.sum, want)
 	}
 	if n := len(mustLoad(t, s).Entries); n > snapshotEvery+20 {
-		t.Fatalf("%d entries kept after compaction", n)
+		t.Fatalf("%d entries kept after compaction, want at most 170", n)
 	}
 }
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -10,7 +10,7 @@
 	pageHeader   = 16 // bytes: id 8, flags 2, count 2, overflow 4
 	elementSize  = 16 // bytes, in branch and leaf pages
 	metaSize     = 64 // bytes
-	metaChecked  = 56 // bytes of a meta record under its checksum
+	metaChecked  = 56 // bytes of a meta record that its checksum covers
 	bucketHeader = 16 // bytes: root 8, sequence 8
 	flagBranch   = 0x01
 	flagLeaf     = 0x02
@@ -147,8 +147,8 @@
 // checkBranch checks a branch element, given the bytes of the page from the element
 // on.
 func (c *pageChecker) checkBranch(id uint64, e []byte) error {
-	position, key := uint64(binary.NativeEndian.Uint32(e)), uint64(binary.NativeEndian.Uint32(e[4:]))
-	if position+key > uint64(len(e)) {
+	position, keySize := uint64(binary.NativeEndian.Uint32(e)), uint64(binary.NativeEndian.Uint32(e[4:]))
+	if position+keySize > uint64(len(e)) {
 		return corrupt("page %d has a key outside of it", id)
 	}
 	return c.checkPage(binary.NativeEndian.Uint64(e[8:]))
@@ -157,22 +157,22 @@
 // checkLeaf checks a leaf element, and the bucket that it may contain.
 func (c *pageChecker) checkLeaf(id uint64, e []byte) error {
 	flags, position := binary.NativeEndian.Uint32(e), uint64(binary.NativeEndian.Uint32(e[4:]))
-	key, value := uint64(binary.NativeEndian.Uint32(e[8:])), uint64(binary.NativeEndian.Uint32(e[12:]))
-	if position+key+value > uint64(len(e)) {
+	keySize, valueSize := uint64(binary.NativeEndian.Uint32(e[8:])), uint64(binary.NativeEndian.Uint32(e[12:]))
+	if position+keySize+valueSize > uint64(len(e)) {
 		return corrupt("page %d has a record outside of it", id)
 	}
 	if flags&elementBucket == 0 {
 		return nil
 	}
-	bucket := e[position+key : position+key+value]
-	if value < bucketHeader {
-		return corrupt("page %d has a bucket of %d bytes", id, value)
+	bucket := e[position+keySize : position+keySize+valueSize]
+	if valueSize < bucketHeader {
+		return corrupt("page %d has a bucket of %d bytes", id, valueSize)
 	}
 	if root := binary.NativeEndian.Uint64(bucket); root != 0 {
 		return c.checkPage(root)
 	}
-	if value < bucketHeader+pageHeader {
-		return corrupt("page %d has a bucket of %d bytes", id, value)
+	if valueSize < bucketHeader+pageHeader {
+		return corrupt("page %d has a bucket of %d bytes", id, valueSize)
 	}
 	return c.checkElements(id, bucket[bucketHeader:])
 }
--- a/internal/store/record.go
+++ b/internal/store/record.go
@@ -19,9 +19,9 @@
 	stateBucket = []byte("state")
 	logBucket   = []byte("log")
 
-	identityKey = []byte("identity")
-	hardKey     = []byte("hard")
-	snapshotKey = []byte("snapshot")
+	identityKey  = []byte("identity")
+	hardStateKey = []byte("hard")
+	snapshotKey  = []byte("snapshot")
 )
 
 // identity is the record that identifies the data folder. Disk is never zero.
@@ -130,7 +130,7 @@
 
 func loadState(tx *bolt.Tx, st *consensus.Stored) error {
 	state := tx.Bucket(stateBucket)
-	if _, err := get(state, hardKey, &st.Hard); err != nil {
+	if _, err := get(state, hardStateKey, &st.Hard); err != nil {
 		return err
 	}
 	if _, err := get(state, snapshotKey, &st.Snapshot); err != nil {
@@ -149,12 +149,12 @@
 	})
 }
 
-// saveDurable applies d to the buckets. Entries replace all stored entries from the
-// first of them on.
+// saveDurable stores d. Its entries replace all stored entries from the index of the
+// first one on.
 func saveDurable(tx *bolt.Tx, d consensus.Durable) error {
 	state, log := tx.Bucket(stateBucket), tx.Bucket(logBucket)
 	if d.Hard != nil {
-		if err := put(state, hardKey, d.Hard); err != nil {
+		if err := put(state, hardStateKey, d.Hard); err != nil {
 			return err
 		}
 	}
@@ -181,10 +181,10 @@
 	if err := put(state, snapshotKey, d.Snapshot); err != nil {
 		return err
 	}
-	if d.Reset {
+	if d.ResetLog {
 		return deleteFrom(log, 0)
 	}
-	return deleteBefore(log, d.First)
+	return deleteBefore(log, d.FirstIndex)
 }
 
 func deleteFrom(log *bolt.Bucket, index uint64) error {
--- a/internal/store/restart_test.go
+++ b/internal/store/restart_test.go
@@ -8,13 +8,13 @@
 	"github.com/galenabridge/galenabridge/internal/consensus"
 )
 
-// changeBytes is the size of one log entry's data in the benchmarks.
-const changeBytes = 512
+// entryDataBytes is the size of one log entry's data in the benchmarks.
+const entryDataBytes = 512
 
 // BenchmarkSave measures saving one entry, sync included.
 func BenchmarkSave(b *testing.B) {
 	s := mustOpen(b, b.TempDir())
-	data := bytes.Repeat([]byte("x"), changeBytes)
+	data := bytes.Repeat([]byte("x"), entryDataBytes)
 	index := uint64(0)
 	for b.Loop() {
 		index++
@@ -25,12 +25,12 @@
 // BenchmarkRestart measures opening, checking and loading a data folder with a
 // number of entries and no snapshot.
 func BenchmarkRestart(b *testing.B) {
-	for _, changes := range []uint64{1000, 10000} {
-		b.Run(fmt.Sprint(changes), func(b *testing.B) {
+	for _, count := range []uint64{1000, 10000} {
+		b.Run(fmt.Sprint(count), func(b *testing.B) {
 			dir := b.TempDir()
 			s := mustOpen(b, dir)
-			data := bytes.Repeat([]byte("x"), changeBytes)
-			for i := uint64(1); i <= changes; i++ {
+			data := bytes.Repeat([]byte("x"), entryDataBytes)
+			for i := uint64(1); i <= count; i++ {
 				mustSave(b, s, consensus.Durable{Entries: []consensus.Entry{{Index: i, Term: 1, Data: data}}})
 			}
 			size, err := s.Size()
@@ -41,20 +41,20 @@
 				b.Fatal(err)
 			}
 			for b.Loop() {
-				restart(b, dir, changes)
+				restart(b, dir, count)
 			}
 			b.ReportMetric(float64(size), "file_bytes")
 		})
 	}
 }
 
-func restart(b *testing.B, dir string, changes uint64) {
+func restart(b *testing.B, dir string, count uint64) {
 	s, err := Open(dir, Options{})
 	if err != nil {
 		b.Fatal(err)
 	}
-	if st := mustLoad(b, s); uint64(len(st.Entries)) != changes {
-		b.Fatalf("%d entries after %d changes", len(st.Entries), changes)
+	if st := mustLoad(b, s); uint64(len(st.Entries)) != count {
+		b.Fatalf("%d entries after the restart, want %d", len(st.Entries), count)
 	}
 	if err := s.Close(); err != nil {
 		b.Fatal(err)
--- a/internal/store/store_test.go
+++ b/internal/store/store_test.go
@@ -78,14 +78,14 @@
 	s := mustOpen(t, t.TempDir())
 	mustSave(t, s, consensus.Durable{Entries: entries(1, 9, 1)})
 	snap := consensus.Snapshot{Index: 7, Term: 1, Data: []byte("state")}
-	mustSave(t, s, consensus.Durable{Snapshot: &snap, First: 5})
+	mustSave(t, s, consensus.Durable{Snapshot: &snap, FirstIndex: 5})
 	if st := mustLoad(t, s); st.Snapshot.Index != 7 || st.Entries[0].Index != 5 || len(st.Entries) != 5 {
-		t.Fatalf("after compaction: %+v", st)
+		t.Fatalf("after compaction: %+v, want snapshot 7 and entries 5 to 9", st)
 	}
 	snap.Index = 20
-	mustSave(t, s, consensus.Durable{Snapshot: &snap, First: 21, Reset: true, Entries: entries(21, 22, 2)})
+	mustSave(t, s, consensus.Durable{Snapshot: &snap, FirstIndex: 21, ResetLog: true, Entries: entries(21, 22, 2)})
 	if st := mustLoad(t, s); st.Snapshot.Index != 20 || st.Entries[0].Index != 21 || len(st.Entries) != 2 {
-		t.Fatalf("after install: %+v", st)
+		t.Fatalf("after the snapshot reset the log: %+v, want snapshot 20 and entries 21 and 22", st)
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 	after := mustLoad(t, s)
 	if after.Disk == before.Disk || after.Boots != 1 || len(after.Entries) != 0 {
-		t.Fatalf("after reset: %+v", after)
+		t.Fatalf("after reset: %+v, want another identity, one start and no entries", after)
 	}
 }
 
@@ -107,7 +107,7 @@
 	mustOpen(t, dir)
 	_, err := Open(dir, Options{LockTimeout: time.Millisecond})
 	if result.CodeOf(err) != result.StoreInUse {
-		t.Fatalf("second open: %v", err)
+		t.Fatalf("second open: %v, want StoreInUse", err)
 	}
 }
 
@@ -149,7 +149,7 @@
 		t.Fatalf("%d entries, but %d were saved", n, saved)
 	}
 	snap := consensus.Snapshot{Index: saved, Term: 1}
-	mustSave(t, s, consensus.Durable{Snapshot: &snap, First: saved + 1})
+	mustSave(t, s, consensus.Durable{Snapshot: &snap, FirstIndex: saved + 1})
 	mustSave(t, s, consensus.Durable{Entries: entries(saved+1, saved+1, 1)})
 }
 
@@ -204,16 +204,16 @@
 			t.Fatal(err)
 		}
 		if _, err := Verify(dir); result.CodeOf(err) != result.StoreCorrupt {
-			t.Errorf("verify with %d bytes: %v", keep, err)
+			t.Errorf("verify with %d bytes: %v, want StoreCorrupt", keep, err)
 		}
 		if _, err := Open(dir, Options{}); result.CodeOf(err) != result.StoreCorrupt {
-			t.Errorf("open with %d bytes: %v", keep, err)
+			t.Errorf("open with %d bytes: %v, want StoreCorrupt", keep, err)
 		}
 	}
 }
 
-// The data of one log entry is changed in the file without its checksum. The
-// folder must be refused as corrupt.
+// Changes the data of one log entry in the file, but not its checksum. The folder
+// must be refused as corrupt.
 func TestChangedRecordIsRefused(t *testing.T) {
 	for _, text := range []string{"command 7 of", "command 150 of", "command 300 of"} {
 		dir, file := newFilledFolder(t)
@@ -226,10 +226,10 @@
 			t.Fatal(err)
 		}
 		if _, err := Verify(dir); result.CodeOf(err) != result.StoreCorrupt {
-			t.Errorf("verify: %v", err)
+			t.Errorf("verify: %v, want StoreCorrupt", err)
 		}
 		if _, err := Open(dir, Options{}); result.CodeOf(err) != result.StoreCorrupt {
-			t.Errorf("open: %v", err)
+			t.Errorf("open: %v, want StoreCorrupt", err)
 		}
 	}
 }
@@ -247,15 +247,15 @@
 		t.Fatal(err)
 	}
 	if _, err := Open(dir, Options{}); result.CodeOf(err) != result.StoreVersion {
-		t.Fatalf("open: %v", err)
+		t.Fatalf("open: %v, want StoreVersion", err)
 	}
 }
 
-func TestVerifyAndDump(t *testing.T) {
+func TestVerifyAndDumpReportAllEntries(t *testing.T) {
 	dir, _ := newFilledFolder(t)
 	report, err := Verify(dir)
 	if err != nil || report.Last != 300 || report.First != 1 {
-		t.Fatalf("verify: %+v, %v", report, err)
+		t.Fatalf("verify: %+v, %v, want entries 1 to 300", report, err)
 	}
 	var out bytes.Buffer
 	if err := Dump(dir, &out); err != nil {
