--- a/internal/standin/sqltext/lexer.go
+++ b/internal/standin/sqltext/lexer.go
@@ -1,7 +1,8 @@
 // Package sqltext splits SQL text in PostgreSQL's dialect into statements,
-// classifies them and rewrites them for SQLite. It understands as much of the
-// language as the stand-in endpoint needs; the SQL engine checks the rest. The
-// package performs no I/O.
+// classifies them, infers the types of their parameters and result columns, and
+// rewrites them for SQLite. It works on tokens, without a grammar, and covers the
+// part of the language that the stand-in endpoint needs; SQLite reports the
+// remaining syntax errors. The package performs no I/O.
 package sqltext
 
 import (
@@ -26,7 +27,8 @@
 // Token is one lexical element of a statement.
 type Token struct {
 	Kind Kind
-	// Text is the source text; words are in lower case.
+	// Text is the source text with its quotes. Words are in lower case; strings
+	// with escapes or dollar quotes are rewritten as standard string literals.
 	Text string
 }
 
@@ -35,7 +37,7 @@
 	return (t.Kind == Word || t.Kind == Op) && t.Text == text
 }
 
-// ErrUnterminated reports a quoted element or comment without an end.
+// ErrUnterminated reports a quoted string, quoted name or comment without an end.
 var ErrUnterminated = errors.New("unterminated quoted string or comment")
 
 type lexer struct {
@@ -44,7 +46,8 @@
 	tokens []Token
 }
 
-// Lex splits src into tokens. Comments and white space are dropped.
+// Lex splits src into tokens and drops comments and white space. Its only error
+// is ErrUnterminated; any other byte that starts no token is an operator.
 func Lex(src string) ([]Token, error) {
 	l := &lexer{src: src}
 	for l.pos < len(l.src) {
@@ -65,25 +68,26 @@
 	case strings.HasPrefix(l.src[l.pos:], "/*"):
 		return l.skipBlock()
 	case c == '\'':
-		return l.quoted(String, '\'')
+		return l.lexQuoted(String, '\'')
 	case c == '"':
-		return l.quoted(QuotedName, '"')
+		return l.lexQuoted(QuotedName, '"')
 	case (c == 'e' || c == 'E') && l.peek(1) == '\'':
-		return l.escaped()
+		return l.lexEscaped()
 	case c == '$' && isDigit(l.peek(1)):
-		l.take(Param, l.scan(l.pos+1, isDigit))
+		l.emit(Param, l.scanWhile(l.pos+1, isDigit))
 	case c == '$':
-		return l.dollar()
+		return l.lexDollarQuoted()
 	case isDigit(c) || (c == '.' && isDigit(l.peek(1))):
-		l.take(Number, l.number())
+		l.emit(Number, l.scanNumber())
 	case isLetter(c):
-		l.take(Word, l.scan(l.pos, isWordPart))
+		l.emit(Word, l.scanWhile(l.pos, isWordPart))
 	default:
-		l.operator()
+		l.lexOperator()
 	}
 	return nil
 }
 
+// peek returns the byte n positions ahead, or 0 beyond the end.
 func (l *lexer) peek(n int) byte {
 	if l.pos+n >= len(l.src) {
 		return 0
@@ -91,14 +95,17 @@
 	return l.src[l.pos+n]
 }
 
-func (l *lexer) scan(from int, accept func(byte) bool) int {
+// scanWhile returns the index of the first byte at or after from that accept
+// rejects.
+func (l *lexer) scanWhile(from int, accept func(byte) bool) int {
 	for from < len(l.src) && accept(l.src[from]) {
 		from++
 	}
 	return from
 }
 
-func (l *lexer) take(kind Kind, end int) {
+// emit appends the source text up to end as a token and moves past it.
+func (l *lexer) emit(kind Kind, end int) {
 	text := l.src[l.pos:end]
 	if kind == Word {
 		text = strings.ToLower(text)
@@ -116,6 +123,8 @@
 	l.pos += end + 1
 }
 
+// skipBlock skips a block comment up to the first "*/"; nested comments are not
+// supported.
 func (l *lexer) skipBlock() error {
 	end := strings.Index(l.src[l.pos+2:], "*/")
 	if end < 0 {
@@ -125,7 +134,9 @@
 	return nil
 }
 
-func (l *lexer) quoted(kind Kind, quote byte) error {
+// lexQuoted reads a string or quoted name in which a doubled quote stands for one
+// quote.
+func (l *lexer) lexQuoted(kind Kind, quote byte) error {
 	for end := l.pos + 1; end < len(l.src); end++ {
 		if l.src[end] != quote {
 			continue
@@ -134,14 +145,15 @@
 			end++
 			continue
 		}
-		l.take(kind, end+1)
+		l.emit(kind, end+1)
 		return nil
 	}
 	return ErrUnterminated
 }
 
-// escaped reads a string with backslash escapes, such as E'a\n'.
-func (l *lexer) escaped() error {
+// lexEscaped reads a string with backslash escapes, such as E'a\n', and emits it
+// as a standard string literal.
+func (l *lexer) lexEscaped() error {
 	var value strings.Builder
 	for i := l.pos + 2; i < len(l.src); i++ {
 		c := l.src[i]
@@ -163,6 +175,8 @@
 	return ErrUnterminated
 }
 
+// unescape returns the byte that a backslash and c stand for. Octal, hexadecimal
+// and Unicode escapes are not supported.
 func unescape(c byte) byte {
 	switch c {
 	case 'n':
@@ -175,11 +189,12 @@
 	return c
 }
 
-// dollar reads a dollar-quoted string such as $tag$text$tag$.
-func (l *lexer) dollar() error {
-	tagEnd := l.scan(l.pos+1, isWordPart)
+// lexDollarQuoted reads a dollar-quoted string, such as $tag$text$tag$, and emits
+// it as a standard string literal.
+func (l *lexer) lexDollarQuoted() error {
+	tagEnd := l.scanWhile(l.pos+1, isWordPart)
 	if tagEnd >= len(l.src) || l.src[tagEnd] != '$' {
-		l.operator()
+		l.lexOperator()
 		return nil
 	}
 	tag := l.src[l.pos : tagEnd+1]
@@ -193,30 +208,33 @@
 	return nil
 }
 
-func (l *lexer) number() int {
-	end := l.scan(l.pos, func(c byte) bool { return isDigit(c) || c == '.' })
+// scanNumber returns the index after the number at the current position.
+func (l *lexer) scanNumber() int {
+	end := l.scanWhile(l.pos, func(c byte) bool { return isDigit(c) || c == '.' })
 	if end < len(l.src) && (l.src[end] == 'e' || l.src[end] == 'E') {
 		exp := end + 1
 		if exp < len(l.src) && (l.src[exp] == '+' || l.src[exp] == '-') {
 			exp++
 		}
 		if exp < len(l.src) && isDigit(l.src[exp]) {
-			end = l.scan(exp, isDigit)
+			end = l.scanWhile(exp, isDigit)
 		}
 	}
 	return end
 }
 
+// longOperators are the operators of several characters. An operator stands before
+// its own prefixes, since the first match is taken.
 var longOperators = []string{"::", "<=", ">=", "<>", "!=", "||", "->>", "->"}
 
-func (l *lexer) operator() {
+func (l *lexer) lexOperator() {
 	for _, op := range longOperators {
 		if strings.HasPrefix(l.src[l.pos:], op) {
-			l.take(Op, l.pos+len(op))
+			l.emit(Op, l.pos+len(op))
 			return
 		}
 	}
-	l.take(Op, l.pos+1)
+	l.emit(Op, l.pos+1)
 }
 
 func isSpace(c byte) bool  { return c == ' ' || c == '\t' || c == '\n' || c == '\r' || c == '\f' }
@@ -231,7 +249,8 @@
 	return "'" + strings.ReplaceAll(text, "'", "''") + "'"
 }
 
-// Unquote returns the value of a string literal or quoted name.
+// Unquote returns the value of a string literal or quoted name. The first byte
+// counts as the quote character.
 func Unquote(literal string) string {
 	if len(literal) < 2 {
 		return literal
@@ -240,7 +259,8 @@
 	return strings.ReplaceAll(literal[1:len(literal)-1], quote+quote, quote)
 }
 
-// Name returns the value of a word or quoted name.
+// Name returns the token's text as a name: without its quotes if it is a quoted
+// name or string.
 func (t Token) Name() string {
 	if t.Kind == QuotedName || t.Kind == String {
 		return Unquote(t.Text)
