--- a/internal/consensus/member.go
+++ b/internal/consensus/member.go
@@ -76,21 +76,21 @@
 // applyChange returns the membership after a change.
 func (n *Node) applyChange(c Change) ([]Member, error) {
 	members := slices.Clone(n.members)
-	at := slices.IndexFunc(members, func(m Member) bool { return m.Disk == c.Member.Disk })
+	index := slices.IndexFunc(members, func(m Member) bool { return m.Disk == c.Member.Disk })
 	switch {
-	case c.Kind == AddLearner && at < 0 && c.Member.Disk != 0 && c.Member.Host != "":
+	case c.Kind == AddLearner && index < 0 && c.Member.Disk != 0 && c.Member.Host != "":
 		members = append(members, Member{Host: c.Member.Host, Disk: c.Member.Disk})
 		slices.SortFunc(members, compareMembers)
-	case c.Kind == Promote && at >= 0 && !members[at].Voter:
-		if !n.caughtUp(members[at]) {
-			return nil, errors.Errorf("consensus: %s has not caught up", members[at].Host)
+	case c.Kind == Promote && index >= 0 && !members[index].Voter:
+		if !n.caughtUp(members[index]) {
+			return nil, errors.Errorf("consensus: %s has not caught up", members[index].Host)
 		}
-		members[at].Voter = true
-	case c.Kind == Remove && at >= 0:
-		if members[at].Voter && n.voterCount() == 1 {
+		members[index].Voter = true
+	case c.Kind == Remove && index >= 0:
+		if members[index].Voter && n.voterCount() == 1 {
 			return nil, errors.New("consensus: the last voter cannot be removed")
 		}
-		members = slices.Delete(members, at, at+1)
+		members = slices.Delete(members, index, index+1)
 	default:
 		return nil, errors.Errorf("consensus: change of kind %d is invalid for member %s/%x", c.Kind, c.Member.Host, c.Member.Disk)
 	}
--- a/internal/consensus/member_test.go
+++ b/internal/consensus/member_test.go
@@ -39,10 +39,10 @@
 		c.propose(fmt.Sprint(i))
 	}
 	lost := c.nonLeader()
-	before := c.procs[lost].disk.Disk
+	formerDisk := c.procs[lost].disk.Disk
 	c.wipeDisk(lost)
 	c.runUntil("the new disk votes", c.membershipSettled)
-	if _, still := c.leader().node.member(before); still {
+	if _, still := c.leader().node.member(formerDisk); still {
 		t.Fatal("the lost disk is still a member")
 	}
 	c.propose("after")
@@ -160,17 +160,17 @@
 	c := newCluster(t, 17, "a", "b", "c")
 	c.propose("x")
 	host := c.nonLeader()
-	gone := c.procs[host].disk.Disk
+	removedDisk := c.procs[host].disk.Disk
 	c.stop(host)
 	c.desired = nil
 	p := c.leader()
-	m, _ := p.node.member(gone)
+	m, _ := p.node.member(removedDisk)
 	if _, err := p.node.ProposeChange(Change{Kind: Remove, Member: m}); err != nil {
 		t.Fatal(err)
 	}
 	c.processReady(p)
 	c.runUntil("the removal is committed", p.node.changeCommitted)
 	c.start(host)
-	c.runUntil("the folder is replaced", func() bool { return c.procs[host].disk.Disk != gone })
+	c.runUntil("the folder is replaced", func() bool { return c.procs[host].disk.Disk != removedDisk })
 	c.requireNoViolation()
 }
--- a/internal/consensus/message.go
+++ b/internal/consensus/message.go
@@ -51,7 +51,8 @@
 	Entries []Entry `cbor:"11,keyasint,omitempty"`
 	Commit  uint64  `cbor:"12,keyasint,omitempty"`
 	Reject  bool    `cbor:"13,keyasint,omitempty"`
-	// Hint is the last index at which a rejecting follower may match.
+	// Hint is the last index at which the log of a rejecting follower may match the
+	// leader's.
 	Hint uint64 `cbor:"14,keyasint,omitempty"`
 	// Last is the last index in the log of a responding follower.
 	Last uint64 `cbor:"15,keyasint,omitempty"`
--- a/internal/consensus/open_membership_test.go
+++ b/internal/consensus/open_membership_test.go
@@ -70,8 +70,8 @@
 		c := newOpenCluster(t, seed, "d", "e")
 		c.runUntil("five voters", c.allHostsVote)
 		c.propose("x")
-		gone := c.hosts[seed]
-		c.removeHost(gone)
+		removed := c.hosts[seed]
+		c.removeHost(removed)
 		c.joinHost("f", []string{"a", "d", "e"})
 		c.runUntil("five voters again", c.allHostsVote)
 		c.propose("y")
@@ -177,11 +177,11 @@
 func (s *schedule) replaceOne() {
 	s.heal()
 	s.runUntil("five voters", s.allHostsVote)
-	at := s.eventRNG.IntN(len(s.hosts))
-	gone := s.hosts[at]
-	s.removeHost(gone)
-	s.tickRates = append(s.tickRates[:at:at], s.tickRates[at+1:]...)
-	s.joinHost(fmt.Sprintf("successor of %s", gone), []string{s.hosts[0], s.hosts[1], gone})
+	index := s.eventRNG.IntN(len(s.hosts))
+	removed := s.hosts[index]
+	s.removeHost(removed)
+	s.tickRates = append(s.tickRates[:index:index], s.tickRates[index+1:]...)
+	s.joinHost(fmt.Sprintf("successor of %s", removed), []string{s.hosts[0], s.hosts[1], removed})
 	s.tickRates = append(s.tickRates, 1)
 	s.diskLost = true
 }
--- a/internal/consensus/schedule_test.go
+++ b/internal/consensus/schedule_test.go
@@ -115,9 +115,9 @@
 
 // stepTick ticks a host as often as its tick rate requires.
 func (s *schedule) stepTick() {
-	at := s.eventRNG.IntN(len(s.hosts))
-	for range s.tickRates[at] {
-		s.tick(s.hosts[at])
+	index := s.eventRNG.IntN(len(s.hosts))
+	for range s.tickRates[index] {
+		s.tick(s.hosts[index])
 	}
 }
 
--- a/internal/consensus/types.go
+++ b/internal/consensus/types.go
@@ -166,7 +166,9 @@
 	Role  Role
 	Term  uint64
 	// Leader is the host of the known leader, empty for none.
-	Leader   string
+	Leader string
+	// First and Last bound the log entries in memory. Like them, Commit, Applied
+	// and Snapshot are indexes of the log.
 	First    uint64
 	Last     uint64
 	Commit   uint64
@@ -183,6 +185,7 @@
 // FollowerStatus is the leader's view of one follower.
 type FollowerStatus struct {
 	Member
+	// Match is the last index up to which the follower's log is known to match.
 	Match uint64
 	// Active reports whether the follower responded in the present or the
 	// previous check-quorum interval; an interval is one election timeout.
--- a/internal/lease/broker.go
+++ b/internal/lease/broker.go
@@ -313,8 +313,8 @@
 	}
 	counted := b.holders()
 	for _, id := range registered.Holders {
-		at, ok := slices.BinarySearchFunc(counted, id, compareID)
-		replaced := b.cfg.ExclusiveIdentity && at < len(counted) && counted[at].Host == id.Host
+		index, ok := slices.BinarySearchFunc(counted, id, compareID)
+		replaced := b.cfg.ExclusiveIdentity && index < len(counted) && counted[index].Host == id.Host
 		if !ok && !replaced {
 			return false
 		}
--- a/internal/lease/lease_test.go
+++ b/internal/lease/lease_test.go
@@ -122,11 +122,11 @@
 func TestRequestWithoutStateCountsNoLease(t *testing.T) {
 	now := time.Unix(100, 0)
 	b := NewBroker(DefaultConfig(), 0)
-	old, fresh := ID{"h", 1}, ID{"n", 2}
-	b.Receive(now, old, Renew{Seq: 1, Applied: 8})
+	running, starting := ID{"h", 1}, ID{"n", 2}
+	b.Receive(now, running, Renew{Seq: 1, Applied: 8})
 	h := NewHolder(DefaultConfig(), 40)
 	r := h.Renew(now, 0)
-	b.Receive(now, fresh, r)
+	b.Receive(now, starting, r)
 	round, ok := b.BeginRound(now)
 	if !ok || round.Applied != 8 || len(round.Holders) != 1 {
 		t.Fatalf("round %+v, want revision 8 and one holder", round)
--- a/internal/store/damage_test.go
+++ b/internal/store/damage_test.go
@@ -55,9 +55,9 @@
 	rng := rand.New(rand.NewPCG(seed, 5))
 	data := append([]byte(nil), intact...)
 	metaPages := 2 * os.Getpagesize()
-	at := metaPages + rng.IntN(len(data)-metaPages-64)
+	offset := metaPages + rng.IntN(len(data)-metaPages-64)
 	for i := range 1 + rng.IntN(64) {
-		data[at+i] = byte(rng.Uint32())
+		data[offset+i] = byte(rng.Uint32())
 	}
 	if err := os.WriteFile(file, data, fileMode); err != nil {
 		t.Fatal(err)
--- a/internal/store/pages.go
+++ b/internal/store/pages.go
@@ -53,8 +53,8 @@
 	var newest uint64
 	found := false
 	size := uint64(binary.NativeEndian.Uint32(c.data[pageHeader+8:]))
-	for _, at := range []uint64{0, size} {
-		meta := c.bytes(at+pageHeader, metaSize)
+	for _, offset := range []uint64{0, size} {
+		meta := c.bytes(offset+pageHeader, metaSize)
 		if meta == nil {
 			continue
 		}
@@ -73,11 +73,11 @@
 
 // bytes returns n bytes of the file from an offset on, or nil when they are not
 // all inside the file.
-func (c *pageChecker) bytes(at, n uint64) []byte {
-	if at > uint64(len(c.data)) || n > uint64(len(c.data))-at {
+func (c *pageChecker) bytes(offset, n uint64) []byte {
+	if offset > uint64(len(c.data)) || n > uint64(len(c.data))-offset {
 		return nil
 	}
-	return c.data[at : at+n]
+	return c.data[offset : offset+n]
 }
 
 // visit marks a page as visited and returns its bytes, overflow pages included. It
@@ -130,12 +130,12 @@
 		return corrupt("page %d has flags %x and %d elements", id, flags, count)
 	}
 	for i := range count {
-		at := pageHeader + i*elementSize
+		offset := pageHeader + i*elementSize
 		var err error
 		if flags == flagBranch {
-			err = c.checkBranch(id, page[at:])
+			err = c.checkBranch(id, page[offset:])
 		} else {
-			err = c.checkLeaf(id, page[at:])
+			err = c.checkLeaf(id, page[offset:])
 		}
 		if err != nil {
 			return err
