--- a/internal/standin/role.go
+++ b/internal/standin/role.go
@@ -6,11 +6,11 @@
 	"github.com/pkg/errors"
 )
 
-const recordsTable = "create table records(id text primary key, workspace text, body text, filed_at text)"
+const createRecordsTable = "create table records(id text primary key, workspace text, body text, filed_at text)"
 
-// recover replays the log kept on disk and, on a primary, creates the table of
-// records when it is wanted and the log is empty.
-func (s *Server) recover() error {
+// restore replays the log kept on disk. On a primary with an empty log it creates
+// the table "records" if Options.RecordsTable is set.
+func (s *Server) restore() error {
 	if s.wal.flushed() > firstLSN {
 		if err := s.replayAll(s.ctx); err != nil {
 			return err
@@ -22,38 +22,39 @@
 	if !s.opts.RecordsTable || !s.isPrimary() || s.wal.flushed() > firstLSN {
 		return nil
 	}
-	if _, err := s.engine().db.ExecContext(s.ctx, recordsTable); err != nil {
+	if _, err := s.engine().db.ExecContext(s.ctx, createRecordsTable); err != nil {
 		return errors.Wrap(err, "create table")
 	}
-	_, err := s.wal.appendLocal([]change{{SQL: recordsTable}})
+	_, err := s.wal.appendLocal([]change{{SQL: createRecordsTable}})
 	return err
 }
 
-// promote makes a replica the primary of a new timeline that starts at the end
-// of its flushed log.
+// promote makes a replica the primary of a new timeline that starts at the end of
+// its flushed log. It stops receiving, replays all flushed records, starts the
+// timeline and then changes the role.
 func (s *Server) promote(ctx context.Context) error {
 	s.roleMu.Lock()
 	defer s.roleMu.Unlock()
 	if s.isPrimary() {
-		return errState(stateNotPrerequisite, "recovery is not in progress")
+		return sqlErrorf(sqlStateNotInPrerequisiteState, "recovery is not in progress")
 	}
 	s.setPromoting(true)
 	defer s.setPromoting(false)
 	if err := s.replayAll(ctx); err != nil {
 		return err
 	}
-	number, err := s.wal.branch(s.opts.ID)
+	timelineID, err := s.wal.startTimeline(s.opts.ID)
 	if err != nil {
 		return err
 	}
 	if err := s.setRole(RolePrimary); err != nil {
 		return err
 	}
-	s.opts.Logger.Info("standin_promoted", "id", s.opts.ID, "timeline", number, "lsn", s.wal.flushed())
+	s.opts.Logger.Info("standin_promoted", "id", s.opts.ID, "timeline", timelineID, "lsn", s.wal.flushed())
 	return nil
 }
 
-// setPromoting stops or resumes the receipt of the primary's log.
+// setPromoting stops or resumes receiving the primary's log.
 func (s *Server) setPromoting(on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -61,6 +62,7 @@
 	s.notifyLocked()
 }
 
+// setRole saves the role and then makes it effective.
 func (s *Server) setRole(role Role) error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -72,8 +74,8 @@
 	return nil
 }
 
-// demote makes a replaced primary a replica of upstream. Callers are
-// disconnected; their open transactions are rolled back.
+// demote makes a primary a replica of upstream. It ends all sessions and rolls
+// back their open transactions. On a replica it does nothing.
 func (s *Server) demote(upstream string) error {
 	s.roleMu.Lock()
 	defer s.roleMu.Unlock()
@@ -84,12 +86,13 @@
 		return err
 	}
 	s.SetUpstream(upstream)
-	s.disconnect()
+	s.terminateSessions()
 	s.opts.Logger.Info("standin_demoted", "id", s.opts.ID, "upstream", upstream)
 	return nil
 }
 
-// SetUpstream names the primary that a replica follows.
+// SetUpstream sets the address of the primary that the endpoint follows as a
+// replica.
 func (s *Server) SetUpstream(addr string) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -100,8 +103,8 @@
 	s.notifyLocked()
 }
 
-// disconnect ends all sessions.
-func (s *Server) disconnect() {
+// terminateSessions ends all sessions, including those of replicas.
+func (s *Server) terminateSessions() {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, session := range s.sessions {
@@ -109,20 +112,21 @@
 	}
 }
 
-// rebuild drops the log after l and starts over with an empty database, into
-// which the rest of the log is replayed.
+// rebuild drops the log after l and replaces the database by an empty one, into
+// which the replay task applies the remaining log. It ends sessions both before and
+// after the replacement, since sessions may open on the old database meanwhile.
 func (s *Server) rebuild(ctx context.Context, l LSN) error {
 	old := s.engine()
-	s.disconnect()
-	if err := old.lockWriter(ctx); err != nil {
+	s.terminateSessions()
+	if err := old.lockWrite(ctx); err != nil {
 		return err
 	}
-	defer old.unlockWriter()
+	defer old.unlockWrite()
 	fresh, err := openEngine()
 	if err != nil {
 		return err
 	}
-	lost := s.wal.flushed()
+	oldEnd := s.wal.flushed()
 	if _, err := s.wal.truncate(l); err != nil {
 		fresh.close()
 		return err
@@ -130,8 +134,8 @@
 	s.mu.Lock()
 	s.eng = fresh
 	s.mu.Unlock()
-	s.disconnect()
+	s.terminateSessions()
 	old.close()
-	s.opts.Logger.Warn("standin_log_dropped", "id", s.opts.ID, "from", l, "to", lost)
+	s.opts.Logger.Warn("standin_log_dropped", "id", s.opts.ID, "from", l, "to", oldEnd)
 	return nil
 }
