--- a/internal/consensus/member_test.go
+++ b/internal/consensus/member_test.go
@@ -13,9 +13,9 @@
 	if p == nil || !p.node.changeCommitted() || len(p.node.members) != len(c.desired) {
 		return false
 	}
-	for _, w := range c.desired {
-		m, ok := p.node.member(c.procs[w.Host].disk.Disk)
-		if !ok || m.Host != w.Host || m.Voter != w.Voter {
+	for _, want := range c.desired {
+		m, ok := p.node.member(c.procs[want.Host].disk.Disk)
+		if !ok || m.Host != want.Host || m.Voter != want.Voter {
 			return false
 		}
 	}
@@ -39,15 +39,15 @@
 		c.propose(fmt.Sprint(i))
 	}
 	lost := c.nonLeader()
-	before := c.procs[lost].disk.Disk
+	formerDisk := c.procs[lost].disk.Disk
 	c.wipeDisk(lost)
 	c.runUntil("the new disk votes", c.membershipSettled)
-	if _, still := c.leader().node.member(before); still {
+	if _, still := c.leader().node.member(formerDisk); still {
 		t.Fatal("the lost disk is still a member")
 	}
 	c.propose("after")
 	if got := len(c.procs[lost].state.commands); got != 21 {
-		t.Fatalf("%d commands on the new disk", got)
+		t.Fatalf("%d commands on the new disk, want 21", got)
 	}
 	c.requireNoViolation()
 }
@@ -85,7 +85,7 @@
 	c.runUntil("the new hosts are members", c.membershipSettled)
 	c.propose("after")
 	if got := len(c.procs["relay"].state.commands); got != 31 {
-		t.Fatalf("%d commands on the learner", got)
+		t.Fatalf("%d commands on the learner, want 31", got)
 	}
 	if c.procs["relay"].disk.Snapshot.Index <= 1 {
 		t.Fatal("the learner got no snapshot")
@@ -93,7 +93,7 @@
 	c.requireNoViolation()
 }
 
-func TestTransferLeadership(t *testing.T) {
+func TestTransferLeadershipElectsTarget(t *testing.T) {
 	c := newCluster(t, 14, "a", "b", "c")
 	c.propose("x")
 	to := c.nonLeader()
@@ -160,17 +160,17 @@
 	c := newCluster(t, 17, "a", "b", "c")
 	c.propose("x")
 	host := c.nonLeader()
-	gone := c.procs[host].disk.Disk
+	removedDisk := c.procs[host].disk.Disk
 	c.stop(host)
 	c.desired = nil
 	p := c.leader()
-	m, _ := p.node.member(gone)
+	m, _ := p.node.member(removedDisk)
 	if _, err := p.node.ProposeChange(Change{Kind: Remove, Member: m}); err != nil {
 		t.Fatal(err)
 	}
 	c.processReady(p)
 	c.runUntil("the removal is committed", p.node.changeCommitted)
 	c.start(host)
-	c.runUntil("the folder is replaced", func() bool { return c.procs[host].disk.Disk != gone })
+	c.runUntil("the folder is replaced", func() bool { return c.procs[host].disk.Disk != removedDisk })
 	c.requireNoViolation()
 }
