--- a/internal/core/admission.go
+++ b/internal/core/admission.go
@@ -9,14 +9,14 @@
 )
 
 // rateWaitShare is the share of a route's timeout that an operation may wait for rate
-// tokens; the rest is left for the endpoint. The limiter refuses a workspace that
-// exceeds its rate earlier than that.
+// tokens; the rest is left for the endpoint. A workspace that exceeds its rate is refused
+// by the limiter before this wait ends.
 const rateWaitShare = 0.8
 
 // admit authorizes the caller, waits for a valid lease and takes a rate token of the
 // workspace.
 func (s *Session) admit(st Statement, writes bool) (*operation, *result.Error) {
-	if err := s.awaitAuthorization(openTimeout); err != nil {
+	if err := s.awaitAuthorization(authorizationTimeout); err != nil {
 		return nil, err
 	}
 	route, err := s.authorize(s.srv.opts.View.Current())
--- a/internal/core/checkout.go
+++ b/internal/core/checkout.go
@@ -37,8 +37,8 @@
 	}
 }
 
-// release returns the connection to the pool, or closes it unless it is reusable, and
-// then frees the slot. In this order the next holder of the slot finds the connection.
+// release returns a reusable connection to the pool, closes any other, and then frees the
+// slot. In this order the next holder of the slot finds the connection in the pool.
 func (co *checkout) release(reusable bool) {
 	co.endpoint.pool.Release(co.conn, reusable)
 	co.freeSlot()
@@ -98,9 +98,9 @@
 	return err
 }
 
-// pause waits for retryPause or until changed is closed. It returns the error of ctx.
+// pause waits for retryDelay or until changed is closed. It returns the error of ctx.
 func pause(ctx context.Context, changed <-chan struct{}) error {
-	timer := time.NewTimer(retryPause)
+	timer := time.NewTimer(retryDelay)
 	defer timer.Stop()
 	select {
 	case <-ctx.Done():
@@ -130,15 +130,15 @@
 		return nil, asResult(err, result.DeadlineInQueue)
 	}
 	begun = time.Now()
-	held, err := c.endpoint.pool.Acquire(ctx, s.workspace, func(k *conn) bool { return k.lastSession == s.id || k.matches(s.values) })
+	borrowed, err := c.endpoint.pool.Acquire(ctx, s.workspace, func(k *conn) bool { return k.lastSession == s.id || k.matches(s.values) })
 	s.timings.connection += s.srv.metrics.observeWait(op.route.Class, waitConnection, begun)
 	if err != nil {
 		releaseSlot()
 		return nil, op.connectionFailure(c, ctx, err)
 	}
 	c.endpoint.beginStatement()
-	co := &checkout{choice: c, conn: held, releaseSlot: releaseSlot}
-	held.lastSession = s.id
+	co := &checkout{choice: c, conn: borrowed, releaseSlot: releaseSlot}
+	borrowed.lastSession = s.id
 	if err := s.restore(co, op.st, op.deadline); err != nil {
 		co.release(false)
 		return nil, err
--- a/internal/core/conn.go
+++ b/internal/core/conn.go
@@ -46,7 +46,7 @@
 		c.values, c.prepared, c.stateUnknown = map[string]string{}, map[preparedStatement]string{}, false
 	}
 	for name, value := range values {
-		if held, ok := c.values[name]; !ok || held != value {
+		if current, ok := c.values[name]; !ok || current != value {
 			commands = append(commands, Command{Statement: Statement{Kind: SetValue, Name: name, Text: value}})
 			c.values[name] = value
 		}
--- a/internal/core/core_test.go
+++ b/internal/core/core_test.go
@@ -160,62 +160,62 @@
 	evidence []Evidence
 }
 
-func (r *fixture) observe(e Evidence) {
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	r.evidence = append(r.evidence, e)
+func (f *fixture) observe(e Evidence) {
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	f.evidence = append(f.evidence, e)
 }
 
 func newFixture(t *testing.T) *fixture {
 	t.Helper()
-	r := &fixture{t: t, endpoints: &fakeEndpoints{}, view: view.NewPublisher(), state: agreed.New()}
-	r.state.Revision = 1
-	r.state.Catalog.Stamp.Number = 1
-	r.state.Catalog.Services["logs"] = note.Service{Name: "logs", Ack: note.AckReplicas}
-	r.state.Catalog.Workspaces["crew"] = note.Workspace{Name: "crew", Rate: 1, Burst: 1}
-	r.state.Catalog.Keys["k"] = note.Key{ID: "k", Workspace: "crew"}
-	r.state.Catalog.Routes = map[string]note.Route{
+	f := &fixture{t: t, endpoints: &fakeEndpoints{}, view: view.NewPublisher(), state: agreed.New()}
+	f.state.Revision = 1
+	f.state.Catalog.Stamp.Number = 1
+	f.state.Catalog.Services["logs"] = note.Service{Name: "logs", Ack: note.AckReplicas}
+	f.state.Catalog.Workspaces["crew"] = note.Workspace{Name: "crew", Rate: 1, Burst: 1}
+	f.state.Catalog.Keys["k"] = note.Key{ID: "k", Workspace: "crew"}
+	f.state.Catalog.Routes = map[string]note.Route{
 		"launch": {Database: "launch", Service: "logs", Policy: note.ReadPrimary, Timeout: 2000, Class: note.ClassInteractive},
 		"brief":  {Database: "brief", Service: "logs", Policy: note.ReadPrimary, Timeout: 50, Class: note.ClassInteractive},
 		"own":    {Database: "own", Service: "logs", Policy: note.ReadOwnWrites, MaxStaleness: 5000, Timeout: 2000, Class: note.ClassBulk},
 	}
 	members := []string{"p", "r1", "r2"}
 	for _, id := range members {
-		r.state.Endpoints[id] = agreed.Endpoint{ID: id, Service: "logs", Addr: id + ":1", Domain: "d"}
+		f.state.Endpoints[id] = agreed.Endpoint{ID: id, Service: "logs", Addr: id + ":1", Domain: "d"}
 	}
-	r.state.Groups["logs"] = agreed.Group{Service: "logs", Members: members, Term: 1, Primary: "p", Phase: agreed.PhaseActive, Timeline: 1}
-	r.publish(time.Hour)
-	r.server = NewServer(Options{
-		View: r.view, Host: "h", Domain: "d", Dialer: r.endpoints, Limiter: countingLimiter{&r.taken, &r.refunded},
-		Connections: func(string, string) int { return 4 }, Observe: r.observe, Log: log.New(io.Discard),
+	f.state.Groups["logs"] = agreed.Group{Service: "logs", Members: members, Term: 1, Primary: "p", Phase: agreed.PhaseActive, Timeline: 1}
+	f.publish(time.Hour)
+	f.server = NewServer(Options{
+		View: f.view, Host: "h", Domain: "d", Dialer: f.endpoints, Limiter: countingLimiter{&f.taken, &f.refunded},
+		Connections: func(string, string) int { return 4 }, Observe: f.observe, Log: log.New(io.Discard),
 	})
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan struct{})
 	go func() {
 		defer close(done)
-		_ = r.server.Run(ctx)
+		_ = f.server.Run(ctx)
 	}()
 	t.Cleanup(func() { cancel(); <-done })
-	return r
+	return f
 }
 
-func (r *fixture) publish(lease time.Duration) {
-	next := *r.state
-	r.view.Publish(view.View{State: &next, Settled: 1, ValidUntil: clock.Now().Add(lease)})
+func (f *fixture) publish(lease time.Duration) {
+	next := *f.state
+	f.view.Publish(view.View{State: &next, Settled: 1, ValidUntil: clock.Now().Add(lease)})
 }
 
-func (r *fixture) open(database string) *Session {
-	r.t.Helper()
-	s, err := r.server.Open(database, "k", fakeCaller{})
+func (f *fixture) open(database string) *Session {
+	f.t.Helper()
+	s, err := f.server.Open(database, "k", fakeCaller{})
 	if err != nil {
-		r.t.Fatal(err)
+		f.t.Fatal(err)
 	}
-	r.t.Cleanup(s.Close)
+	f.t.Cleanup(s.Close)
 	return s
 }
 
-func (r *fixture) expect(s *Session, st Statement, code result.Code, state State) Reply {
-	r.t.Helper()
+func (f *fixture) expect(s *Session, st Statement, code result.Code, state State) Reply {
+	f.t.Helper()
 	st.ID = "id"
 	reply := s.Do(st)
 	var got result.Code
@@ -223,7 +223,7 @@
 		got = reply.Err.Code
 	}
 	if got != code || reply.State != state {
-		r.t.Fatalf("%s: got %v in state %d, want code %d in state %d", st.Kind, reply.Err, reply.State, code, state)
+		f.t.Fatalf("%s: got %v in state %d, want code %d in state %d", st.Kind, reply.Err, reply.State, code, state)
 	}
 	return reply
 }
@@ -246,16 +246,16 @@
 		"write ran and failed":    {Write, []func(string, Command) (Answer, bool, error){refusal(result.StatementFailed)}, result.StatementFailed, 0},
 		"write timed out":         {Write, []func(string, Command) (Answer, bool, error){refusal(result.StatementTimeout)}, result.StatementTimeout, 0},
 		"read fails once":         {Read, []func(string, Command) (Answer, bool, error){refusal(result.StatementFailed)}, 0, 1},
-		"read behind":             {Read, []func(string, Command) (Answer, bool, error){refusal(result.ReplicaBehind)}, 0, 1},
-		"name lost at connection": {Write, []func(string, Command) (Answer, bool, error){refusal(result.UnknownStatement)}, 0, 1},
+		"read at lagging replica": {Read, []func(string, Command) (Answer, bool, error){refusal(result.ReplicaBehind)}, 0, 1},
+		"statement not prepared":  {Write, []func(string, Command) (Answer, bool, error){refusal(result.UnknownStatement)}, 0, 1},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
-			r := newFixture(t)
-			s := r.open("launch")
-			r.endpoints.plan(c.plan...)
-			r.expect(s, Statement{Kind: c.kind, Text: "x"}, c.code, Idle)
-			if got := r.endpoints.count(c.kind); got != c.ran {
+			f := newFixture(t)
+			s := f.open("launch")
+			f.endpoints.plan(c.plan...)
+			f.expect(s, Statement{Kind: c.kind, Text: "x"}, c.code, Idle)
+			if got := f.endpoints.count(c.kind); got != c.ran {
 				t.Errorf("reached an endpoint %d times, want %d", got, c.ran)
 			}
 		})
@@ -275,108 +275,108 @@
 		"sent after reads":       {false, true, result.TransactionAborted},
 	} {
 		t.Run(name, func(t *testing.T) {
-			r := newFixture(t)
-			s := r.open("launch")
-			r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
+			f := newFixture(t)
+			s := f.open("launch")
+			f.expect(s, Statement{Kind: Begin}, 0, InTransaction)
 			kind := Read
 			if c.writes {
 				kind = Write
 			}
-			r.expect(s, Statement{Kind: kind, Text: "x"}, 0, InTransaction)
-			r.endpoints.plan(lostConnection(c.sent))
-			r.expect(s, Statement{Kind: Commit}, c.code, Idle)
+			f.expect(s, Statement{Kind: kind, Text: "x"}, 0, InTransaction)
+			f.endpoints.plan(lostConnection(c.sent))
+			f.expect(s, Statement{Kind: Commit}, c.code, Idle)
 		})
 	}
 }
 
 func TestStatementRefusedWithoutLease(t *testing.T) {
-	r := newFixture(t)
-	s := r.open("launch")
-	r.publish(-time.Second)
-	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
-	if n := r.endpoints.count(Write); n != 0 {
-		t.Errorf("%d writes were sent", n)
+	f := newFixture(t)
+	s := f.open("launch")
+	f.publish(-time.Second)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
+	if n := f.endpoints.count(Write); n != 0 {
+		t.Errorf("%d writes were sent without a lease, want 0", n)
 	}
 }
 
 // TestTransactionAbortedOnTermChange guards against a commit that is sent to a primary whose
 // term ended during the transaction.
 func TestTransactionAbortedOnTermChange(t *testing.T) {
-	r := newFixture(t)
-	s := r.open("launch")
-	r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
-	r.expect(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
-	g := r.state.Groups["logs"]
-	r.state.Groups = map[string]agreed.Group{"logs": {
+	f := newFixture(t)
+	s := f.open("launch")
+	f.expect(s, Statement{Kind: Begin}, 0, InTransaction)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
+	g := f.state.Groups["logs"]
+	f.state.Groups = map[string]agreed.Group{"logs": {
 		Service: "logs", Members: g.Members, Term: 2, Primary: "p", Phase: agreed.PhaseSealed,
 	}}
-	r.publish(time.Hour)
-	r.expect(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
-	if n := r.endpoints.count(Commit); n != 0 {
-		t.Errorf("%d commits were sent under the former term", n)
+	f.publish(time.Hour)
+	f.expect(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
+	if n := f.endpoints.count(Commit); n != 0 {
+		t.Errorf("%d commits were sent under the former term, want 0", n)
 	}
 }
 
 // TestReplicaReadRequiresPosition guards against a stale read from a replica before a position
 // of the primary was observed, and against one that omits the session's own last write.
 func TestReplicaReadRequiresPosition(t *testing.T) {
-	r := newFixture(t)
-	s := r.open("own")
-	r.expect(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
-	if got := r.endpoints.last(); got.endpoint != "p" {
+	f := newFixture(t)
+	s := f.open("own")
+	f.expect(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
+	if got := f.endpoints.last(); got.endpoint != "p" {
 		t.Errorf("the first read went to %s, although no position of the primary was known", got.endpoint)
 	}
-	r.expect(s, Statement{Kind: Write, Text: "x 1"}, 0, Idle)
+	f.expect(s, Statement{Kind: Write, Text: "x 1"}, 0, Idle)
 	lastCommit := s.lastCommit
 	for range 10 { // makes the primary busy, so that a replica is cheaper
-		r.server.endpoint(r.state.Endpoints["p"]).beginStatement()
+		f.server.endpoint(f.state.Endpoints["p"]).beginStatement()
 	}
-	r.expect(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
-	if got := r.endpoints.last(); got.endpoint == "p" || got.command.After.Compare(lastCommit) < 0 {
-		t.Errorf("read at %s requires position %v, the session's last commit is %v", got.endpoint, got.command.After, lastCommit)
+	f.expect(s, Statement{Kind: Read, Text: "x"}, 0, Idle)
+	if got := f.endpoints.last(); got.endpoint == "p" || got.command.MinPosition.Compare(lastCommit) < 0 {
+		t.Errorf("read at %s requires position %v, the session's last commit is %v", got.endpoint, got.command.MinPosition, lastCommit)
 	}
 }
 
 // TestClosedSessionRefusesStatements guards against running a request that was read just as a
 // shutdown closed the idle session.
 func TestClosedSessionRefusesStatements(t *testing.T) {
-	r := newFixture(t)
-	s := r.open("launch")
+	f := newFixture(t)
+	s := f.open("launch")
 	s.lastReplyAt = clock.Now().Add(-2 * minIdleBeforeClose)
 	s.closeIfIdle()
-	r.expect(s, Statement{Kind: Write, Text: "x"}, result.ShuttingDown, Idle)
-	if n := r.endpoints.count(Write); n != 0 {
-		t.Errorf("%d writes were sent for a disconnected caller", n)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, result.ShuttingDown, Idle)
+	if n := f.endpoints.count(Write); n != 0 {
+		t.Errorf("%d writes were sent for a disconnected caller, want 0", n)
 	}
 }
 
 func TestIdleTransactionExpires(t *testing.T) {
-	r := newFixture(t)
-	s := r.open("launch")
-	r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
+	f := newFixture(t)
+	s := f.open("launch")
+	f.expect(s, Statement{Kind: Begin}, 0, InTransaction)
 	s.expireTransaction(clock.Now().Add(time.Hour), time.Minute)
-	r.expect(s, Statement{Kind: Write, Text: "x"}, result.TransactionAborted, Failed)
-	r.expect(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, result.TransactionAborted, Failed)
+	f.expect(s, Statement{Kind: Commit}, result.TransactionAborted, Idle)
 }
 
 // TestRateTokenRefundedWhenNotDispatched guards against charging a workspace for statements
 // that were not sent to an endpoint: one is refused before a token is taken, two after.
 func TestRateTokenRefundedWhenNotDispatched(t *testing.T) {
-	r := newFixture(t)
-	s := r.open("brief")
-	r.publish(-time.Hour)
-	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
-	if n := r.taken.Load(); n != 0 {
-		t.Errorf("%d tokens taken without a lease", n)
+	f := newFixture(t)
+	s := f.open("brief")
+	f.publish(-time.Hour)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, result.NoConfigLease, Idle)
+	if n := f.taken.Load(); n != 0 {
+		t.Errorf("%d tokens taken without a lease, want 0", n)
 	}
-	sealed := r.state.Groups["logs"]
+	sealed := f.state.Groups["logs"]
 	sealed.Phase = agreed.PhaseSealed
-	r.state.Groups["logs"] = sealed
-	r.publish(time.Hour)
-	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
-	r.expect(s, Statement{Kind: Begin}, result.NoPrimary, Idle)
-	if taken, refunded := r.taken.Load(), r.refunded.Load(); taken != 2 || refunded != 2 {
-		t.Errorf("%d tokens taken, %d refunded", taken, refunded)
+	f.state.Groups["logs"] = sealed
+	f.publish(time.Hour)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
+	f.expect(s, Statement{Kind: Begin}, result.NoPrimary, Idle)
+	if taken, refunded := f.taken.Load(), f.refunded.Load(); taken != 2 || refunded != 2 {
+		t.Errorf("%d tokens taken and %d refunded, want 2 and 2", taken, refunded)
 	}
 }
 
@@ -384,19 +384,19 @@
 // statement finds the primary unreachable, the evidence must be reported before the
 // endpoint is probed again.
 func TestUnreachableEndpointReportedImmediately(t *testing.T) {
-	r := newFixture(t)
-	r.endpoints.dial = func(id string) error {
+	f := newFixture(t)
+	f.endpoints.dial = func(id string) error {
 		if id == "p" {
 			return errors.New("connection refused")
 		}
 		return nil
 	}
-	s := r.open("brief")
-	r.expect(s, Statement{Kind: Write, Text: "x"}, result.EndpointLost, Idle)
-	r.mu.Lock()
-	defer r.mu.Unlock()
-	if len(r.evidence) == 0 || r.evidence[0] != (Evidence{Service: "logs", Endpoint: "p", Lost: true}) {
-		t.Errorf("evidence %+v", r.evidence)
+	s := f.open("brief")
+	f.expect(s, Statement{Kind: Write, Text: "x"}, result.EndpointLost, Idle)
+	f.mu.Lock()
+	defer f.mu.Unlock()
+	if len(f.evidence) == 0 || f.evidence[0] != (Evidence{Service: "logs", Endpoint: "p", Unreachable: true}) {
+		t.Errorf("evidence %+v, want p reported as unreachable first", f.evidence)
 	}
 }
 
@@ -404,18 +404,18 @@
 // hold a connection and wait for a slot: all slots of the primary are taken, and the
 // statements of an open transaction must still run.
 func TestTransactionStatementBypassesFullSlots(t *testing.T) {
-	r := newFixture(t)
-	s := r.open("launch")
-	r.expect(s, Statement{Kind: Begin}, 0, InTransaction)
+	f := newFixture(t)
+	s := f.open("launch")
+	f.expect(s, Statement{Kind: Begin}, 0, InTransaction)
 	ctx, cancel := context.WithTimeout(context.Background(), time.Minute)
 	defer cancel()
-	for range r.server.slots("logs", "p") {
-		leave, err := r.server.gate.AcquireSlot(ctx, gate.SlotRequest{Endpoint: "p", Service: "logs", Workspace: "crew", Class: note.ClassInteractive})
+	for range f.server.slots("logs", "p") {
+		releaseSlot, err := f.server.gate.AcquireSlot(ctx, gate.SlotRequest{Endpoint: "p", Service: "logs", Workspace: "crew", Class: note.ClassInteractive})
 		if err != nil {
 			t.Fatal(err)
 		}
-		defer leave()
+		defer releaseSlot()
 	}
-	r.expect(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
-	r.expect(s, Statement{Kind: Commit}, 0, Idle)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, 0, InTransaction)
+	f.expect(s, Statement{Kind: Commit}, 0, Idle)
 }
--- a/internal/core/endpoint.go
+++ b/internal/core/endpoint.go
@@ -19,18 +19,19 @@
 	// probeTimeout bounds one attempt. It is well above the time to open a connection
 	// to another failure domain (some 15 ms).
 	probeTimeout = 400 * time.Millisecond
-	// replicaBehindPause is how long reads avoid a replica that lacked a position: a few
+	// replicaBehindBackoff is how long reads avoid a replica that lacked a position: a few
 	// times the usual replication lag.
-	replicaBehindPause = 250 * time.Millisecond
+	replicaBehindBackoff = 250 * time.Millisecond
 )
 
 // Evidence is what this host observed about an endpoint by using it.
 type Evidence struct {
 	Service  string
 	Endpoint string
-	// Lost: the endpoint cannot be reached. ReadOnly: it answers, but not as a primary.
-	// Neither: it is healthy.
-	Lost     bool
+	// Unreachable: the endpoint could not be reached.
+	Unreachable bool
+	// ReadOnly: the primary of the group refused a write because it is read-only. Evidence
+	// with neither flag reports an endpoint that can be reached.
 	ReadOnly bool
 }
 
@@ -99,29 +100,29 @@
 	e.position = later(e.position, p)
 }
 
-// observeLatency records by how much a statement took longer than usual.
+// observeLatency records by how much the latency of a statement exceeded the usual one.
 func (e *endpoint) observeLatency(now time.Time, excess time.Duration) {
-	most := e.srv.maxSlots(e.record.Service, e.record.ID)
+	limit := e.srv.maxSlots(e.record.Service, e.record.ID)
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.pace.Observe(now, excess, most)
+	e.pace.Observe(now, excess, limit)
 }
 
-// allowedStatements returns how many statements may be in progress, at most most.
-func (e *endpoint) allowedStatements(most int) int {
+// allowedStatements returns how many statements may be in progress, up to limit.
+func (e *endpoint) allowedStatements(limit int) int {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	return e.pace.Allowed(most)
+	return e.pace.Allowed(limit)
 }
 
 // markBehind records that the endpoint lacked a required position.
 func (e *endpoint) markBehind(now time.Time) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
-	e.behindUntil = now.Add(replicaBehindPause)
+	e.behindUntil = now.Add(replicaBehindBackoff)
 }
 
-// load is the observed state of an endpoint that enters its cost in pickEndpoint.
+// load is the observed state of an endpoint from which pickEndpoint computes its cost.
 type load struct {
 	inflight  int
 	suspected bool
@@ -138,7 +139,7 @@
 // reportUnreachable reports immediately that the endpoint accepted no connection, and
 // starts to probe it.
 func (e *endpoint) reportUnreachable(workspace string, cause error) {
-	e.srv.opts.Observe(Evidence{Service: e.record.Service, Endpoint: e.record.ID, Lost: true})
+	e.srv.opts.Observe(Evidence{Service: e.record.Service, Endpoint: e.record.ID, Unreachable: true})
 	e.suspect(workspace, cause)
 }
 
@@ -188,9 +189,9 @@
 	if err == nil {
 		link.Close()
 	}
-	lost := err != nil && !isReachable(err)
-	e.srv.opts.Observe(Evidence{Service: e.record.Service, Endpoint: e.record.ID, Lost: lost})
-	return lost
+	unreachable := err != nil && !isReachable(err)
+	e.srv.opts.Observe(Evidence{Service: e.record.Service, Endpoint: e.record.ID, Unreachable: unreachable})
+	return unreachable
 }
 
 func (e *endpoint) close() {
--- a/internal/core/explain_test.go
+++ b/internal/core/explain_test.go
@@ -17,19 +17,19 @@
 // TestRefusalExplainedFromLogs checks that the cause of a refused write can be derived from
 // the logs of the host and the control leader. The group is sealed, so the write fails.
 func TestRefusalExplainedFromLogs(t *testing.T) {
-	r := newFixture(t)
+	f := newFixture(t)
 	var entry, control bytes.Buffer
 	options := log.Options{Formatter: log.LogfmtFormatter, ReportTimestamp: true, TimeFormat: eventlog.TimeFormat}
-	r.server.opts.Log = log.NewWithOptions(&entry, options).With("host", "h")
+	f.server.opts.Log = log.NewWithOptions(&entry, options).With("host", "h")
 	leader := log.NewWithOptions(&control, options).With("host", "c")
 
-	s := r.open("brief")
-	sealed := r.state.Groups["logs"]
+	s := f.open("brief")
+	sealed := f.state.Groups["logs"]
 	sealed.Phase, sealed.Reason = agreed.PhaseSealed, "primary p is lost"
-	r.state.Groups["logs"] = sealed
+	f.state.Groups["logs"] = sealed
 	leader.Info("group_status", "service", "logs", "reason", sealed.Reason)
-	r.publish(time.Hour)
-	r.expect(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
+	f.publish(time.Hour)
+	f.expect(s, Statement{Kind: Write, Text: "x"}, result.NoPrimary, Idle)
 
 	lines, _, err := explain.Read(strings.NewReader(entry.String() + control.String()))
 	if err != nil {
@@ -37,9 +37,9 @@
 	}
 	a := explain.Explain(lines, "id")
 	if !strings.Contains(a.Cause, "no_primary") || !strings.Contains(a.Cause, sealed.Reason) || !strings.Contains(a.Cause, "since group_status") {
-		t.Errorf("cause %q of %+v", a.Cause, a.Entries)
+		t.Errorf("cause %q of %+v, want no_primary with the reason of the sealed group", a.Cause, a.Entries)
 	}
 	if len(a.Missing) != 0 {
-		t.Errorf("missing %q", a.Missing)
+		t.Errorf("missing %q, want nothing missing", a.Missing)
 	}
 }
--- a/internal/core/freshness.go
+++ b/internal/core/freshness.go
@@ -64,11 +64,11 @@
 		return
 	}
 	s.list = append(s.list, sample{at: at, position: p})
-	old := 0
-	for old < len(s.list)-1 && at.Sub(s.list[old].at) > sampleRetention {
-		old++
+	expired := 0
+	for expired < len(s.list)-1 && at.Sub(s.list[expired].at) > sampleRetention {
+		expired++
 	}
-	s.list = append(s.list[:0:0], s.list[old:]...)
+	s.list = append(s.list[:0:0], s.list[expired:]...)
 }
 
 // bound returns the lowest recorded position that includes every write acknowledged more
--- a/internal/core/freshness_test.go
+++ b/internal/core/freshness_test.go
@@ -47,6 +47,6 @@
 	f.observe("s", 2, now, Position{Term: 4, Number: 7})
 	f.observe("s", 1, now.Add(time.Second), Position{Term: 3, Number: 12})
 	if p, ok := f.bound("s", 2, now, time.Second); !ok || p.Number != 7 {
-		t.Errorf("bound %v %v", p, ok)
+		t.Errorf("bound %v %v, want the position 7 of the current term", p, ok)
 	}
 }
--- a/internal/core/metrics.go
+++ b/internal/core/metrics.go
@@ -17,7 +17,7 @@
 type metrics struct {
 	results  *prometheus.CounterVec
 	duration *prometheus.HistogramVec
-	backend  *prometheus.HistogramVec
+	endpoint *prometheus.HistogramVec
 	waits    *prometheus.HistogramVec
 	dials    *prometheus.CounterVec
 	retries  prometheus.Counter
@@ -33,7 +33,7 @@
 		duration: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "galenabridge_statement_seconds", Help: "Time from reading a statement to its answer.", Buckets: latencyBuckets,
 		}, []string{"workspace", "class"}),
-		backend: prometheus.NewHistogramVec(prometheus.HistogramOpts{
+		endpoint: prometheus.NewHistogramVec(prometheus.HistogramOpts{
 			Name: "galenabridge_statement_endpoint_seconds", Help: "Time that a statement spent at its endpoint.", Buckets: latencyBuckets,
 		}, []string{"class"}),
 		waits: prometheus.NewHistogramVec(prometheus.HistogramOpts{
@@ -53,7 +53,7 @@
 		}),
 	}
 	if reg != nil {
-		reg.MustRegister(m.results, m.duration, m.backend, m.waits, m.dials, m.retries, m.reads, m.sessions)
+		reg.MustRegister(m.results, m.duration, m.endpoint, m.waits, m.dials, m.retries, m.reads, m.sessions)
 	}
 	return m
 }
@@ -66,9 +66,9 @@
 )
 
 // observeWait records a wait that began at the given time and returns its duration.
-func (m *metrics) observeWait(class note.Class, what string, since time.Time) time.Duration {
+func (m *metrics) observeWait(class note.Class, waitedFor string, since time.Time) time.Duration {
 	took := time.Since(since)
-	m.waits.WithLabelValues(string(class), what).Observe(took.Seconds())
+	m.waits.WithLabelValues(string(class), waitedFor).Observe(took.Seconds())
 	return took
 }
 
--- a/internal/core/metrics_test.go
+++ b/internal/core/metrics_test.go
@@ -21,7 +21,7 @@
 	m := newMetrics(registry)
 	m.observeReply(Read, 0, "crew", note.ClassBulk, time.Millisecond)
 	m.observeWait(note.ClassBulk, waitRate, time.Now())
-	m.backend.WithLabelValues("bulk").Observe(0)
+	m.endpoint.WithLabelValues("bulk").Observe(0)
 	m.dials.WithLabelValues("ok").Inc()
 	m.reads.WithLabelValues("replica").Inc()
 	families, err := registry.Gather()
@@ -29,7 +29,7 @@
 		t.Fatal(err)
 	}
 	if len(families) != 8 {
-		t.Errorf("%d metrics gathered", len(families))
+		t.Errorf("%d metrics gathered, want 8", len(families))
 	}
 	for _, f := range families {
 		if !strings.Contains(string(page), "`"+f.GetName()) {
--- a/internal/core/pick.go
+++ b/internal/core/pick.go
@@ -35,8 +35,8 @@
 	workspace string
 	// primary: only the primary qualifies.
 	primary bool
-	// after is the position that a replica must have applied.
-	after Position
+	// minPosition is the position that a replica must have applied.
+	minPosition Position
 	// exclude lists the endpoints at which this statement has failed.
 	exclude []string
 }
@@ -101,7 +101,7 @@
 // preferredReplica returns the replica on which this host concentrates its reads: one in
 // its own failure domain if there is any. Rendezvous hashing spreads hosts over replicas.
 func (s *Server) preferredReplica(v view.View, g agreed.Group) string {
-	var near, all []string
+	var local, all []string
 	for _, id := range g.Members {
 		e := v.State.Endpoints[id]
 		if id == g.Primary || e.Leaving || v.State.Catalog.Domains[e.Domain].Out {
@@ -109,17 +109,17 @@
 		}
 		all = append(all, id)
 		if e.Domain == s.opts.Domain {
-			near = append(near, id)
+			local = append(local, id)
 		}
 	}
-	if len(near) > 0 {
-		all = near
+	if len(local) > 0 {
+		all = local
 	}
 	return rendezvous.Owner(all, s.opts.Host)
 }
 
 // usable returns the endpoint with the ID, or false when it must not get new work: it is
-// leaving or its failure domain is out.
+// unknown or leaving, its failure domain is out, or the server has stopped.
 func (s *Server) usable(v view.View, id string) (*endpoint, bool) {
 	record, ok := v.State.Endpoints[id]
 	if !ok || record.Leaving || v.State.Catalog.Domains[record.Domain].Out {
@@ -143,7 +143,7 @@
 	if !c.endpoint.pool.HasIdle(n.workspace) {
 		cost += dialCost
 	}
-	if l.suspected || !c.primary && l.behind && l.position.Compare(n.after) < 0 {
+	if l.suspected || !c.primary && l.behind && l.position.Compare(n.minPosition) < 0 {
 		cost += unhealthyCost
 	}
 	return cost
--- a/internal/core/run.go
+++ b/internal/core/run.go
@@ -104,7 +104,7 @@
 	if co.primary {
 		after = Position{}
 	}
-	return Command{Statement: st, After: after}
+	return Command{Statement: st, MinPosition: after}
 }
 
 // takesSlot reports whether a kind of statement occupies a slot of an endpoint while it
@@ -124,7 +124,7 @@
 	s.timings.endpoint += took
 	s.timings.attempts++
 	s.timings.endpointID = co.endpoint.record.ID
-	s.srv.metrics.backend.WithLabelValues(string(route.Class)).Observe(took.Seconds())
+	s.srv.metrics.endpoint.WithLabelValues(string(route.Class)).Observe(took.Seconds())
 	if err != nil {
 		return Answer{}, sent, err
 	}
--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -24,9 +24,9 @@
 	// sweepInterval is the time between two checks for idle transactions and
 	// connections.
 	sweepInterval = 500 * time.Millisecond
-	// retryPause is the wait before another attempt to route or send a statement that
+	// retryDelay is the wait before another attempt to route or send a statement that
 	// has not run. A change of the agreed state ends it early where one is awaited.
-	retryPause = 20 * time.Millisecond
+	retryDelay = 20 * time.Millisecond
 )
 
 // Limiter enforces the rate and burst of workspaces across the fleet.
@@ -68,8 +68,8 @@
 	endpoints map[string]*endpoint
 	sessions  map[*Session]struct{}
 
-	serial   atomic.Uint64
-	draining atomic.Bool
+	lastSessionID atomic.Uint64
+	draining      atomic.Bool
 
 	ctx   context.Context
 	stop  context.CancelFunc
@@ -91,14 +91,14 @@
 // slots returns how many statements of this host may run on an endpoint at once,
 // each on a connection of its own. Further statements wait in the admission queue.
 func (s *Server) slots(service, id string) int {
-	most := s.maxSlots(service, id)
+	limit := s.maxSlots(service, id)
 	s.mu.Lock()
 	e := s.endpoints[id]
 	s.mu.Unlock()
 	if e == nil {
-		return most
+		return limit
 	}
-	return e.allowedStatements(most)
+	return e.allowedStatements(limit)
 }
 
 // maxSlots returns the configured limit on connections to an endpoint, and at least 1.
@@ -182,7 +182,7 @@
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for id, e := range s.endpoints {
-		if now, ok := v.State.Endpoints[id]; !ok || !sameProcess(now, e.record) {
+		if current, ok := v.State.Endpoints[id]; !ok || !sameProcess(current, e.record) {
 			e.close()
 			delete(s.endpoints, id)
 		}
@@ -288,7 +288,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrapf(ctx.Err(), "%d sessions are still open", len(all))
-		case <-time.After(retryPause):
+		case <-time.After(retryDelay):
 		}
 	}
 }
--- a/internal/core/session.go
+++ b/internal/core/session.go
@@ -13,8 +13,9 @@
 // Session is the session of one caller. Do must not be called concurrently with
 // itself; the other methods are safe for concurrent use.
 //
-// tx is set only while state is InTransaction. After the server has expired a transaction,
-// tx is nil in that state until the next statement reports the abort.
+// tx is set only while state is InTransaction. After the server has expired the
+// transaction, state stays InTransaction with a nil tx until the next statement reports
+// the abort.
 type Session struct {
 	srv      *Server
 	id       uint64
@@ -53,18 +54,18 @@
 	Disconnect()
 }
 
-// openTimeout bounds the wait of a session for the host's configuration lease. It is
-// below the 2 s after which callers give up.
-const openTimeout = 1500 * time.Millisecond
+// authorizationTimeout bounds the wait for the host's configuration lease when a session is
+// opened or a statement is admitted. It is below the 2 s after which callers give up.
+const authorizationTimeout = 1500 * time.Millisecond
 
 // Open opens a session on a database. key is the digest of the caller's key, or empty.
-// It waits up to openTimeout for a valid configuration lease before it refuses.
+// It waits up to authorizationTimeout for a valid configuration lease before it refuses.
 func (s *Server) Open(database, key string, caller Caller) (*Session, *result.Error) {
 	session := &Session{
-		srv: s, id: s.serial.Add(1), database: database, key: key, caller: caller,
+		srv: s, id: s.lastSessionID.Add(1), database: database, key: key, caller: caller,
 		values: map[string]string{}, prepared: map[string]preparedStatement{}, lastReplyAt: clock.Now(),
 	}
-	if err := session.awaitAuthorization(openTimeout); err != nil {
+	if err := session.awaitAuthorization(authorizationTimeout); err != nil {
 		s.opts.Log.Info("session_refused", "database", database, "code", int(err.Code), "detail", err.Detail)
 		return nil, err
 	}
@@ -78,8 +79,8 @@
 // awaitAuthorization waits until the caller is authorized, or until a view with a valid
 // lease refuses it.
 func (s *Session) awaitAuthorization(timeout time.Duration) *result.Error {
-	deadline := time.NewTimer(timeout)
-	defer deadline.Stop()
+	timeoutTimer := time.NewTimer(timeout)
+	defer timeoutTimer.Stop()
 	for {
 		changed := s.srv.opts.View.Changed()
 		v := s.srv.opts.View.Current()
@@ -87,15 +88,15 @@
 		if err == nil || v.Valid() {
 			return err
 		}
-		pause := time.NewTimer(retryPause)
+		retryTimer := time.NewTimer(retryDelay)
 		select {
 		case <-changed:
-		case <-pause.C:
-		case <-deadline.C:
-			pause.Stop()
+		case <-retryTimer.C:
+		case <-timeoutTimer.C:
+			retryTimer.Stop()
 			return result.New(result.NoConfigLease, "the host has no configuration lease")
 		}
-		pause.Stop()
+		retryTimer.Stop()
 	}
 }
 
@@ -109,9 +110,9 @@
 	if !ok {
 		return route, result.New(result.UnknownService, "no route has the database %q", s.database)
 	}
-	key, known := v.State.Catalog.Keys[s.key]
+	key, valid := v.State.Catalog.Keys[s.key]
 	switch {
-	case known:
+	case valid:
 		s.workspace = key.Workspace
 	case route.Open:
 		s.workspace = ""
@@ -287,7 +288,7 @@
 		}
 		after = later(after, own)
 	}
-	n.primary, n.after = false, after
+	n.primary, n.minPosition = false, after
 	return n
 }
 
--- a/internal/core/single.go
+++ b/internal/core/single.go
@@ -36,7 +36,7 @@
 func (op *operation) attempt(co *checkout) (Reply, bool) {
 	s := op.session
 	op.dispatched = true
-	a, sent, err := s.exchange(co, op.route, s.command(co, op.st, op.need.after))
+	a, sent, err := s.exchange(co, op.route, s.command(co, op.st, op.need.minPosition))
 	if err != nil {
 		co.release(false)
 		return op.afterConnectionLost(co, sent, err)
--- a/internal/core/transaction.go
+++ b/internal/core/transaction.go
@@ -58,7 +58,7 @@
 		}
 		op.dispatched = true
 		st := Statement{Kind: op.st.Kind}
-		a, _, sendErr := op.session.exchange(co, op.route, op.session.command(co, st, op.need.after))
+		a, _, sendErr := op.session.exchange(co, op.route, op.session.command(co, st, op.need.minPosition))
 		var reply Reply
 		switch {
 		case sendErr != nil:
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -111,8 +111,8 @@
 type Command struct {
 	// Statement has an empty ID when this package issued it.
 	Statement
-	// After is the position that the endpoint must have applied; zero requires none.
-	After Position
+	// MinPosition is the position that the endpoint must have applied; zero requires none.
+	MinPosition Position
 }
 
 // Answer is the complete response of an endpoint to a Command.
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -159,7 +159,7 @@
 
 // reportEvidence reports evidence about an endpoint to the control leader.
 func (d *Daemon) reportEvidence(e core.Evidence) {
-	observed := failover.Condition{Reachable: !e.Lost, InRecovery: e.ReadOnly}
+	observed := failover.Condition{Reachable: !e.Unreachable, InRecovery: e.ReadOnly}
 	if v := d.view.Current(); v.State != nil {
 		observed.Timeline = v.State.Groups[e.Service].Timeline
 	}
