--- a/internal/entry/backends.go
+++ b/internal/entry/backends.go
@@ -26,7 +26,7 @@
 
 	mu       sync.RWMutex
 	ctx      context.Context
-	running  sync.WaitGroup
+	monitors sync.WaitGroup
 	services map[string]bool
 	members  map[string]*backend
 }
@@ -72,10 +72,10 @@
 // addService starts the endpoints of a service on its first use.
 func (b *backends) addService(service string) {
 	b.mu.Lock()
-	known := b.services[service]
+	inUse := b.services[service]
 	b.services[service] = true
 	b.mu.Unlock()
-	if !known {
+	if !inUse {
 		b.reconcile()
 	}
 }
@@ -142,9 +142,9 @@
 		stop:    stop,
 	}
 	b.members[target.Endpoint] = member
-	b.running.Add(1)
+	b.monitors.Add(1)
 	go func() {
-		defer b.running.Done()
+		defer b.monitors.Done()
 		_ = member.monitor.Run(ctx)
 	}()
 }
@@ -209,15 +209,15 @@
 		delete(b.members, id)
 	}
 	b.mu.Unlock()
-	b.running.Wait()
+	b.monitors.Wait()
 }
 
 // targetOf returns the address and credentials of an endpoint. It reports false when the
 // state has no such endpoint or service.
 func targetOf(state *agreed.State, service, id string) (pgback.Target, bool) {
 	endpoint, ok := state.Endpoints[id]
-	svc, known := state.Catalog.Services[service]
-	if !ok || !known {
+	svc, hasService := state.Catalog.Services[service]
+	if !ok || !hasService {
 		return pgback.Target{}, false
 	}
 	return pgback.Target{
@@ -232,7 +232,7 @@
 
 // evenShare divides a limit of a service evenly among the entry hosts; each gets at least
 // the given minimum.
-func evenShare(src view.Source, minimum int, total func(note.Service) int) func(service, endpoint string) int {
+func evenShare(src view.Source, minimum int, limit func(note.Service) int) func(service, endpoint string) int {
 	return func(service, _ string) int {
 		state := src.Current().State
 		if state == nil {
@@ -244,6 +244,6 @@
 				hosts++
 			}
 		}
-		return max(total(state.Catalog.Services[service])/max(hosts, 1), minimum)
+		return max(limit(state.Catalog.Services[service])/max(hosts, 1), minimum)
 	}
 }
--- a/internal/entry/baseline.go
+++ b/internal/entry/baseline.go
@@ -9,7 +9,7 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Unlimited is a Limiter that admits every statement at once.
+// Unlimited is a Limiter that admits every statement without a wait.
 type Unlimited struct{}
 
 // Acquire implements Limiter.
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -130,7 +130,7 @@
 		for _, c := range conns {
 			c.close()
 		}
-		eventually(b, "callers gone", func() bool { return len(f.server.activeSessions()) <= 1 })
+		eventually(b, "all callers disconnected", func() bool { return len(f.server.activeSessions()) <= 1 })
 	}
 }
 
@@ -189,7 +189,7 @@
 	for _, hosts := range []int{2, 9} {
 		f := newFleetOf(b, hosts, 0)
 		f.waitReplicas(f.connect(""))
-		ways := map[string]func(context.Context) error{
+		sources := map[string]func(context.Context) error{
 			"primary": func(ctx context.Context) error {
 				_, err := f.server.PrimaryStatus(ctx, "ledger-1")
 				return err
@@ -199,7 +199,7 @@
 				return err
 			},
 		}
-		for name, find := range ways {
+		for name, find := range sources {
 			for _, readers := range []int{1, 64} {
 				b.Run(fmt.Sprintf("%s/hosts=%d/readers=%d", name, hosts, readers), func(b *testing.B) {
 					benchPosition(b, readers, find)
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -19,8 +19,8 @@
 	MaxHostNumbers = 1 << (31 - sessionBits)
 )
 
-// forwardTimeout bounds the forwarding of a cancel request to another host.
-const forwardTimeout = 2 * time.Second
+// cancelForwardTimeout bounds the forwarding of a cancel request to another host.
+const cancelForwardTimeout = 2 * time.Second
 
 // Cancel cancels the request in progress of a session of this host. It reports whether the
 // key matches a session.
@@ -28,10 +28,10 @@
 	s.mu.Lock()
 	session := s.sessions[c.ProcessID&sessionMask]
 	s.mu.Unlock()
-	if session == nil || session.pid != c.ProcessID {
+	if session == nil || session.processID != c.ProcessID {
 		return false
 	}
-	if subtle.ConstantTimeCompare(session.key, c.Secret) != 1 {
+	if subtle.ConstantTimeCompare(session.cancelSecret, c.Secret) != 1 {
 		return false
 	}
 	session.cancel()
@@ -45,7 +45,7 @@
 	if host == s.number && s.Cancel(c) || s.opts.CancelForwarder == nil {
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), forwardTimeout)
+	ctx, cancel := context.WithTimeout(context.Background(), cancelForwardTimeout)
 	defer cancel()
 	if err := s.opts.CancelForwarder.Forward(ctx, host, c); err != nil {
 		s.log.Warn("cancel_not_forwarded", "host", host, "err", err.Error())
@@ -72,7 +72,7 @@
 			break
 		}
 	}
-	ses.pid = s.number<<sessionBits | s.lastSessionNumber
+	ses.processID = s.number<<sessionBits | s.lastSessionNumber
 	s.sessions[s.lastSessionNumber] = ses
 }
 
@@ -80,7 +80,7 @@
 func (s *Server) unregisterSession(ses *session) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.sessions, ses.pid&sessionMask)
+	delete(s.sessions, ses.processID&sessionMask)
 }
 
 // countRead counts a read by the role of the endpoint that served it. Statements that may
--- a/internal/entry/checkout.go
+++ b/internal/entry/checkout.go
@@ -20,15 +20,16 @@
 	conn        *pgback.Conn
 	backend     *backend
 	releaseSlot func()
-	// latency is the time to the first answer, as reported to the router.
+	// latency is the time from sending the first unit to the end of its answer, as reported to
+	// the router.
 	latency time.Duration
 	// lost: the connection to the endpoint failed.
 	lost bool
 	// readOnly: the caller declared the session or the transaction read-only.
 	readOnly bool
-	// transaction: the endpoint reported a transaction in progress. It is guarded by the
+	// inTransaction: the endpoint reported a transaction in progress. It is guarded by the
 	// session's mu.
-	transaction bool
+	inTransaction bool
 }
 
 // retryDelay is the wait before a request looks for an endpoint again.
--- a/internal/entry/classify_test.go
+++ b/internal/entry/classify_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestClassify(t *testing.T) {
+func TestClassifyKind(t *testing.T) {
 	for text, want := range map[string]kind{
 		"":                                     kindEmpty,
 		" -- only a comment":                   kindEmpty,
@@ -50,7 +50,7 @@
 		"select ';' as semicolon_in_a_literal ": true, // treated as a second statement
 	} {
 		if got := classify(text).dirty; got != want {
-			t.Errorf("%q: dirty %t", text, got)
+			t.Errorf("%q: got dirty %t, want the opposite", text, got)
 		}
 	}
 }
@@ -65,7 +65,7 @@
 		"show galenabridge.max_staleness -- the rest": {"SHOW", "galenabridge.max_staleness", "-- the rest"},
 	} {
 		if got := parseCommand(text); got != want {
-			t.Errorf("%q: %+v", text, got)
+			t.Errorf("%q: unexpected command %+v", text, got)
 		}
 	}
 }
--- a/internal/entry/copy.go
+++ b/internal/entry/copy.go
@@ -57,8 +57,8 @@
 
 // flushNow sends the queued output, which the caller needs before it sends its data.
 func (r *relay) flushNow() error {
-	if r.holding {
-		return r.releaseEarly()
+	if r.holdsOutput {
+		return r.flushHeldOutput()
 	}
 	r.request.Streamed = true
 	return r.s.conn.Flush()
--- a/internal/entry/durability_test.go
+++ b/internal/entry/durability_test.go
@@ -8,9 +8,9 @@
 	"github.com/galenabridge/galenabridge/internal/pgback"
 )
 
-// Endpoints that the release note requires and that have not joined yet count towards the
-// size of the group, as in the election of a new primary. Otherwise a write could be
-// acknowledged with fewer copies than a later election relies on.
+// Members that are configured and have not joined yet count towards the size of the group, as
+// in the election of a new primary. Otherwise a write could be acknowledged with fewer copies
+// than a later election relies on.
 func TestQuorumCountsMissingMembers(t *testing.T) {
 	group := agreed.Group{Service: "s", Members: []string{"a", "b", "c"}, Primary: "a"}
 	state := agreed.State{Groups: map[string]agreed.Group{"s": group}}
--- a/internal/entry/extended_test.go
+++ b/internal/entry/extended_test.go
@@ -62,7 +62,7 @@
 		t.Error("a closed statement was executed")
 	}
 	if n := queryInt(t, conn, "select 2"); n != 2 {
-		t.Errorf("got %d", n)
+		t.Errorf("got %d, want 2", n)
 	}
 }
 
@@ -119,7 +119,7 @@
 		t.Fatal(err)
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 2 || failures == 0 {
-		t.Errorf("%d rows, %d failures", n, failures)
+		t.Errorf("%d rows and %d failures, want 2 rows and a failure", n, failures)
 	}
 }
 
@@ -143,7 +143,7 @@
 	front.SendSync(&pgproto3.Sync{})
 	expect(t, front, "BindComplete", "CommandComplete", "ReadyForQuery")
 	if n := queryInt(t, f.connect(""), "select count(*) from entries"); n != 2 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 2", n)
 	}
 }
 
@@ -194,20 +194,20 @@
 	pg := conn.PgConn()
 	tag, err := pg.CopyFrom(testContext(t), strings.NewReader(data.String()), "copy entries from stdin")
 	if err != nil || tag.RowsAffected() != size {
-		t.Fatalf("%s, %v", tag, err)
+		t.Fatalf("COPY answered %s, %v; want every row", tag, err)
 	}
 	var out strings.Builder
 	if _, err := pg.CopyTo(testContext(t), &out, "copy entries to stdout"); err != nil {
 		t.Fatal(err)
 	}
 	if strings.Count(out.String(), "\n") != size || !strings.Contains(out.String(), "777\tword 777\n") {
-		t.Errorf("%d bytes came back", out.Len())
+		t.Errorf("%d bytes were copied out, want the copied lines", out.Len())
 	}
 	if _, err := pg.CopyFrom(testContext(t), strings.NewReader("1\tagain\n"), "copy entries from stdin"); err == nil {
 		t.Error("a duplicate was accepted")
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != size {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want as many as were copied", n)
 	}
 }
 
@@ -231,11 +231,11 @@
 			t.Error("a session has the setting of another session")
 		}
 		if got := show(b, "timezone"); got != "Asia/Seoul" {
-			t.Errorf("time zone %q", got)
+			t.Errorf("time zone %q, want Asia/Seoul", got)
 		}
 	}
 	if got := show(a, "galenabridge.class"); got != "bulk" {
-		t.Errorf("class %q", got)
+		t.Errorf("class %q, want bulk", got)
 	}
 	mustExec(t, a, "begin")
 	mustExec(t, a, "set statement_timeout = '1'")
--- a/internal/entry/failure_test.go
+++ b/internal/entry/failure_test.go
@@ -64,9 +64,9 @@
 	eventually(f.t, "statement sent", func() bool {
 		for _, s := range f.server.activeSessions() {
 			s.mu.Lock()
-			held := s.active != nil
+			active := s.active != nil
 			s.mu.Unlock()
-			if held {
+			if active {
 				return true
 			}
 		}
@@ -87,7 +87,7 @@
 	wantCode(t, err, result.NoConfigLease)
 	f.publish(func(*agreed.State) {})
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 0 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 0", n)
 	}
 }
 
@@ -116,10 +116,10 @@
 		s.Groups[testService] = g
 	})
 	if err := <-done; err != nil {
-		t.Fatalf("the waiting request: %v", err)
+		t.Fatalf("the waiting write failed: %v", err)
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 1 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 1", n)
 	}
 }
 
@@ -147,7 +147,7 @@
 	}
 	setPhase(agreed.PhaseActive, 2)
 	if err := <-done; err != nil {
-		t.Fatalf("the waiting read: %v", err)
+		t.Fatalf("the waiting read failed: %v", err)
 	}
 }
 
@@ -162,7 +162,7 @@
 	wantCode(t, err, result.OutcomeUnknown)
 	mustExec(t, conn, "insert into entries values (2)")
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 2 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 2", n)
 	}
 }
 
@@ -218,18 +218,18 @@
 	_, err = conn.Exec(testContext(t), "insert into entries values (3)")
 	var pgErr *pgconn.PgError
 	if !errors.As(err, &pgErr) || pgErr.Code != "25P02" {
-		t.Fatalf("a statement after the loss: %v", err)
+		t.Fatalf("a statement after the rollback: %v, want SQLSTATE 25P02", err)
 	}
 	tag, err := conn.Exec(testContext(t), "commit")
 	if err != nil || tag.String() != "ROLLBACK" {
-		t.Fatalf("%s, %v", tag, err)
+		t.Fatalf("commit answered %s, %v; want ROLLBACK", tag, err)
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 0 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 0", n)
 	}
 }
 
-func TestOversizedMessage(t *testing.T) {
+func TestOversizedMessageRefused(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	_, err := conn.Exec(testContext(t), "select '"+strings.Repeat("x", 2<<20)+"'")
@@ -239,7 +239,7 @@
 	}
 }
 
-func TestMalformedMessage(t *testing.T) {
+func TestMalformedMessageRefused(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	raw := conn.PgConn().Conn()
@@ -282,11 +282,11 @@
 	}
 	eventually(t, "session closed", func() bool { return len(f.server.activeSessions()) == 0 })
 	if n := queryInt(t, f.connect(""), "select count(*) from entries"); n != 8 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 8", n)
 	}
 }
 
-func TestCancel(t *testing.T) {
+func TestCancelInterruptsStatement(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	done := make(chan error, 1)
@@ -327,7 +327,7 @@
 		t.Fatal(err)
 	}
 	if n := queryInt(t, f.direct(0), "select count(*) from entries"); n != 1 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 1", n)
 	}
 }
 
@@ -341,7 +341,7 @@
 	}
 	defer func() { _ = conn.Close(context.Background()) }()
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 0 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 0", n)
 	}
 	for _, sql := range []string{
 		"insert into entries values (1)", "begin read write", "set default_transaction_read_only = off",
@@ -352,7 +352,7 @@
 		}
 	}
 	if n := queryInt(t, f.direct(0), "select count(*) from entries"); n != 0 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 0", n)
 	}
 }
 
--- a/internal/entry/fleet_test.go
+++ b/internal/entry/fleet_test.go
@@ -137,7 +137,7 @@
 		queryInt(t, conn, "select count(*) from records")
 	}
 	if after := f.reads("primary"); after != before {
-		t.Errorf("%d reads went to the primary", after-before)
+		t.Errorf("%d reads went to the primary, want 0", after-before)
 	}
 }
 
--- a/internal/entry/local.go
+++ b/internal/entry/local.go
@@ -22,14 +22,14 @@
 	})
 }
 
-// localError reports an error of a statement answered at the entry. Unless the unit is
-// final, that is, ends with ReadyForQuery, messages are skipped up to Sync.
-func (s *session) localError(err error, final bool) error {
-	s.srv.metrics.result(err)
+// localError reports an error of a statement answered at the entry. endsWithReady: the answer
+// ends with ReadyForQuery; otherwise messages are skipped up to Sync.
+func (s *session) localError(err error, endsWithReady bool) error {
+	s.srv.metrics.countError(err)
 	if queueErr := s.conn.Queue(pgfront.ErrorMessage(err, pgfront.Error)); queueErr != nil {
 		return queueErr
 	}
-	if !final {
+	if !endsWithReady {
 		s.skipToSync = true
 		return s.conn.Flush()
 	}
--- a/internal/entry/login.go
+++ b/internal/entry/login.go
@@ -34,7 +34,7 @@
 	session, err := s.login(nc)
 	<-s.handshakes
 	if err != nil {
-		s.metrics.result(err)
+		s.metrics.countError(err)
 		s.log.Info("login_refused", "remote", nc.RemoteAddr(), "code", result.CodeOf(err), "reason", err)
 		return
 	}
@@ -58,7 +58,7 @@
 		return
 	}
 	refusal := result.New(result.TooManyHandshakes, "%d callers are logging in", maxHandshakes)
-	s.metrics.result(refusal)
+	s.metrics.countError(refusal)
 	conn.Refuse(refusal)
 }
 
@@ -83,7 +83,7 @@
 
 // openSession authenticates the caller, registers its session and reports it ready.
 func (s *Server) openSession(conn *pgfront.Conn, startup *pgfront.Startup) (*session, error) {
-	ses := &session{srv: s, conn: conn, key: newSecret(), statements: make(map[string]*statement)}
+	ses := &session{srv: s, conn: conn, cancelSecret: newSecret(), statements: make(map[string]*statement)}
 	if err := ses.authenticate(startup); err != nil {
 		return nil, err
 	}
@@ -98,7 +98,7 @@
 	if s.draining.Load() {
 		ses.drain()
 	}
-	if err := conn.Ready(reportedParams, pgfront.Cancel{ProcessID: ses.pid, Secret: ses.key}); err != nil {
+	if err := conn.Ready(reportedParams, pgfront.Cancel{ProcessID: ses.processID, Secret: ses.cancelSecret}); err != nil {
 		s.unregisterSession(ses)
 		return nil, err
 	}
@@ -114,8 +114,8 @@
 	}
 	s.identity = identity{workspace: startup.Workspace, service: startup.Service}
 	candidates := candidatesFor(v, startup.Workspace)
-	ws, known := v.State.Catalog.Workspaces[startup.Workspace]
-	if known && ws.Open && len(candidates) == 0 {
+	ws, exists := v.State.Catalog.Workspaces[startup.Workspace]
+	if exists && ws.Open && len(candidates) == 0 {
 		s.identity.open = true
 		return nil
 	}
--- a/internal/entry/marker_sweep.go
+++ b/internal/entry/marker_sweep.go
@@ -20,7 +20,7 @@
 // sweepMarkers deletes expired markers once every markersPerSweep calls. It runs in the
 // background, on another connection to the primary of the checkout.
 func (s *Server) sweepMarkers(co *checkout) {
-	if s.markers.Add(1)%markersPerSweep != 1 {
+	if s.markersWritten.Add(1)%markersPerSweep != 1 {
 		return
 	}
 	member, endpoint := co.backend, co.endpoint
--- a/internal/entry/metrics.go
+++ b/internal/entry/metrics.go
@@ -69,8 +69,8 @@
 	m.total.WithLabelValues(workspace, string(c)).Observe(time.Since(t.started).Seconds())
 }
 
-// result counts an error by its code.
-func (m *metrics) result(err error) {
+// countError counts a refused or failed request or login by its result code.
+func (m *metrics) countError(err error) {
 	code := result.CodeOf(err)
 	m.results.WithLabelValues(strconv.Itoa(int(code)), result.Lookup(code).Name).Inc()
 }
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -17,11 +17,12 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Limits that are not configurable.
+// Limits that no setting changes. defaultWriteTimeout applies when Options.WriteTimeout is
+// zero; maxHandshakes is the largest number of logins in progress.
 const (
-	loginTimeout  = 10 * time.Second
-	writeTimeout  = 30 * time.Second
-	maxHandshakes = 256
+	loginTimeout        = 10 * time.Second
+	defaultWriteTimeout = 30 * time.Second
+	maxHandshakes       = 256
 )
 
 // Durability waits until the writes of a group's primary are durable.
@@ -87,7 +88,7 @@
 		WriteTimeout: o.WriteTimeout,
 	}
 	if cfg.WriteTimeout == 0 {
-		cfg.WriteTimeout = writeTimeout
+		cfg.WriteTimeout = defaultWriteTimeout
 	}
 	if cfg.MaxMessage == 0 {
 		cfg.MaxMessage = config.DefaultMaxMessage
--- a/internal/entry/path_test.go
+++ b/internal/entry/path_test.go
@@ -20,10 +20,10 @@
 	mustExec(t, simple, "insert into entries values ($1, $2)", 2, "pohang")
 	var word string
 	if err := simple.QueryRow(testContext(t), "select word from entries where id = $1", 1).Scan(&word); err != nil || word != "osan" {
-		t.Fatalf("%q, %v", word, err)
+		t.Fatalf("read %q, %v; want osan", word, err)
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 2 {
-		t.Fatalf("%d rows", n)
+		t.Fatalf("%d rows, want 2", n)
 	}
 	if _, err := conn.Exec(testContext(t), "insert into entries values (1, 'again')"); err == nil {
 		t.Error("a duplicate was accepted")
@@ -31,7 +31,7 @@
 	mustExec(t, conn, "insert into entries values ($1, $2)", 3, "heuksan")
 }
 
-func TestTransactions(t *testing.T) {
+func TestTransactionCommitAndRollback(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int primary key)")
@@ -51,7 +51,7 @@
 		}
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 1 {
-		t.Fatalf("%d rows", n)
+		t.Fatalf("%d rows, want 1", n)
 	}
 }
 
@@ -79,14 +79,14 @@
 		}
 	}
 	if n := queryInt(t, f.connect(""), "select count(*) from entries"); n != callers*rounds {
-		t.Errorf("%d rows instead of %d", n, callers*rounds)
+		t.Errorf("%d rows, want %d", n, callers*rounds)
 	}
 	member, err := f.server.backends.get("ledger-1")
 	if err != nil {
 		t.Fatal(err)
 	}
 	if open := member.pool.Stats().Open; open > 4 {
-		t.Errorf("%d connections are open", open)
+		t.Errorf("%d connections are open, want at most 4", open)
 	}
 }
 
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -74,10 +74,10 @@
 func (s *Server) ServePeers(node *peer.Node) {
 	peer.OnCall(node, peer.KindGather, func(ctx context.Context, _ peer.Identity, msg gatherRequest) (PositionTable, error) {
 		answer := PositionTable{Incarnation: node.Incarnation()}
-		if s.shared == nil {
+		if s.sharedPositions == nil {
 			return answer, errors.New("this host does not track positions")
 		}
-		table, err := s.shared.Snapshot(ctx, msg.Service)
+		table, err := s.sharedPositions.Snapshot(ctx, msg.Service)
 		answer.Table = table
 		return answer, err
 	})
--- a/internal/entry/ports.go
+++ b/internal/entry/ports.go
@@ -38,9 +38,10 @@
 type Need struct {
 	Service  string
 	ReadOnly bool
-	// Min is the position that a replica must have replayed.
-	Min Position
-	// MaxStaleness, when positive, replaces Min: a replica may lag by at most this time.
+	// MinPosition is the position that a replica must have replayed.
+	MinPosition Position
+	// MaxStaleness, when positive, replaces MinPosition: a replica may lag by at most this
+	// time.
 	MaxStaleness time.Duration
 	// Exclude lists endpoints that this request has already tried.
 	Exclude []string
@@ -53,7 +54,8 @@
 	Began bool
 	// Failed: the endpoint could not be reached or its connection was lost.
 	Failed bool
-	// Latency is the time to the first answer; zero when there was none.
+	// Latency is the time from sending the first unit to the end of its answer; zero when
+	// there was none.
 	Latency time.Duration
 }
 
--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -51,32 +51,32 @@
 // positionTask runs the position state machine of one service. Only its goroutine accesses
 // the fields after done; others send messages through post.
 type positionTask struct {
-	shared  *SharedPositions
-	service string
-	inbox   chan positionMessage
-	done    chan struct{}
+	positions *SharedPositions
+	service   string
+	inbox     chan positionMessage
+	done      chan struct{}
 
 	machine *pos.Service
 	// reads holds the reply channels of the unresolved reads by id.
 	reads map[uint64]chan readResult
-	// replicas holds the last status of each endpoint.
-	replicas map[string]pgback.Status
-	// seen identifies the last view passed to the machine.
-	seen struct{ revision, settled uint64 }
-	// term is the last term in which the group was active.
-	term uint64
-	// replayed is the last position reported to the machine as replayed by all replicas.
-	replayed pos.Position
+	// statuses holds the last status of each endpoint.
+	statuses map[string]pgback.Status
+	// lastView identifies the last view passed to the machine.
+	lastView struct{ revision, settled uint64 }
+	// lastActiveTerm is the last term in which the group was active.
+	lastActiveTerm uint64
+	// lastReplayed is the last position reported to the machine as replayed by all replicas.
+	lastReplayed pos.Position
 }
 
 func newPositionTask(p *SharedPositions, service string) *positionTask {
 	return &positionTask{
-		shared: p, service: service,
+		positions: p, service: service,
 		inbox:    make(chan positionMessage, positionQueueSize),
 		done:     make(chan struct{}),
 		machine:  pos.NewService(positionConfig(p.gatherTimeout)),
 		reads:    make(map[uint64]chan readResult),
-		replicas: make(map[string]pgback.Status),
+		statuses: make(map[string]pgback.Status),
 	}
 }
 
@@ -85,7 +85,7 @@
 // arrive during a round share the next one.
 func positionConfig(gatherTimeout time.Duration) pos.Config {
 	cfg := pos.DefaultConfig()
-	cfg.Interval = 0
+	cfg.MinRoundInterval = 0
 	if gatherTimeout > 0 {
 		cfg.GatherTimeout = gatherTimeout
 	}
@@ -118,7 +118,7 @@
 		case <-timer.C:
 			t.step(ctx, pos.Tick{})
 		case <-ctx.Done():
-			t.failAll()
+			t.failReads()
 			return
 		}
 		if next, ok := t.machine.NextDeadline(); ok {
@@ -148,11 +148,11 @@
 
 // refresh passes a changed view to the machine.
 func (t *positionTask) refresh(ctx context.Context) {
-	v := t.shared.view.Current()
-	if v.State == nil || t.seen.revision == v.State.Revision && t.seen.settled == v.Settled {
+	v := t.positions.view.Current()
+	if v.State == nil || t.lastView.revision == v.State.Revision && t.lastView.settled == v.Settled {
 		return
 	}
-	t.seen.revision, t.seen.settled = v.State.Revision, v.Settled
+	t.lastView.revision, t.lastView.settled = v.State.Revision, v.Settled
 	t.step(ctx, t.sessionView(v))
 }
 
@@ -161,11 +161,11 @@
 func (t *positionTask) sessionView(v view.View) pos.View {
 	group := v.State.Groups[t.service]
 	if group.Phase == agreed.PhaseActive {
-		t.term = group.Term
+		t.lastActiveTerm = group.Term
 	}
-	out := pos.View{Departed: v.State.EntryRemoved, Settled: v.Settled, Term: t.term}
+	out := pos.View{LastRemovalRevision: v.State.EntryRemoved, Settled: v.Settled, Term: t.lastActiveTerm}
 	for id, host := range v.State.Hosts {
-		if host.Entry && id != t.shared.self {
+		if host.Entry && id != t.positions.host {
 			out.Peers = append(out.Peers, pos.Peer{Host: id, Incarnation: host.Incarnation})
 		}
 	}
@@ -198,7 +198,7 @@
 	}
 }
 
-func (t *positionTask) failAll() {
+func (t *positionTask) failReads() {
 	for id := range t.reads {
 		t.resolve(id, readResult{err: result.New(result.ShuttingDown, "%v", errStopped)})
 	}
@@ -207,12 +207,12 @@
 // requestTable requests the table of one host. An error is ignored: the machine treats a
 // missing answer like a late one.
 func (t *positionTask) requestTable(ctx context.Context, round uint64, host string) {
-	if t.shared.peers == nil {
+	if t.positions.peers == nil {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, gatherCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, gatherCallTimeout)
 	defer cancel()
-	answer, err := t.shared.peers.Gather(limited, host, t.service)
+	answer, err := t.positions.peers.Gather(callCtx, host, t.service)
 	if err != nil {
 		return
 	}
@@ -225,11 +225,11 @@
 // acknowledged writes.
 func (t *positionTask) readPrimaryPosition(ctx context.Context, round uint64) {
 	answer := pos.PrimaryPosition{Round: round}
-	if state := t.shared.view.Current().State; state != nil {
+	if state := t.positions.view.Current().State; state != nil {
 		group := state.Groups[t.service]
 		co := &checkout{service: t.service, endpoint: group.Primary, term: group.Term}
-		status, err := t.shared.primaryStatus(ctx, group.Primary)
-		if err == nil && termHolds(t.shared.view.Current(), co) {
+		status, err := t.positions.primaryStatus(ctx, group.Primary)
+		if err == nil && termHolds(t.positions.view.Current(), co) {
 			answer.OK = true
 			answer.Position = pos.Position{Term: group.Term, LSN: status.LSN}
 		}
@@ -241,8 +241,8 @@
 // that all replicas have replayed, when it has advanced. A replica without a status on the
 // group's timeline prevents the report.
 func (t *positionTask) observe(ctx context.Context, s pgback.Status) {
-	t.replicas[s.Endpoint] = s
-	v := t.shared.view.Current()
+	t.statuses[s.Endpoint] = s
+	v := t.positions.view.Current()
 	if v.State == nil {
 		return
 	}
@@ -253,7 +253,7 @@
 		if id == group.Primary {
 			continue
 		}
-		r, ok := t.replicas[id]
+		r, ok := t.statuses[id]
 		if !ok || r.Err != nil || !r.InRecovery || r.Timeline != group.Timeline {
 			return
 		}
@@ -262,8 +262,8 @@
 		}
 		count++
 	}
-	if count > 0 && t.replayed.Before(replayed) {
-		t.replayed = replayed
+	if count > 0 && t.lastReplayed.Before(replayed) {
+		t.lastReplayed = replayed
 		t.step(ctx, pos.Replayed{Position: replayed})
 	}
 }
--- a/internal/entry/positions.go
+++ b/internal/entry/positions.go
@@ -29,8 +29,9 @@
 // SharedPositions is a Positions that gathers the positions of all entry hosts. It is also
 // an Observer of the endpoints' status. Each service has its own task, started on first use.
 type SharedPositions struct {
-	view  view.Source
-	self  string
+	view view.Source
+	// host is the ID of this host.
+	host  string
 	peers Peers
 	// primaryStatus reads the position of an endpoint that is a primary.
 	primaryStatus func(ctx context.Context, endpoint string) (pgback.Status, error)
@@ -40,16 +41,16 @@
 
 	lastID atomic.Uint64
 
-	mu       sync.Mutex
-	ctx      context.Context
-	ended    bool
-	running  sync.WaitGroup
-	services map[string]*positionTask
+	mu           sync.Mutex
+	ctx          context.Context
+	stopped      bool
+	runningTasks sync.WaitGroup
+	services     map[string]*positionTask
 }
 
-func newSharedPositions(src view.Source, self string, peers Peers, primaryStatus func(context.Context, string) (pgback.Status, error)) *SharedPositions {
+func newSharedPositions(src view.Source, host string, peers Peers, primaryStatus func(context.Context, string) (pgback.Status, error)) *SharedPositions {
 	return &SharedPositions{
-		view: src, self: self, peers: peers, primaryStatus: primaryStatus,
+		view: src, host: host, peers: peers, primaryStatus: primaryStatus,
 		services: make(map[string]*positionTask),
 	}
 }
@@ -64,20 +65,20 @@
 	p.mu.Unlock()
 	<-ctx.Done()
 	p.mu.Lock()
-	p.ended = true
+	p.stopped = true
 	p.mu.Unlock()
-	p.running.Wait()
+	p.runningTasks.Wait()
 }
 
 // start starts a task unless the server has stopped. The caller holds mu.
 func (p *SharedPositions) start(t *positionTask) {
-	if p.ended {
+	if p.stopped {
 		return
 	}
 	ctx := p.ctx
-	p.running.Add(1)
+	p.runningTasks.Add(1)
 	go func() {
-		defer p.running.Done()
+		defer p.runningTasks.Done()
 		t.run(ctx)
 	}()
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -47,16 +47,17 @@
 	request retry.Request
 	// sent is when the unit was sent.
 	sent time.Time
-	// writer receives the result of a write that runs concurrently with the answer; nil
+	// writeResult receives the result of a write that runs concurrently with the answer; nil
 	// when the unit was written before.
-	writer chan error
+	writeResult chan error
 	// heldFrom is the length of the output queue before the first message that is held back.
 	heldFrom int
-	holding  bool
+	// holdsOutput: the output from heldFrom on is held back.
+	holdsOutput bool
 	// mayHaveWritten: a statement completed that may have written.
 	mayHaveWritten bool
-	// answered counts the answers before the one to Sync.
-	answered int
+	// answerCount is the number of answers so far, without the one to Sync.
+	answerCount int
 	// failed: the endpoint reported an error.
 	failed bool
 	// tag is the tag of the last completed statement.
@@ -78,9 +79,9 @@
 				return r.discardForPrimary()
 			}
 			r.failed = true
-			err = r.pass(msg)
+			err = r.forward(msg)
 		case *pgproto3.CopyInResponse:
-			if err = r.pass(msg); err == nil {
+			if err = r.forward(msg); err == nil {
 				err = r.copyIn()
 			}
 		default:
@@ -89,8 +90,8 @@
 		if err != nil {
 			return outcomeAnswered, err
 		}
-		if !r.u.sync && (r.failed || r.answered >= r.plan.pending) {
-			return outcomeAnswered, r.endSegment()
+		if !r.u.sync && (r.failed || r.answerCount >= r.plan.pending) {
+			return outcomeAnswered, r.endFlushUnit()
 		}
 	}
 }
@@ -99,36 +100,36 @@
 func (r *relay) relayMessage(msg pgproto3.BackendMessage) error {
 	switch msg := msg.(type) {
 	case *pgproto3.ParseComplete:
-		r.answered++
+		r.answerCount++
 		return r.parseComplete()
 	case *pgproto3.CloseComplete:
-		r.answered++
+		r.answerCount++
 		return r.closeComplete()
 	case *pgproto3.BindComplete, *pgproto3.NoData, *pgproto3.EmptyQueryResponse, *pgproto3.PortalSuspended:
-		r.answered++
-		return r.pass(msg)
+		r.answerCount++
+		return r.forward(msg)
 	case *pgproto3.RowDescription:
-		r.answered++
-		return r.pass(msg)
+		r.answerCount++
+		return r.forward(msg)
 	case *pgproto3.CommandComplete:
-		r.answered++
+		r.answerCount++
 		return r.commandComplete(msg)
 	case *pgproto3.NotificationResponse:
 		return nil // LISTEN is not supported
 	}
-	return r.pass(msg)
+	return r.forward(msg)
 }
 
-// pass queues a message for the caller and sends the queue once it is large enough.
-func (r *relay) pass(msg pgproto3.BackendMessage) error {
+// forward queues a message for the caller and sends the queue once it is large enough.
+func (r *relay) forward(msg pgproto3.BackendMessage) error {
 	if err := r.s.conn.Queue(msg); err != nil {
 		return err
 	}
 	queued := r.s.conn.Queued()
 	switch {
-	case r.holding && queued > maxHeldBytes:
-		return r.releaseEarly()
-	case !r.holding && queued > flushBytes:
+	case r.holdsOutput && queued > maxHeldBytes:
+		return r.flushHeldOutput()
+	case !r.holdsOutput && queued > flushBytes:
 		r.request.Streamed = true
 		return r.s.conn.Flush()
 	}
@@ -148,7 +149,7 @@
 		return nil
 	}
 	r.s.statements[a.clientName] = a.stmt
-	return r.pass(&pgproto3.ParseComplete{})
+	return r.forward(&pgproto3.ParseComplete{})
 }
 
 // closeComplete matches the answer with the next Close of the plan, as parseComplete does.
@@ -164,7 +165,7 @@
 	if a.clientName != "" {
 		delete(r.s.statements, a.clientName)
 	}
-	return r.pass(&pgproto3.CloseComplete{})
+	return r.forward(&pgproto3.CloseComplete{})
 }
 
 // commandComplete relays the end of a statement. From the first statement that may have
@@ -174,12 +175,12 @@
 	r.s.srv.countRead(r.class, r.co)
 	if r.co.primary && !r.co.readOnly && (r.marker != nil || !cannotHaveWritten(r.tag)) {
 		r.mayHaveWritten = true
-		if !r.holding {
-			r.holding = true
+		if !r.holdsOutput {
+			r.holdsOutput = true
 			r.heldFrom = r.s.conn.Queued()
 		}
 	}
-	return r.pass(msg)
+	return r.forward(msg)
 }
 
 // cannotHaveWritten reports whether a statement with the tag cannot have committed a write.
@@ -195,19 +196,19 @@
 // safeLength returns the length of the queued output that may be sent even if the write
 // turns out not to be durable.
 func (r *relay) safeLength() int {
-	if r.holding {
+	if r.holdsOutput {
 		return r.heldFrom
 	}
 	return r.s.conn.Queued()
 }
 
-// releaseEarly waits for durability before the end of the answer and sends the output held
+// flushHeldOutput waits for durability before the end of the answer and sends the output held
 // back so far.
-func (r *relay) releaseEarly() error {
+func (r *relay) flushHeldOutput() error {
 	if err := r.acknowledge(); err != nil {
 		return err
 	}
-	r.holding = false
+	r.holdsOutput = false
 	r.request.Streamed = true
 	return r.s.conn.Flush()
 }
@@ -220,8 +221,8 @@
 	default:
 		return false
 	}
-	declared := r.co.readOnly && msg.Code == sqlstateReadOnly
-	return !r.co.primary && !declared && r.class.kind == kindRead && !r.request.InTransaction && !r.request.Streamed
+	declaredReadOnly := r.co.readOnly && msg.Code == sqlstateReadOnly
+	return !r.co.primary && !declaredReadOnly && r.class.kind == kindRead && !r.request.InTransaction && !r.request.Streamed
 }
 
 // discardForPrimary discards the rest of the answer, so that the unit runs on the primary.
@@ -250,17 +251,17 @@
 		co.latency = time.Since(r.sent)
 	}
 	r.s.checkout = nil
-	reusable := r.writer == nil || <-r.writer == nil
+	reusable := r.writeResult == nil || <-r.writeResult == nil
 	r.s.release(co, reusable)
 }
 
-// endSegment ends a unit that ended with Flush. The session keeps the connection until
+// endFlushUnit completes a unit that ended with Flush. The session keeps the connection until
 // Sync.
-func (r *relay) endSegment() error {
+func (r *relay) endFlushUnit() error {
 	if r.failed {
 		r.s.skipToSync = true
 	}
-	if r.holding && bytes.Equal(r.tag, []byte("COMMIT")) {
+	if r.holdsOutput && bytes.Equal(r.tag, []byte("COMMIT")) {
 		if err := r.acknowledge(); err != nil {
 			r.s.conn.Truncate(r.heldFrom)
 			return r.s.refuse(err, false)
@@ -293,10 +294,10 @@
 		r.returnCheckout()
 		return outcomeAnswered, err
 	}
-	holds := termHolds(s.srv.opts.View.Current(), r.co)
+	termValid := termHolds(s.srv.opts.View.Current(), r.co)
 	r.returnCheckout()
 	err := r.termEnded()
-	if holds {
+	if termValid {
 		err = r.acknowledge()
 	}
 	if err != nil {
--- a/internal/entry/replica_test.go
+++ b/internal/entry/replica_test.go
@@ -82,7 +82,7 @@
 		}
 	}
 	if n := queryInt(t, f.direct(0), "select count(*) from entries"); n != 2 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 2", n)
 	}
 }
 
@@ -113,7 +113,7 @@
 		t.Fatal(err)
 	}
 	if after := f.reads("primary"); after != before {
-		t.Errorf("%d reads went to the primary", after-before)
+		t.Errorf("%d reads went to the primary, want 0", after-before)
 	}
 }
 
@@ -128,7 +128,7 @@
 		queryInt(t, conn, "select count(*) from records")
 	}
 	if after := f.reads("primary"); after != before {
-		t.Errorf("%d reads went to the primary", after-before)
+		t.Errorf("%d reads went to the primary, want 0", after-before)
 	}
 }
 
--- a/internal/entry/request_id.go
+++ b/internal/entry/request_id.go
@@ -46,7 +46,7 @@
 	case kindWrite, kindRead:
 	case kindBegin:
 		if _, executed := u.statementClasses(); len(executed) > 1 {
-			return nil, result.New(result.UnsupportedFeature, "a request id for BEGIN and more in one pipeline")
+			return nil, result.New(result.UnsupportedFeature, "a request id for BEGIN together with other statements in one pipeline")
 		}
 	default:
 		return nil, nil
@@ -78,13 +78,13 @@
 // hexDigest returns the digest in hexadecimal.
 func (m *marker) hexDigest() string { return fmt.Sprintf("%x", m.digest[:]) }
 
-// begin opens a transaction on the connection with the statement open and writes the marker.
+// begin opens a transaction on the connection with the statement beginSQL and writes the marker.
 // It returns a result.Error with code RequestAlreadyDone or RequestIDReused when the request
 // has run, and a transport error when the connection is lost. It retries after it has created
 // a missing table or deleted an expired marker.
-func (m *marker) begin(ctx context.Context, co *checkout, open string) error {
+func (m *marker) begin(ctx context.Context, co *checkout, beginSQL string) error {
 	insert := fmt.Sprintf("%s; INSERT INTO galenabridge_requests (id, digest, at) VALUES (%s, '%s', %d)",
-		open, quoteLiteral(m.id), m.hexDigest(), time.Now().UnixMilli())
+		beginSQL, quoteLiteral(m.id), m.hexDigest(), time.Now().UnixMilli())
 	for range 3 {
 		_, err := co.conn.Query(ctx, insert)
 		if err == nil {
@@ -114,7 +114,7 @@
 }
 
 // checkExisting reads the existing marker with the same id. It returns an error when that
-// one is still valid, and deletes it when it has expired.
+// marker is still valid, and deletes it when it has expired.
 func (m *marker) checkExisting(ctx context.Context, co *checkout) error {
 	rows, err := co.conn.Query(ctx, "SELECT digest, at FROM galenabridge_requests WHERE id = "+quoteLiteral(m.id))
 	if err != nil {
@@ -127,7 +127,7 @@
 	if err != nil {
 		return errors.Wrap(err, "time of the marker")
 	}
-	found := &retry.Marker{RequestID: m.id, Written: time.UnixMilli(millis)}
+	found := &retry.Marker{RequestID: m.id, WrittenAt: time.UnixMilli(millis)}
 	if rows[0][0][0] == m.hexDigest() {
 		found.Digest = m.digest
 	}
@@ -147,12 +147,12 @@
 // transaction of its own.
 func (s *session) sendWithMarker(ctx context.Context, u *unit, uc unitClass, timing *timing, m *marker) (attemptOutcome, error) {
 	co := s.checkout
-	open := "BEGIN"
+	beginSQL := "BEGIN"
 	if uc.kind == kindBegin {
-		open = u.settingTexts()[0]
+		beginSQL = u.settingTexts()[0]
 	}
 	timing.sent = time.Now()
-	switch err := m.begin(ctx, co, open); {
+	switch err := m.begin(ctx, co, beginSQL); {
 	case result.CodeOf(err) == result.RequestAlreadyDone:
 		return outcomeAnswered, s.refuseAlreadyDone(u, err)
 	case result.CodeOf(err) != 0:
@@ -161,7 +161,7 @@
 	case err != nil:
 		co.lost = true
 		s.discardConnection()
-		return outcomeRetryOther, nil
+		return outcomeRetryElsewhere, nil
 	}
 	s.srv.sweepMarkers(co)
 	if uc.kind == kindBegin {
@@ -201,19 +201,21 @@
 }
 
 // endMarkedTransaction commits the transaction that was opened for the marker, or rolls it
-// back when it has failed. It returns the transaction state for the caller.
+// back when it has failed. When the unit has ended the transaction itself, nothing is sent,
+// and the unit counts as one that wrote nothing. It returns the transaction state for the
+// caller.
 func (r *relay) endMarkedTransaction(status byte) (byte, error) {
 	ctx, cancel := context.WithTimeout(context.Background(), r.s.deadline())
 	defer cancel()
-	end := "COMMIT"
+	endSQL := "COMMIT"
 	if status != txActive {
-		end = "ROLLBACK"
+		endSQL = "ROLLBACK"
 		r.mayHaveWritten = false
 	}
 	if status == txIdle {
 		return status, nil
 	}
-	if _, err := r.co.conn.Query(ctx, end); err != nil {
+	if _, err := r.co.conn.Query(ctx, endSQL); err != nil {
 		return txIdle, err
 	}
 	return txIdle, nil
--- a/internal/entry/request_id_test.go
+++ b/internal/entry/request_id_test.go
@@ -36,7 +36,7 @@
 		wantCode(t, err, result.RequestAlreadyDone)
 	}
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 4 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 4", n)
 	}
 }
 
@@ -57,7 +57,7 @@
 	setRequestID(t, conn, "a")
 	mustExec(t, conn, "insert into entries values (1)")
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 1 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 1", n)
 	}
 }
 
@@ -74,11 +74,11 @@
 	_, err := conn.Exec(testContext(t), "insert into entries values (1)")
 	wantCode(t, err, result.RequestAlreadyDone)
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 2 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 2", n)
 	}
 }
 
-func TestRequestIDTransaction(t *testing.T) {
+func TestRequestIDCoversTransaction(t *testing.T) {
 	f := newFixture(t, fixtureConfig{})
 	conn := f.connect("")
 	mustExec(t, conn, "create table entries (id int)")
@@ -94,7 +94,7 @@
 	}
 	wantCode(t, insertOnce(), result.RequestAlreadyDone)
 	if n := queryInt(t, conn, "select count(*) from entries"); n != 2 {
-		t.Errorf("%d rows", n)
+		t.Errorf("%d rows, want 2", n)
 	}
 }
 
--- a/internal/entry/router.go
+++ b/internal/entry/router.go
@@ -20,8 +20,8 @@
 
 	mu       sync.Mutex
 	services map[string]*serviceTable
-	// owners maps each endpoint to the service that it belongs to.
-	owners map[string]string
+	// serviceOf maps each endpoint to the service that it belongs to.
+	serviceOf map[string]string
 }
 
 // serviceTable is the routing table of a service and the revision of the agreed state that
@@ -35,8 +35,8 @@
 func NewTableRouter(src view.Source, domain string) *TableRouter {
 	return &TableRouter{
 		view: src, cfg: route.DefaultConfig(domain),
-		services: make(map[string]*serviceTable),
-		owners:   make(map[string]string),
+		services:  make(map[string]*serviceTable),
+		serviceOf: make(map[string]string),
 	}
 }
 
@@ -50,7 +50,7 @@
 	defer r.mu.Unlock()
 	return r.table(now, v.State, need.Service).Pick(now, route.Need{
 		ReadOnly:     need.ReadOnly,
-		Min:          route.Position(need.Min),
+		MinPosition:  route.Position(need.MinPosition),
 		MaxStaleness: need.MaxStaleness,
 		Exclude:      need.Exclude,
 	})
@@ -60,7 +60,7 @@
 func (r *TableRouter) Begin(endpoint string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if s, ok := r.services[r.owners[endpoint]]; ok {
+	if s, ok := r.services[r.serviceOf[endpoint]]; ok {
 		s.table.Begin(endpoint)
 	}
 }
@@ -69,7 +69,7 @@
 func (r *TableRouter) End(report Report) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	s, ok := r.services[r.owners[report.Endpoint]]
+	s, ok := r.services[r.serviceOf[report.Endpoint]]
 	if !ok {
 		return
 	}
@@ -88,7 +88,7 @@
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.table(now, state, service).Observe(now, route.Status{
-		Endpoint: s.Endpoint, Asked: s.Asked, Failed: s.Err != nil,
+		Endpoint: s.Endpoint, QueriedAt: s.QueriedAt, Failed: s.Err != nil,
 		InRecovery: s.InRecovery, Timeline: s.Timeline, LSN: s.LSN,
 	})
 }
@@ -104,7 +104,7 @@
 		s.revision = state.Revision
 		s.table.SetView(now, routeView(state, service))
 		for _, id := range state.Groups[service].Members {
-			r.owners[id] = service
+			r.serviceOf[id] = service
 		}
 	}
 	return s.table
@@ -121,7 +121,7 @@
 	for _, id := range group.Members {
 		domain := state.Endpoints[id].Domain
 		v.Members = append(v.Members, route.Member{
-			Endpoint: id, Domain: domain, Out: state.Catalog.Domains[domain].Out, Slots: svc.Slots,
+			Endpoint: id, Domain: domain, OutOfUse: state.Catalog.Domains[domain].Out, Slots: svc.Slots,
 		})
 	}
 	return v
--- a/internal/entry/send.go
+++ b/internal/entry/send.go
@@ -19,9 +19,9 @@
 	outcomeAnswered attemptOutcome = iota
 	// outcomeRetryPrimary: the unit has certainly not run; it is sent to the primary.
 	outcomeRetryPrimary
-	// outcomeRetryOther: the unit had no effect, or its marker will show whether it had; it
+	// outcomeRetryElsewhere: the unit had no effect, or its marker will show whether it had; it
 	// is sent to another endpoint.
-	outcomeRetryOther
+	outcomeRetryElsewhere
 )
 
 // concurrentWriteBytes is the size from which a unit is written while answers are read.
@@ -47,7 +47,7 @@
 	if uc.dirty {
 		co.conn.Session.Dirty = true
 	}
-	r := &relay{s: s, co: co, u: u, class: uc, plan: plan, marker: m, inTransaction: co.transaction}
+	r := &relay{s: s, co: co, u: u, class: uc, plan: plan, marker: m, inTransaction: co.inTransaction}
 	r.request = retry.Request{
 		ReadOnly:      co.readOnly || uc.kind == kindRead && !co.primary,
 		InTransaction: r.inTransaction || !u.sync,
@@ -58,7 +58,7 @@
 		timing.sent = time.Now()
 	}
 	r.sent = time.Now()
-	if s.params.deadline > 0 && !co.transaction {
+	if s.params.deadline > 0 && !co.inTransaction {
 		s.setAnswerDeadline(co, timing.started.Add(s.params.deadline))
 	}
 	if err := r.write(); err != nil {
@@ -77,7 +77,7 @@
 func (s *session) setAnswerDeadline(co *checkout, deadline time.Time) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	if s.reason == nil {
+	if s.stopErr == nil {
 		co.conn.SetDeadline(deadline)
 	}
 }
@@ -93,11 +93,11 @@
 		return err
 	}
 	r.request.Apply(retry.BytesSent)
-	r.writer = make(chan error, 1)
+	r.writeResult = make(chan error, 1)
 	conn, encoded := r.co.conn, r.plan.encoded
 	go func() {
 		_, err := conn.Write(encoded)
-		r.writer <- err
+		r.writeResult <- err
 	}()
 	return nil
 }
@@ -117,7 +117,7 @@
 		if s.srv.allowRetry(s.identity.workspace, r.co.endpoint) {
 			s.conn.Truncate(0)
 			s.discardConnection()
-			return outcomeRetryOther, nil
+			return outcomeRetryElsewhere, nil
 		}
 	}
 	s.conn.Truncate(r.safeLength())
--- a/internal/entry/serve.go
+++ b/internal/entry/serve.go
@@ -17,7 +17,7 @@
 	started := time.Now()
 	uc := u.classify()
 	switch {
-	case s.failed:
+	case s.transactionFailed:
 		return s.answerFailedTransaction(u, uc)
 	case uc.kind == kindUnsupported:
 		return s.refuse(result.New(result.UnsupportedFeature, "%s", uc.feature), u.sync)
@@ -62,31 +62,31 @@
 // class returns the effective class: the requested one, but with no higher precedence than
 // the workspace's class.
 func (s *session) class() note.Class {
-	top := note.ClassBulk
+	workspaceClass := note.ClassBulk
 	if state := s.srv.opts.View.Current().State; state != nil {
 		if c := state.Catalog.Workspaces[s.identity.workspace].Class; c != "" {
-			top = c
+			workspaceClass = c
 		}
 	}
-	if classRank(s.params.class) > classRank(top) {
+	if classRank(s.params.class) > classRank(workspaceClass) {
 		return s.params.class
 	}
-	return top
+	return workspaceClass
 }
 
 // slotRequest returns the gate's request for a slot at the endpoint.
 func (s *session) slotRequest(ctx context.Context, endpoint string) gate.SlotRequest {
-	a := gate.SlotRequest{
+	request := gate.SlotRequest{
 		Endpoint: endpoint, Service: s.identity.service, Workspace: s.identity.workspace,
 		Class: s.class(), Weight: 1,
 	}
-	a.Deadline, _ = ctx.Deadline()
+	request.Deadline, _ = ctx.Deadline()
 	if state := s.srv.opts.View.Current().State; state != nil {
 		if w := state.Catalog.Workspaces[s.identity.workspace].Weight; w > 0 {
-			a.Weight = w
+			request.Weight = w
 		}
 	}
-	return a
+	return request
 }
 
 // deadline returns the longest wait of a request before it is sent. It also bounds the wait
@@ -199,7 +199,7 @@
 		min, err := s.srv.positions.Required(ctx, s.identity.service, s.identity.workspace)
 		switch {
 		case err == nil:
-			need.Min = min
+			need.MinPosition = min
 			return nil
 		case result.CodeOf(err) == 0:
 			return result.New(result.NoEndpoint, "position of the workspace: %v", err)
@@ -216,7 +216,7 @@
 // Only the end of the transaction is accepted.
 func (s *session) answerFailedTransaction(u *unit, uc unitClass) error {
 	if uc.kind == kindRollback || uc.kind == kindCommit {
-		s.failed = false
+		s.transactionFailed = false
 		if u.simple {
 			if err := s.conn.Queue(&pgproto3.CommandComplete{CommandTag: []byte("ROLLBACK")}); err != nil {
 				return err
--- a/internal/entry/server.go
+++ b/internal/entry/server.go
@@ -33,8 +33,8 @@
 	router     Router
 	positions  Positions
 	durability Durability
-	// shared is positions when it is the default implementation, or nil.
-	shared *SharedPositions
+	// sharedPositions is the value of positions if that is the default implementation, or nil.
+	sharedPositions *SharedPositions
 	// number is the host number in cancel keys.
 	number uint32
 
@@ -43,8 +43,8 @@
 	tasks      sync.WaitGroup
 	draining   atomic.Bool
 
-	// markers counts the markers written.
-	markers atomic.Uint64
+	// markersWritten counts the markers written to primaries.
+	markersWritten atomic.Uint64
 
 	mu                sync.Mutex
 	sessions          map[uint32]*session
@@ -102,9 +102,9 @@
 		s.gate = gate.New(s.opts.gatePolicy(), s.opts.slots(), nil)
 	}
 	if s.positions == nil {
-		s.shared = newSharedPositions(s.opts.View, s.opts.Settings.Host, s.opts.Peers, s.PrimaryStatus)
-		s.shared.gatherTimeout = s.opts.GatherTimeout
-		s.positions = s.shared
+		s.sharedPositions = newSharedPositions(s.opts.View, s.opts.Settings.Host, s.opts.Peers, s.PrimaryStatus)
+		s.sharedPositions.gatherTimeout = s.opts.GatherTimeout
+		s.positions = s.sharedPositions
 	}
 	if s.router == nil {
 		s.router = NewTableRouter(s.opts.View, s.opts.Settings.Domain)
@@ -139,8 +139,8 @@
 	defer stop()
 	s.spawn(func() { s.backends.run(ctx) })
 	s.spawn(func() { s.watchView(ctx) })
-	if s.shared != nil {
-		s.spawn(func() { s.shared.run(ctx) })
+	if s.sharedPositions != nil {
+		s.spawn(func() { s.sharedPositions.run(ctx) })
 	}
 	s.log.Info("entry_listening", "addr", s.Addr())
 	err := s.accept(ctx)
@@ -177,7 +177,7 @@
 			return err
 		case errors.As(err, &netErr):
 			s.log.Warn("accept_failed", "err", err.Error())
-			if pause(ctx, acceptPause) != nil {
+			if pause(ctx, acceptRetryDelay) != nil {
 				return ctx.Err()
 			}
 		default:
@@ -186,9 +186,9 @@
 	}
 }
 
-// acceptPause is the wait after a failed accept, for example when the process has run out of
+// acceptRetryDelay is the wait after a failed accept, for example when the process has run out of
 // file descriptors.
-const acceptPause = 50 * time.Millisecond
+const acceptRetryDelay = 50 * time.Millisecond
 
 // watchView applies each change of the agreed state to all sessions.
 func (s *Server) watchView(ctx context.Context) {
--- a/internal/entry/session.go
+++ b/internal/entry/session.go
@@ -27,15 +27,15 @@
 
 // session serves one caller. Its goroutine owns all fields but those guarded by mu, which
 // cancel requests and changes of the agreed state access from other goroutines. checkout is
-// not nil only while a unit runs, within a transaction, or between Flush and Sync.
+// set only while a unit runs, within a transaction, or between Flush and Sync.
 type session struct {
-	srv      *Server
-	conn     *pgfront.Conn
-	pid      uint32
-	key      []byte
-	identity identity
-	params   params
-	settings settings
+	srv          *Server
+	conn         *pgfront.Conn
+	processID    uint32
+	cancelSecret []byte
+	identity     identity
+	params       params
+	settings     settings
 	// pendingSet holds the SET statements of the transaction in progress, which take effect
 	// when it commits.
 	pendingSet []string
@@ -44,9 +44,9 @@
 
 	// checkout is the endpoint connection in use, or nil.
 	checkout *checkout
-	// failed: the entry has rolled back the transaction; statements are refused until the
-	// caller ends it.
-	failed bool
+	// transactionFailed: the entry has rolled back the transaction; statements are refused
+	// until the caller ends it.
+	transactionFailed bool
 	// skipToSync: messages are ignored until Sync, after an error in a pipeline.
 	skipToSync bool
 	// batch collects the messages of the extended protocol up to Flush or Sync.
@@ -55,8 +55,8 @@
 	mu sync.Mutex
 	// active is the checkout on which a request may be interrupted or cancelled.
 	active *checkout
-	// reason is why the session must end, or nil.
-	reason error
+	// stopErr is the reason why the session must end, or nil.
+	stopErr error
 	// cancelWait ends the wait of the request in progress, or is nil.
 	cancelWait func()
 }
@@ -68,7 +68,7 @@
 		s.discardConnection()
 	}
 	if result.CodeOf(err) != 0 {
-		s.srv.metrics.result(err)
+		s.srv.metrics.countError(err)
 		s.srv.log.Info("session_closed", "workspace", s.identity.workspace, "code", result.CodeOf(err), "reason", err)
 		if result.CodeOf(err) != result.SlowClient {
 			s.conn.Refuse(err)
@@ -111,8 +111,8 @@
 	return s.checkout != nil || s.batch != nil || s.skipToSync
 }
 
-// receiveError handles an error of Receive. A timeout is the sign of an interruption: the
-// session ends for its stop reason, or goes on when a shutdown has to wait.
+// receiveError handles an error of Receive. A timeout means that the session was interrupted:
+// it ends with its stop reason, or continues if a shutdown has to wait for it.
 func (s *session) receiveError(err error) error {
 	var netErr net.Error
 	if !errors.As(err, &netErr) || !netErr.Timeout() {
@@ -209,18 +209,18 @@
 }
 
 // refuse answers a unit with an error. A transaction in progress is rolled back, because a
-// part of it was refused. Unless the unit is final, that is, ends with ReadyForQuery,
+// part of it was refused. endsWithReady: the answer ends with ReadyForQuery; otherwise
 // messages are skipped up to Sync.
-func (s *session) refuse(err error, final bool) error {
-	s.srv.metrics.result(err)
+func (s *session) refuse(err error, endsWithReady bool) error {
+	s.srv.metrics.countError(err)
 	if s.checkout != nil {
-		s.failed = s.failed || s.checkout.transaction
+		s.transactionFailed = s.transactionFailed || s.checkout.inTransaction
 		s.discardConnection()
 	}
 	if queueErr := s.conn.Queue(pgfront.ErrorMessage(err, pgfront.Error)); queueErr != nil {
 		return queueErr
 	}
-	if !final {
+	if !endsWithReady {
 		s.skipToSync = true
 		return s.conn.Flush()
 	}
@@ -230,9 +230,9 @@
 // status returns the transaction state to report to the caller.
 func (s *session) status() byte {
 	switch {
-	case s.failed:
+	case s.transactionFailed:
 		return txFailed
-	case s.checkout != nil && s.checkout.transaction:
+	case s.checkout != nil && s.checkout.inTransaction:
 		return txActive
 	}
 	return txIdle
--- a/internal/entry/session_control.go
+++ b/internal/entry/session_control.go
@@ -32,21 +32,21 @@
 func (s *session) setTransaction(co *checkout, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	co.transaction = on
+	co.inTransaction = on
 }
 
 // stopReason returns the reason why the session must end, or nil.
 func (s *session) stopReason() error {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	return s.reason
+	return s.stopErr
 }
 
 // drain makes the session end once its caller is idle. It does not replace another reason.
 func (s *session) drain() {
 	s.mu.Lock()
-	if s.reason == nil {
-		s.reason = result.New(result.ShuttingDown, "the host is shutting down")
+	if s.stopErr == nil {
+		s.stopErr = result.New(result.ShuttingDown, "the host is shutting down")
 	}
 	s.mu.Unlock()
 	s.conn.Interrupt(drainGrace)
@@ -81,9 +81,9 @@
 func (s *session) terminate(reason error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reason = reason
+	s.stopErr = reason
 	s.conn.Interrupt(0)
-	if s.active == nil || !s.active.transaction {
+	if s.active == nil || !s.active.inTransaction {
 		return
 	}
 	s.active.conn.Interrupt()
--- a/internal/entry/settings.go
+++ b/internal/entry/settings.go
@@ -21,7 +21,7 @@
 	"client_encoding":  true,
 }
 
-// readOnlySettings are the settings that make a session read-only.
+// Settings that make a session read-only.
 const (
 	settingDefaultReadOnly = "default_transaction_read_only"
 	settingCharacteristics = "characteristics"
--- a/internal/entry/tls_test.go
+++ b/internal/entry/tls_test.go
@@ -48,7 +48,7 @@
 	return files
 }
 
-func TestTLS(t *testing.T) {
+func TestLoginWithoutTLSRefused(t *testing.T) {
 	files := newCertificate(t)
 	f := newFixture(t, fixtureConfig{options: func(o *Options) {
 		o.Settings.Entry.TLS, o.Settings.Entry.RequireTLS = files, true
@@ -62,6 +62,6 @@
 	}
 	defer func() { _ = conn.Close(context.Background()) }()
 	if n := queryInt(t, conn, "select 1"); n != 1 {
-		t.Errorf("got %d", n)
+		t.Errorf("got %d, want 1", n)
 	}
 }
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -86,7 +86,7 @@
 	parsed map[string]*statement
 }
 
-// newSimple returns the unit of a simple query.
+// newSimpleUnit returns the unit of a simple query.
 func newSimpleUnit(text string) (*unit, error) {
 	data, err := (&pgproto3.Query{String: text}).Encode(nil)
 	if err != nil {
@@ -191,7 +191,7 @@
 	if u.simple {
 		return plan{encoded: u.data}, nil
 	}
-	b := planBuilder{state: state, known: make(map[string]bool)}
+	b := planBuilder{state: state, preparedInUnit: make(map[string]bool)}
 	for _, o := range u.ops {
 		if err := b.add(o, u.data[o.start:o.end]); err != nil {
 			return plan{}, err
@@ -215,13 +215,14 @@
 type planBuilder struct {
 	plan  plan
 	state *pgback.SessionState
-	// known holds the names of the statements that earlier messages of the unit prepare.
-	known map[string]bool
+	// preparedInUnit holds the names of the statements that earlier messages of the unit
+	// prepare.
+	preparedInUnit map[string]bool
 }
 
 // has reports whether the statement is prepared when the next message is processed.
 func (b *planBuilder) has(name string) bool {
-	return b.known[name] || b.state.Has(name)
+	return b.preparedInUnit[name] || b.state.Has(name)
 }
 
 // add appends a message. A Parse of a statement that is already prepared is preceded by its
@@ -234,7 +235,7 @@
 				return err
 			}
 		}
-		b.known[o.stmt.name] = true
+		b.preparedInUnit[o.stmt.name] = true
 		b.plan.parses = append(b.plan.parses, expectedAnswer{clientName: o.clientName, stmt: o.stmt, name: o.stmt.name})
 	case opBind, opDescribeStatement:
 		if o.stmt != nil && !b.has(o.stmt.name) {
@@ -252,7 +253,7 @@
 
 // injectParse adds a Parse and closes a statement when the connection has too many.
 func (b *planBuilder) injectParse(stmt *statement) error {
-	if candidate, ok := b.state.EvictionCandidate(); ok && !b.known[candidate] {
+	if candidate, ok := b.state.EvictionCandidate(); ok && !b.preparedInUnit[candidate] {
 		if err := b.injectClose(candidate); err != nil {
 			return err
 		}
@@ -263,7 +264,7 @@
 		return result.New(result.MalformedMessage, "%v", err)
 	}
 	b.plan.encoded = encoded
-	b.known[stmt.name] = true
+	b.preparedInUnit[stmt.name] = true
 	b.plan.parses = append(b.plan.parses, expectedAnswer{injected: true, stmt: stmt, name: stmt.name})
 	b.plan.pending++
 	return nil
--- a/internal/entry/unit_class.go
+++ b/internal/entry/unit_class.go
@@ -5,7 +5,7 @@
 	kind kind
 	// dirty: the connection must be reset before another session uses it.
 	dirty bool
-	// executes: the unit runs statements, and does not only prepare them.
+	// executes: the unit executes statements rather than only prepares or describes them.
 	executes bool
 	// local: all statements are answered at the entry.
 	local bool
@@ -25,13 +25,13 @@
 			local: u.class.answeredLocally(), feature: u.class.feature,
 		}
 	}
-	mentioned, executed := u.statementClasses()
+	referenced, executed := u.statementClasses()
 	uc := unitClass{kind: kindRead, executes: len(executed) > 0}
-	if len(mentioned) == 0 {
+	if len(referenced) == 0 {
 		return uc
 	}
-	uc.local = mentioned[0].answeredLocally()
-	for _, c := range mentioned {
+	uc.local = referenced[0].answeredLocally()
+	for _, c := range referenced {
 		if c.kind == kindUnsupported {
 			return unitClass{kind: kindUnsupported, feature: c.feature}
 		}
@@ -40,7 +40,7 @@
 		}
 	}
 	if len(executed) == 0 {
-		executed = mentioned
+		executed = referenced
 	}
 	uc.combine(executed)
 	return uc
@@ -67,17 +67,17 @@
 
 // statementClasses returns the classes of the statements that the unit refers to and of
 // those that it executes.
-func (u *unit) statementClasses() (mentioned, executed []class) {
+func (u *unit) statementClasses() (referenced, executed []class) {
 	for _, o := range u.ops {
 		if o.stmt == nil {
 			continue
 		}
-		mentioned = append(mentioned, o.stmt.class)
+		referenced = append(referenced, o.stmt.class)
 		if o.kind == opExecute {
 			executed = append(executed, o.stmt.class)
 		}
 	}
-	return mentioned, executed
+	return referenced, executed
 }
 
 // onlyCloses reports whether all messages of the unit close statements or portals. It is
--- a/internal/entry/unresponsive.go
+++ b/internal/entry/unresponsive.go
@@ -28,24 +28,24 @@
 }
 
 // Observe implements Observer.
-func (s *unresponsiveDetector) Observe(_ string, status pgback.Status) {
-	if s.timedOut(status, time.Now()) {
-		s.onUnresponsive(status.Endpoint)
+func (d *unresponsiveDetector) Observe(_ string, status pgback.Status) {
+	if d.timedOut(status, time.Now()) {
+		d.onUnresponsive(status.Endpoint)
 	}
 }
 
 // timedOut records a status and reports whether the endpoint has exceeded the timeout.
-func (s *unresponsiveDetector) timedOut(status pgback.Status, now time.Time) bool {
-	s.mu.Lock()
-	defer s.mu.Unlock()
+func (d *unresponsiveDetector) timedOut(status pgback.Status, now time.Time) bool {
+	d.mu.Lock()
+	defer d.mu.Unlock()
 	if status.Err == nil {
-		delete(s.failingSince, status.Endpoint)
+		delete(d.failingSince, status.Endpoint)
 		return false
 	}
-	first, ok := s.failingSince[status.Endpoint]
+	first, ok := d.failingSince[status.Endpoint]
 	if !ok {
-		s.failingSince[status.Endpoint] = status.Asked
-		first = status.Asked
+		d.failingSince[status.Endpoint] = status.QueriedAt
+		first = status.QueriedAt
 	}
 	return now.Sub(first) >= unresponsiveTimeout
 }
--- a/internal/pgback/monitor.go
+++ b/internal/pgback/monitor.go
@@ -124,7 +124,7 @@
 // minPollInterval of the last poll.
 func (m *Monitor) pollEarly(ctx context.Context) {
 	last := m.last.Load()
-	if last != nil && last.InRecovery && time.Since(last.Asked) >= minPollInterval {
+	if last != nil && last.InRecovery && time.Since(last.QueriedAt) >= minPollInterval {
 		m.poll(ctx)
 	}
 }
@@ -141,7 +141,7 @@
 		m.roleQueriedAt = now
 	case last.InRecovery:
 		s = m.read(ctx, last.refreshReplayed)
-	case now.Sub(last.Asked) >= PrimaryPollInterval-ReplicaPollInterval/2:
+	case now.Sub(last.QueriedAt) >= PrimaryPollInterval-ReplicaPollInterval/2:
 		s = m.read(ctx, last.refreshPositions)
 	default:
 		return
@@ -157,11 +157,11 @@
 func (m *Monitor) read(ctx context.Context, from func(context.Context, *Conn) (Status, error)) Status {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
-	asked := time.Now()
+	queriedAt := time.Now()
 	s, err := m.readOn(ctx, from)
 	if err != nil {
 		m.closeConn()
-		return Status{Endpoint: m.target.Endpoint, Asked: asked, Err: err}
+		return Status{Endpoint: m.target.Endpoint, QueriedAt: queriedAt, Err: err}
 	}
 	return s
 }
@@ -186,7 +186,7 @@
 
 // readPositionsOnly queries the positions of a primary.
 func readPositionsOnly(ctx context.Context, c *Conn) (Status, error) {
-	s := Status{Endpoint: c.Target.Endpoint, Asked: time.Now()}
+	s := Status{Endpoint: c.Target.Endpoint, QueriedAt: time.Now()}
 	err := s.readPositions(ctx, c)
 	return s, err
 }
--- a/internal/pgback/status.go
+++ b/internal/pgback/status.go
@@ -20,9 +20,9 @@
 // Status is the state that an endpoint reported.
 type Status struct {
 	Endpoint string
-	// Asked is when the query was started; the reported state is at least as recent.
-	Asked time.Time
-	// Err is the reason why the query failed. When it is set, only Endpoint and Asked
+	// QueriedAt is when the query was started; the reported state is at least as recent.
+	QueriedAt time.Time
+	// Err is the reason why the query failed. When it is set, only Endpoint and QueriedAt
 	// are valid besides it.
 	Err        error
 	InRecovery bool
@@ -38,7 +38,7 @@
 
 // readStatus queries role, timeline and position.
 func readStatus(ctx context.Context, c *Conn) (Status, error) {
-	s := Status{Endpoint: c.Target.Endpoint, Asked: time.Now()}
+	s := Status{Endpoint: c.Target.Endpoint, QueriedAt: time.Now()}
 	results, err := c.Query(ctx, queryRole)
 	if err != nil {
 		return s, err
@@ -68,7 +68,7 @@
 // refreshReplayed returns a copy of the status of a replica with a new replay position.
 func (s *Status) refreshReplayed(ctx context.Context, c *Conn) (Status, error) {
 	next := *s
-	next.Asked = time.Now()
+	next.QueriedAt = time.Now()
 	err := next.readReplayed(ctx, c)
 	return next, err
 }
@@ -76,7 +76,7 @@
 // refreshPositions returns a copy of the status of a primary with new positions.
 func (s *Status) refreshPositions(ctx context.Context, c *Conn) (Status, error) {
 	next := *s
-	next.Asked = time.Now()
+	next.QueriedAt = time.Now()
 	err := next.readPositions(ctx, c)
 	return next, err
 }
--- a/internal/retry/backoff.go
+++ b/internal/retry/backoff.go
@@ -15,8 +15,8 @@
 )
 
 // Backoff is an exponential backoff with decorrelated jitter: each wait is random
-// between Base and three times the previous wait, and at most Cap. The zero state
-// starts at Base.
+// between Base and three times the previous wait, and at most Cap. The first wait is at
+// most three times Base.
 type Backoff struct {
 	Base time.Duration
 	Cap  time.Duration
--- a/internal/retry/budget.go
+++ b/internal/retry/budget.go
@@ -6,18 +6,18 @@
 type BudgetConfig struct {
 	// Ratio is the number of retries that each request adds to the budget.
 	Ratio float64
-	// Reserve is the number of retries per second that are added regardless of
-	// the load, so that a workspace with few requests can retry at all.
-	Reserve float64
+	// MinRetriesPerSecond is the number of retries that are added per second regardless
+	// of the load, so that a workspace with few requests can retry at all.
+	MinRetriesPerSecond float64
 	// Cap is the largest number of retries that a budget can hold.
 	Cap float64
-	// IdleAfter is how long the bucket of an unused name is kept.
-	IdleAfter time.Duration
+	// BucketTTL is how long the bucket of an unused name is kept.
+	BucketTTL time.Duration
 }
 
-// DefaultBudgetConfig limits retries to a tenth of the load, plus the reserve.
+// DefaultBudgetConfig limits retries to a tenth of the load, plus MinRetriesPerSecond.
 func DefaultBudgetConfig() BudgetConfig {
-	return BudgetConfig{Ratio: 0.1, Reserve: 0.2, Cap: 10, IdleAfter: 5 * time.Minute}
+	return BudgetConfig{Ratio: 0.1, MinRetriesPerSecond: 0.2, Cap: 10, BucketTTL: 5 * time.Minute}
 }
 
 // bucket is the token bucket of one name. A token allows one retry.
@@ -38,8 +38,8 @@
 	return &Budget{cfg: cfg, buckets: make(map[string]*bucket)}
 }
 
-// Earn adds Ratio tokens for the first attempt of a request.
-func (b *Budget) Earn(now time.Time, name string) {
+// Deposit adds Ratio tokens for the first attempt of a request.
+func (b *Budget) Deposit(now time.Time, name string) {
 	k := b.bucket(now, name)
 	k.tokens = min(k.tokens+b.cfg.Ratio, b.cfg.Cap)
 }
@@ -49,8 +49,8 @@
 	return b.bucket(now, name).tokens >= 1
 }
 
-// Spend takes the token that HasToken has reported.
-func (b *Budget) Spend(now time.Time, name string) {
+// Withdraw takes one token. HasToken must have reported it.
+func (b *Budget) Withdraw(now time.Time, name string) {
 	b.bucket(now, name).tokens--
 }
 
@@ -63,21 +63,21 @@
 		b.buckets[name] = k
 	}
 	if now.After(k.updated) {
-		k.tokens = min(k.tokens+b.cfg.Reserve*now.Sub(k.updated).Seconds(), b.cfg.Cap)
+		k.tokens = min(k.tokens+b.cfg.MinRetriesPerSecond*now.Sub(k.updated).Seconds(), b.cfg.Cap)
 		k.updated = now
 	}
 	return k
 }
 
-// sweep removes the buckets of names that were not used for IdleAfter. It runs at most
-// once per IdleAfter.
+// sweep removes the buckets of names that were not used for BucketTTL. It runs at most
+// once per BucketTTL.
 func (b *Budget) sweep(now time.Time) {
-	if now.Sub(b.lastSweep) < b.cfg.IdleAfter {
+	if now.Sub(b.lastSweep) < b.cfg.BucketTTL {
 		return
 	}
 	b.lastSweep = now
 	for name, k := range b.buckets {
-		if now.Sub(k.updated) >= b.cfg.IdleAfter {
+		if now.Sub(k.updated) >= b.cfg.BucketTTL {
 			delete(b.buckets, name)
 		}
 	}
@@ -97,8 +97,8 @@
 
 // RecordFirstAttempt credits both budgets for the first attempt of a request.
 func (b *Budgets) RecordFirstAttempt(now time.Time, workspace, endpoint string) {
-	b.workspaces.Earn(now, workspace)
-	b.endpoints.Earn(now, endpoint)
+	b.workspaces.Deposit(now, workspace)
+	b.endpoints.Deposit(now, endpoint)
 }
 
 // Allow takes a token of both budgets for the retry of a request that failed on the
@@ -107,7 +107,7 @@
 	if !b.workspaces.HasToken(now, workspace) || !b.endpoints.HasToken(now, endpoint) {
 		return false
 	}
-	b.workspaces.Spend(now, workspace)
-	b.endpoints.Spend(now, endpoint)
+	b.workspaces.Withdraw(now, workspace)
+	b.endpoints.Withdraw(now, endpoint)
 	return true
 }
--- a/internal/retry/marker.go
+++ b/internal/retry/marker.go
@@ -12,7 +12,7 @@
 // runs as a new request.
 const MarkerTTL = 24 * time.Hour
 
-// Digest is the SHA-256 digest of the statement and parameters of a request.
+// Digest is the SHA-256 digest of the parts of a request; see DigestOf.
 type Digest [sha256.Size]byte
 
 // DigestOf returns the digest of the parts of a request, such as its statement and
@@ -35,13 +35,13 @@
 	Workspace string
 	RequestID string
 	Digest    Digest
-	// Written is the time of the write by the clock of the database.
-	Written time.Time
+	// WrittenAt is the time of the write by the clock of the host that wrote the marker.
+	WrittenAt time.Time
 }
 
 // Expired reports whether the marker may be deleted.
 func (m Marker) Expired(now time.Time) bool {
-	return now.Sub(m.Written) >= MarkerTTL
+	return now.Sub(m.WrittenAt) >= MarkerTTL
 }
 
 // CheckMarker decides whether a request with an ID may run, given the marker found
@@ -54,7 +54,7 @@
 	case found == nil || found.Expired(now):
 		return nil
 	case found.Digest == digest:
-		return result.New(result.RequestAlreadyDone, "request %q has run at %s", found.RequestID, found.Written.UTC().Format(time.RFC3339))
+		return result.New(result.RequestAlreadyDone, "request %q has run at %s", found.RequestID, found.WrittenAt.UTC().Format(time.RFC3339))
 	default:
 		return result.New(result.RequestIDReused, "request %q has run with another statement", found.RequestID)
 	}
--- a/internal/retry/outcome.go
+++ b/internal/retry/outcome.go
@@ -39,7 +39,9 @@
 )
 
 // Request is the state machine of a request. The zero value is a write that has not
-// been sent. Answered, Unknown and NotRun are final until Reset.
+// been sent. Answered, Unknown and NotRun are final until Reset. A retry is allowed only if
+// the request has certainly not run or only reads; LookUpMarker leaves the decision to the
+// marker.
 type Request struct {
 	// ReadOnly: the caller declared that it only reads, or it runs on a replica.
 	ReadOnly bool
@@ -48,9 +50,9 @@
 	// Streamed: part of the answer has been forwarded to the caller.
 	Streamed bool
 	// HasID: it carries a request ID, so that a marker shows whether it ran.
-	HasID   bool
-	outcome Outcome
-	failed  bool
+	HasID          bool
+	outcome        Outcome
+	lostBeforeSend bool
 }
 
 // Outcome returns what is known about the execution of the request.
@@ -63,7 +65,7 @@
 	case r.outcome == NotSent && ev == BytesSent:
 		r.outcome = Sent
 	case r.outcome == NotSent && ev == ConnectionLost:
-		r.failed = true
+		r.lostBeforeSend = true
 	case r.outcome == Sent && ev == AnswerReceived:
 		r.outcome = Answered
 	case r.outcome == Sent && ev == RefusedReadOnly:
@@ -88,8 +90,8 @@
 	RetryOnPrimary
 	// LookUpMarker: look up the marker of the request ID before anything else.
 	LookUpMarker
-	// Report: return the result of Code to the caller.
-	Report
+	// ReportCode: return the result code from Code to the caller.
+	ReportCode
 )
 
 // Next returns the action to take after the events so far.
@@ -101,7 +103,7 @@
 		return ForwardAnswer
 	case NotRun:
 		if r.InTransaction || r.Streamed {
-			return Report
+			return ReportCode
 		}
 		return RetryOnPrimary
 	case Unknown:
@@ -113,10 +115,10 @@
 
 func (r *Request) nextNotSent() Action {
 	switch {
-	case !r.failed:
+	case !r.lostBeforeSend:
 		return Proceed
 	case r.InTransaction:
-		return Report
+		return ReportCode
 	default:
 		return RetryElsewhere
 	}
@@ -125,19 +127,19 @@
 func (r *Request) nextUnknown() Action {
 	switch {
 	case r.InTransaction || r.Streamed:
-		return Report
+		return ReportCode
 	case r.ReadOnly:
 		return RetryElsewhere
 	case r.HasID:
 		return LookUpMarker
 	default:
-		return Report
+		return ReportCode
 	}
 }
 
 // Reset prepares the request for another attempt.
 func (r *Request) Reset() {
-	r.outcome, r.failed = NotSent, false
+	r.outcome, r.lostBeforeSend = NotSent, false
 }
 
 // Code returns the result code to report when no further attempt is made. It is zero
--- a/internal/retry/retry_test.go
+++ b/internal/retry/retry_test.go
@@ -19,19 +19,19 @@
 		action  Action
 		code    result.Code
 	}{
-		"new":                               {Request{}, nil, Proceed, result.NoEndpoint},
-		"connection failed before sending":  {Request{}, []Event{ConnectionLost}, RetryElsewhere, result.NoEndpoint},
-		"the same inside a transaction":     {Request{InTransaction: true}, []Event{ConnectionLost}, Report, result.EndpointLost},
-		"sent":                              {Request{}, []Event{BytesSent}, Proceed, result.OutcomeUnknown},
-		"answered":                          {Request{}, []Event{BytesSent, AnswerReceived}, ForwardAnswer, 0},
-		"write lost":                        {Request{}, []Event{BytesSent, ConnectionLost}, Report, result.OutcomeUnknown},
-		"write lost, late answer":           {Request{}, []Event{BytesSent, ConnectionLost, AnswerReceived}, Report, result.OutcomeUnknown},
-		"write with id lost":                {Request{HasID: true}, []Event{BytesSent, ConnectionLost}, LookUpMarker, result.OutcomeUnknown},
-		"write with id lost in transaction": {Request{HasID: true, InTransaction: true}, []Event{BytesSent, ConnectionLost}, Report, result.OutcomeUnknown},
-		"read lost":                         {Request{ReadOnly: true}, []Event{BytesSent, ConnectionLost}, RetryElsewhere, result.EndpointLost},
-		"read lost within its answer":       {Request{ReadOnly: true, Streamed: true}, []Event{BytesSent, ConnectionLost}, Report, result.EndpointLost},
-		"refused as not read-only":          {Request{}, []Event{BytesSent, RefusedReadOnly}, RetryOnPrimary, result.NoEndpoint},
-		"refused in a transaction":          {Request{InTransaction: true}, []Event{BytesSent, RefusedReadOnly}, Report, result.EndpointLost},
+		"new":                                {Request{}, nil, Proceed, result.NoEndpoint},
+		"connection failed before sending":   {Request{}, []Event{ConnectionLost}, RetryElsewhere, result.NoEndpoint},
+		"failed before sending, transaction": {Request{InTransaction: true}, []Event{ConnectionLost}, ReportCode, result.EndpointLost},
+		"sent":                               {Request{}, []Event{BytesSent}, Proceed, result.OutcomeUnknown},
+		"answered":                           {Request{}, []Event{BytesSent, AnswerReceived}, ForwardAnswer, 0},
+		"write lost":                         {Request{}, []Event{BytesSent, ConnectionLost}, ReportCode, result.OutcomeUnknown},
+		"write lost, late answer":            {Request{}, []Event{BytesSent, ConnectionLost, AnswerReceived}, ReportCode, result.OutcomeUnknown},
+		"write with id lost":                 {Request{HasID: true}, []Event{BytesSent, ConnectionLost}, LookUpMarker, result.OutcomeUnknown},
+		"write with id lost in transaction":  {Request{HasID: true, InTransaction: true}, []Event{BytesSent, ConnectionLost}, ReportCode, result.OutcomeUnknown},
+		"read lost":                          {Request{ReadOnly: true}, []Event{BytesSent, ConnectionLost}, RetryElsewhere, result.EndpointLost},
+		"read lost within its answer":        {Request{ReadOnly: true, Streamed: true}, []Event{BytesSent, ConnectionLost}, ReportCode, result.EndpointLost},
+		"write refused as read-only":         {Request{}, []Event{BytesSent, RefusedReadOnly}, RetryOnPrimary, result.NoEndpoint},
+		"refused in a transaction":           {Request{InTransaction: true}, []Event{BytesSent, RefusedReadOnly}, ReportCode, result.EndpointLost},
 	}
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
@@ -78,7 +78,7 @@
 }
 
 // TestBudgetBoundsRetries guards against a retry storm: at any failure rate, retries stay
-// within one initial token, a tenth of the requests and the reserve.
+// within one initial token, a tenth of the requests and MinRetriesPerSecond.
 func TestBudgetBoundsRetries(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		cfg := DefaultBudgetConfig()
@@ -93,9 +93,9 @@
 			for rnd.Float64() < failing && b.Allow(now, "w", "e") {
 				retries++
 			}
-			allowed := 1 + cfg.Ratio*requests + cfg.Reserve*now.Sub(start).Seconds()
+			allowed := 1 + cfg.Ratio*requests + cfg.MinRetriesPerSecond*now.Sub(start).Seconds()
 			if retries > allowed+1e-6 {
-				t.Fatalf("%v retries of %v requests in %v", retries, requests, now.Sub(start))
+				t.Fatalf("%v retries of %v requests in %v exceed the budget", retries, requests, now.Sub(start))
 			}
 		}
 	})
@@ -108,16 +108,16 @@
 	}
 	later := start.Add(time.Minute)
 	if !b.Allow(later, "w", "e") {
-		t.Fatal("the reserve did not refill the budget")
+		t.Fatal("the budget was not refilled over time")
 	}
 }
 
 func TestBudgetDropsIdleBuckets(t *testing.T) {
 	b := NewBudget(DefaultBudgetConfig())
-	b.Earn(start, "w")
-	b.Earn(start.Add(time.Hour), "v")
+	b.Deposit(start, "w")
+	b.Deposit(start.Add(time.Hour), "v")
 	if len(b.buckets) != 1 {
-		t.Fatalf("%d buckets are kept", len(b.buckets))
+		t.Fatalf("%d buckets are kept, want 1", len(b.buckets))
 	}
 }
 
@@ -138,19 +138,19 @@
 
 func TestCheckMarkerResults(t *testing.T) {
 	digest := DigestOf([]byte("insert"), []byte("1"))
-	marker := &Marker{Workspace: "w", RequestID: "r", Digest: digest, Written: start}
+	marker := &Marker{Workspace: "w", RequestID: "r", Digest: digest, WrittenAt: start}
 	cases := map[string]struct {
 		found  *Marker
 		digest Digest
 		at     time.Time
 		want   result.Code
 	}{
-		"first run":          {nil, digest, start, 0},
-		"resend":             {marker, digest, start.Add(time.Hour), result.RequestAlreadyDone},
-		"another statement":  {marker, DigestOf([]byte("insert"), []byte("2")), start, result.RequestIDReused},
-		"parts are separate": {marker, DigestOf([]byte("insert1")), start, result.RequestIDReused},
-		"just not expired":   {marker, digest, start.Add(MarkerTTL - 1), result.RequestAlreadyDone},
-		"expired":            {marker, digest, start.Add(MarkerTTL), 0},
+		"first run":         {nil, digest, start, 0},
+		"resend":            {marker, digest, start.Add(time.Hour), result.RequestAlreadyDone},
+		"another statement": {marker, DigestOf([]byte("insert"), []byte("2")), start, result.RequestIDReused},
+		"parts joined":      {marker, DigestOf([]byte("insert1")), start, result.RequestIDReused},
+		"just not expired":  {marker, digest, start.Add(MarkerTTL - 1), result.RequestAlreadyDone},
+		"expired":           {marker, digest, start.Add(MarkerTTL), 0},
 	}
 	for name, c := range cases {
 		if got := result.CodeOf(CheckMarker(c.found, c.digest, c.at)); got != c.want {
@@ -159,7 +159,7 @@
 	}
 }
 
-func BenchmarkFirstAndAllow(b *testing.B) {
+func BenchmarkBudgetsRecordAndAllow(b *testing.B) {
 	budgets := NewBudgets(DefaultBudgetConfig())
 	b.ReportAllocs()
 	for b.Loop() {
--- a/internal/route/endpoint.go
+++ b/internal/route/endpoint.go
@@ -8,7 +8,7 @@
 const (
 	// minLatency is the lower bound of the average latency in the load estimate.
 	minLatency = 500 * time.Microsecond
-	// minRampShare is the share of a replica that has just returned.
+	// minRampShare is the share of requests that a replica gets right after its return.
 	minRampShare = 0.1
 	// maxEjectionDoublings bounds the doublings of the duration of an ejection.
 	maxEjectionDoublings = 16
@@ -19,7 +19,7 @@
 	member   Member
 	status   Status
 	statusAt time.Time // arrival of the status
-	running  int
+	inflight int
 
 	latency    time.Duration // moving average as of measuredAt
 	measuredAt time.Time
@@ -38,7 +38,7 @@
 // load estimates how many seconds one more request would take on the endpoint.
 func (e *endpoint) load(now time.Time, cfg Config) float64 {
 	latency := max(e.decayedLatency(now, cfg), minLatency)
-	return latency.Seconds() * float64(e.running+1) / e.ramp(now, cfg)
+	return latency.Seconds() * float64(e.inflight+1) / e.ramp(now, cfg)
 }
 
 // decayedLatency returns the average latency. It decays while the endpoint is
@@ -58,9 +58,9 @@
 
 // recordLatency adds a latency to the moving average.
 func (e *endpoint) recordLatency(now time.Time, latency time.Duration, cfg Config) {
-	keep := e.decayFactor(now, cfg)
-	keep = min(keep, 1-minSampleWeight)
-	e.latency = time.Duration(keep*float64(e.latency) + (1-keep)*float64(latency))
+	weight := e.decayFactor(now, cfg)
+	weight = min(weight, 1-minSampleWeight)
+	e.latency = time.Duration(weight*float64(e.latency) + (1-weight)*float64(latency))
 	e.measuredAt = now
 }
 
@@ -84,13 +84,13 @@
 	if e.failures < cfg.EjectAfter || !mayEject {
 		return
 	}
-	wait := cfg.EjectBase << min(e.ejections, maxEjectionDoublings)
-	if wait > cfg.EjectMax {
-		wait = cfg.EjectMax
+	duration := cfg.EjectBase << min(e.ejections, maxEjectionDoublings)
+	if duration > cfg.EjectMax {
+		duration = cfg.EjectMax
 	}
 	e.ejections++
 	e.failures = 0
-	e.ejectedUntil = now.Add(wait)
+	e.ejectedUntil = now.Add(duration)
 	e.usable = false
 }
 
@@ -105,16 +105,16 @@
 
 func (e *endpoint) isEjected(now time.Time) bool { return now.Before(e.ejectedUntil) }
 
-// updateUsable recomputes whether the endpoint is usable, and starts the slow start
-// when it has become usable again.
+// updateUsable recomputes whether the endpoint is usable. The slow start begins when it has
+// become usable again.
 func (e *endpoint) updateUsable(now time.Time, cfg Config) {
 	if e.statusAt.IsZero() {
 		// No status has arrived yet. The members in the first view are not treated
 		// as returning, so that they get no slow start.
-		e.usable = e.usable && !e.member.Out
+		e.usable = e.usable && !e.member.OutOfUse
 		return
 	}
-	usable := !e.member.Out && !e.isEjected(now) && e.hasRecentStatus(now, cfg)
+	usable := !e.member.OutOfUse && !e.isEjected(now) && e.hasRecentStatus(now, cfg)
 	if usable && !e.usable {
 		e.returnedAt = now
 	}
--- a/internal/route/history.go
+++ b/internal/route/history.go
@@ -8,23 +8,22 @@
 // maxSamples bounds the number of samples in a history.
 const maxSamples = 512
 
-// sample records that by time at the primary had written at most lsn.
+// sample records that the primary had written nothing beyond lsn at time at.
 type sample struct {
 	at  time.Time
 	lsn uint64
 }
 
-// history maps log positions to times, to derive how fresh a replica at a position
-// is. The time of a sample is when the position was requested, so that the position
-// covers everything written before. Times increase, and
-// positions never decrease.
+// history maps log positions to times, to derive how fresh a replica at a position is. The
+// time of a sample is when the position was requested, so that the position covers
+// everything written before. Within a history, times increase and positions never decrease.
 type history struct {
 	samples []sample
 }
 
 func (h *history) clear() { h.samples = h.samples[:0] }
 
-// add appends a sample; one that is older than the last is dropped. Positions can
+// add appends a sample that is newer than the last one and drops any other. Positions can
 // decrease when a primary restarts; samples above the new position are then removed.
 func (h *history) add(at time.Time, lsn uint64) {
 	if n := len(h.samples); n > 0 && !at.After(h.samples[n-1].at) {
--- a/internal/route/home_test.go
+++ b/internal/route/home_test.go
@@ -19,7 +19,7 @@
 func TestHomeHostsSmallFleetIncludesAll(t *testing.T) {
 	for _, n := range []int{1, 9, maxSmallFleetHosts} {
 		if home := HomeHosts("s", fleet(n, 4)); len(home) != n {
-			t.Errorf("%d of %d hosts are home hosts", len(home), n)
+			t.Errorf("%d of %d hosts are home hosts, want all", len(home), n)
 		}
 	}
 }
@@ -39,7 +39,7 @@
 			}
 		}
 		if len(home) != HomeHostCount || len(domains) != HomeHostCount {
-			t.Fatalf("home hosts %v in %d domains", home, len(domains))
+			t.Fatalf("home hosts %v in %d domains, want each in a domain of its own", home, len(domains))
 		}
 	}
 	most := 0
@@ -48,7 +48,7 @@
 	}
 	t.Logf("2,200 databases at 2,000 hosts: 4.4 on average, %d at most", most)
 	if most > 20 {
-		t.Errorf("a host is the home host of %d databases", most)
+		t.Errorf("a host is the home host of %d databases, want at most 20", most)
 	}
 }
 
--- a/internal/route/replica.go
+++ b/internal/route/replica.go
@@ -21,26 +21,26 @@
 			remote = append(remote, e)
 		}
 	}
-	near := t.lessLoadedOfTwo(now, local)
-	far := t.lessLoadedOfTwo(now, remote)
+	bestLocal := t.lessLoadedOfTwo(now, local)
+	bestRemote := t.lessLoadedOfTwo(now, remote)
 	switch {
-	case near == nil:
-		return far
-	case far == nil:
-		return near
-	case t.slotsFull(near) && !t.slotsFull(far):
-		return far
-	case near.load(now, t.cfg) > t.cfg.SpillFactor*far.load(now, t.cfg):
-		return far
+	case bestLocal == nil:
+		return bestRemote
+	case bestRemote == nil:
+		return bestLocal
+	case t.slotsFull(bestLocal) && !t.slotsFull(bestRemote):
+		return bestRemote
+	case bestLocal.load(now, t.cfg) > t.cfg.SpillFactor*bestRemote.load(now, t.cfg):
+		return bestRemote
 	default:
-		return near
+		return bestLocal
 	}
 }
 
 // slotsFull reports whether the requests of this host alone fill the slots of the
 // endpoint.
 func (t *Table) slotsFull(e *endpoint) bool {
-	return e.member.Slots > 0 && e.running >= e.member.Slots
+	return e.member.Slots > 0 && e.inflight >= e.member.Slots
 }
 
 // qualifies reports whether the endpoint is a replica that may serve the read.
@@ -55,7 +55,7 @@
 	if need.MaxStaleness > 0 {
 		return !e.freshAt.IsZero() && now.Sub(e.freshAt) <= need.MaxStaleness
 	}
-	return e.status.LSN >= need.Min.LSN
+	return e.status.LSN >= need.MinPosition.LSN
 }
 
 // lessLoadedOfTwo draws two candidates at random and returns the less loaded one, or
--- a/internal/route/table.go
+++ b/internal/route/table.go
@@ -48,8 +48,8 @@
 	t.endpoints = kept
 }
 
-// Observe records a status, which must have arrived at now. Statuses of unknown endpoints
-// are ignored, and positions on another timeline prove no freshness.
+// Observe records a status that arrived at now. It ignores statuses of unknown endpoints. A
+// position on another timeline does not count for freshness.
 func (t *Table) Observe(now time.Time, s Status) {
 	e := t.endpoints[s.Endpoint]
 	if e == nil {
@@ -64,14 +64,14 @@
 			e.freshAt = at
 		}
 	case s.Endpoint == t.view.Primary && t.view.Active:
-		t.history.add(s.Asked, s.LSN)
+		t.history.add(s.QueriedAt, s.LSN)
 	}
 }
 
 // Begin counts a request that starts on an endpoint.
 func (t *Table) Begin(endpoint string) {
 	if e := t.endpoints[endpoint]; e != nil {
-		e.running++
+		e.inflight++
 	}
 }
 
@@ -83,7 +83,7 @@
 		return
 	}
 	if began {
-		e.running = max(e.running-1, 0)
+		e.inflight = max(e.inflight-1, 0)
 	}
 	if r.Failed {
 		e.recordFailure(now, t.cfg, r.Endpoint != t.view.Primary && t.mayEject(now))
@@ -111,8 +111,8 @@
 	if t.view.Leaving {
 		return "", result.New(unavailableCode(need), "service %s is leaving and gets no new work", t.view.Service)
 	}
-	if need.Min.Term > t.view.Term {
-		return "", result.New(unavailableCode(need), "service %s: term %d is not known on this host yet", t.view.Service, need.Min.Term)
+	if need.MinPosition.Term > t.view.Term {
+		return "", result.New(unavailableCode(need), "service %s: term %d is not known on this host yet", t.view.Service, need.MinPosition.Term)
 	}
 	if !need.ReadOnly {
 		return t.primary(need)
@@ -142,7 +142,7 @@
 	switch {
 	case !t.view.Active || e == nil:
 		return "", result.New(unavailableCode(need), "service %s has no primary now: %s", t.view.Service, t.view.Reason)
-	case e.member.Out:
+	case e.member.OutOfUse:
 		return "", result.New(unavailableCode(need), "primary %s of service %s is out of use; a switchover is due", t.view.Primary, t.view.Service)
 	}
 	return t.view.Primary, nil
--- a/internal/route/table_test.go
+++ b/internal/route/table_test.go
@@ -34,9 +34,9 @@
 
 // observeAll reports statuses of the primary and both replicas at the given positions.
 func observeAll(t *Table, now time.Time, primary, r1, r2 uint64) {
-	t.Observe(now, Status{Endpoint: "p", Asked: now, Timeline: 2, LSN: primary})
-	t.Observe(now, Status{Endpoint: "r1", Asked: now, Timeline: 2, InRecovery: true, LSN: r1})
-	t.Observe(now, Status{Endpoint: "r2", Asked: now, Timeline: 2, InRecovery: true, LSN: r2})
+	t.Observe(now, Status{Endpoint: "p", QueriedAt: now, Timeline: 2, LSN: primary})
+	t.Observe(now, Status{Endpoint: "r1", QueriedAt: now, Timeline: 2, InRecovery: true, LSN: r1})
+	t.Observe(now, Status{Endpoint: "r2", QueriedAt: now, Timeline: 2, InRecovery: true, LSN: r2})
 }
 
 func expectPick(t *testing.T, table *Table, now time.Time, need Need, want string) {
@@ -68,17 +68,17 @@
 func TestReadRequiresReplayedPosition(t *testing.T) {
 	table := newReadyTable()
 	observeAll(table, start, 200, 150, 180)
-	read := func(lsn uint64) Need { return Need{ReadOnly: true, Min: Position{Term: 2, LSN: lsn}} }
+	read := func(lsn uint64) Need { return Need{ReadOnly: true, MinPosition: Position{Term: 2, LSN: lsn}} }
 	expectPick(t, table, start, read(150), "r1")
 	expectPick(t, table, start, read(151), "r2")
 	expectPick(t, table, start, read(181), "p")
-	expectCode(t, table, start, Need{ReadOnly: true, Min: Position{Term: 3}}, result.NoEndpoint)
+	expectCode(t, table, start, Need{ReadOnly: true, MinPosition: Position{Term: 3}}, result.NoEndpoint)
 }
 
 func TestReplicaOnOtherTimelineExcluded(t *testing.T) {
 	table := newReadyTable()
 	for _, id := range []string{"r1", "r2"} {
-		table.Observe(start, Status{Endpoint: id, Asked: start, Timeline: 1, InRecovery: true, LSN: 900})
+		table.Observe(start, Status{Endpoint: id, QueriedAt: start, Timeline: 1, InRecovery: true, LSN: 900})
 	}
 	expectPick(t, table, start, Need{ReadOnly: true}, "p")
 	expectPick(t, table, start, Need{ReadOnly: true, MaxStaleness: time.Second}, "p")
@@ -98,15 +98,15 @@
 func TestMembersOutOfUseGetNoNewWork(t *testing.T) {
 	table := newReadyTable()
 	v := groupView()
-	v.Members[1].Out = true
+	v.Members[1].OutOfUse = true
 	table.SetView(start, v)
 	expectPick(t, table, start, Need{ReadOnly: true}, "r2")
 	v = groupView()
-	v.Members[0].Out = true
+	v.Members[0].OutOfUse = true
 	table.SetView(start, v)
 	expectCode(t, table, start, Need{}, result.NoPrimary)
 	for i := range v.Members {
-		v.Members[i].Out = true
+		v.Members[i].OutOfUse = true
 	}
 	table.SetView(start, v)
 	expectCode(t, table, start, Need{ReadOnly: true}, result.NoEndpoint)
@@ -117,16 +117,16 @@
 	expectCode(t, table, start, Need{ReadOnly: true}, result.NoEndpoint)
 }
 
-func TestSilentReplicaExcluded(t *testing.T) {
+func TestReplicaWithoutRecentStatusExcluded(t *testing.T) {
 	table := newReadyTable()
 	later := start.Add(table.cfg.StatusTTL + 1)
 	expectPick(t, table, later, Need{ReadOnly: true}, "p")
 	observeAll(table, later, 100, 100, 100)
-	table.Observe(later, Status{Endpoint: "r1", Asked: later, Failed: true})
+	table.Observe(later, Status{Endpoint: "r1", QueriedAt: later, Failed: true})
 	expectPick(t, table, later, Need{ReadOnly: true}, "r2")
 }
 
-func TestEjectionBackoffAndMemberFloor(t *testing.T) {
+func TestEjectionBackoffAndMinimumMembers(t *testing.T) {
 	table := newReadyTable()
 	now := start
 	fail := func(id string) {
@@ -163,7 +163,7 @@
 	v.Members[1].Domain = "d2" // both replicas are remote
 	out := v
 	out.Members = append([]Member(nil), v.Members...)
-	out.Members[1].Out = true
+	out.Members[1].OutOfUse = true
 	table.SetView(start, out)
 	observeAll(table, start, 1, 1, 1)
 	table.SetView(start, v)
@@ -178,10 +178,10 @@
 		return float64(n) / 4000
 	}
 	if early := share(start); early > 0.15 {
-		t.Errorf("share %.2f right after the return", early)
+		t.Errorf("share %.2f right after the return, want at most 0.15", early)
 	}
 	if late := share(start.Add(table.cfg.SlowStart)); late < 0.45 || late > 0.55 {
-		t.Errorf("share %.2f after the slow start", late)
+		t.Errorf("share %.2f after the slow start, want 0.45 to 0.55", late)
 	}
 }
 
@@ -189,7 +189,7 @@
 // a primary that writes, replicas that lag and statuses that arrive late.
 func TestPickedEndpointQualifies(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		w := newWorld(rapid.Uint64().Draw(t, "seed"))
+		w := newGroupModel(rapid.Uint64().Draw(t, "seed"))
 		for range 300 {
 			w.step()
 			if w.failure != "" {
@@ -199,27 +199,27 @@
 	})
 }
 
-// world is the true state of a group and a table that observes it only through statuses.
-type world struct {
-	rnd     *rand.Rand
-	table   *Table
-	now     time.Time
-	view    View
-	written []sample // the primary's position by time
-	lsn     map[string]uint64
-	delayed []Status
-	failure string
+// groupModel is the true state of a group and a table that observes it only through statuses.
+type groupModel struct {
+	rnd         *rand.Rand
+	table       *Table
+	now         time.Time
+	view        View
+	written     []sample // the primary's position by time
+	lsn         map[string]uint64
+	undelivered []Status
+	failure     string
 }
 
-func newWorld(seed uint64) *world {
-	w := &world{rnd: rand.New(rand.NewPCG(seed, 2)), now: start, view: groupView(), lsn: map[string]uint64{}}
+func newGroupModel(seed uint64) *groupModel {
+	w := &groupModel{rnd: rand.New(rand.NewPCG(seed, 2)), now: start, view: groupView(), lsn: map[string]uint64{}}
 	w.table = NewTable(DefaultConfig("d1"), w.rnd)
 	w.table.SetView(w.now, w.view)
 	w.written = []sample{{at: w.now}}
 	return w
 }
 
-func (w *world) step() {
+func (w *groupModel) step() {
 	w.now = w.now.Add(time.Duration(w.rnd.IntN(100)) * time.Millisecond)
 	switch w.rnd.IntN(8) {
 	case 0, 1:
@@ -231,7 +231,7 @@
 	case 4:
 		i := w.rnd.IntN(3)
 		w.view.Members = append([]Member(nil), w.view.Members...)
-		w.view.Members[i].Out = !w.view.Members[i].Out
+		w.view.Members[i].OutOfUse = !w.view.Members[i].OutOfUse
 		w.table.SetView(w.now, w.view)
 	case 5:
 		m := w.view.Members[w.rnd.IntN(3)].Endpoint
@@ -244,45 +244,45 @@
 }
 
 // report reads a status and delivers it or an older undelivered one.
-func (w *world) report() {
+func (w *groupModel) report() {
 	m := w.view.Members[w.rnd.IntN(3)].Endpoint
-	s := Status{Endpoint: m, Asked: w.now, Timeline: 2, InRecovery: m != "p", LSN: w.lsn[m], Failed: w.rnd.IntN(10) == 0}
-	w.delayed = append(w.delayed, s)
-	i := w.rnd.IntN(len(w.delayed))
-	w.table.Observe(w.now, w.delayed[i])
-	w.delayed = append(w.delayed[:i], w.delayed[i+1:]...)
+	s := Status{Endpoint: m, QueriedAt: w.now, Timeline: 2, InRecovery: m != "p", LSN: w.lsn[m], Failed: w.rnd.IntN(10) == 0}
+	w.undelivered = append(w.undelivered, s)
+	i := w.rnd.IntN(len(w.undelivered))
+	w.table.Observe(w.now, w.undelivered[i])
+	w.undelivered = append(w.undelivered[:i], w.undelivered[i+1:]...)
 }
 
-func (w *world) checkPick() {
-	need := Need{ReadOnly: w.rnd.IntN(4) > 0, Min: Position{Term: 2, LSN: uint64(w.rnd.Int64N(int64(w.lsn["p"]) + 1))}}
+func (w *groupModel) checkPick() {
+	need := Need{ReadOnly: w.rnd.IntN(4) > 0, MinPosition: Position{Term: 2, LSN: uint64(w.rnd.Int64N(int64(w.lsn["p"]) + 1))}}
 	if w.rnd.IntN(2) == 0 {
 		need.MaxStaleness = time.Duration(1+w.rnd.IntN(2000)) * time.Millisecond
 	}
 	id, err := w.table.Pick(w.now, need)
 	if err != nil {
-		if !w.view.Members[0].Out {
+		if !w.view.Members[0].OutOfUse {
 			w.failure = fmt.Sprintf("%+v failed although the primary is in use: %v", need, err)
 		}
 		return
 	}
 	e := w.table.endpoints[id]
 	switch {
-	case e.member.Out:
+	case e.member.OutOfUse:
 		w.failure = fmt.Sprintf("%s is out of use", id)
 	case !need.ReadOnly && id != "p":
 		w.failure = fmt.Sprintf("a write was routed to %s", id)
 	case id == "p":
 	case e.isEjected(w.now):
 		w.failure = fmt.Sprintf("%s is ejected", id)
-	case need.MaxStaleness == 0 && w.lsn[id] < need.Min.LSN:
-		w.failure = fmt.Sprintf("%s is at %d, %d is needed", id, w.lsn[id], need.Min.LSN)
+	case need.MaxStaleness == 0 && w.lsn[id] < need.MinPosition.LSN:
+		w.failure = fmt.Sprintf("%s is at %d, %d is needed", id, w.lsn[id], need.MinPosition.LSN)
 	case need.MaxStaleness > 0 && w.lsn[id] < w.writtenBy(w.now.Add(-need.MaxStaleness)):
 		w.failure = fmt.Sprintf("%s does not hold all writes older than %s", id, need.MaxStaleness)
 	}
 }
 
 // writtenBy returns the primary's position at a past time.
-func (w *world) writtenBy(at time.Time) uint64 {
+func (w *groupModel) writtenBy(at time.Time) uint64 {
 	var lsn uint64
 	for _, s := range w.written {
 		if !s.at.After(at) {
@@ -294,7 +294,7 @@
 
 func BenchmarkPickRead(b *testing.B) {
 	table := newReadyTable()
-	need := Need{ReadOnly: true, Min: Position{Term: 2, LSN: 50}}
+	need := Need{ReadOnly: true, MinPosition: Position{Term: 2, LSN: 50}}
 	b.ReportAllocs()
 	for b.Loop() {
 		id, err := table.Pick(start, need)
@@ -309,7 +309,7 @@
 func TestPositionsOfOtherTimelineIgnoredForFreshness(t *testing.T) {
 	table := newTable(1)
 	table.SetView(start, groupView())
-	table.Observe(start, Status{Endpoint: "p", Asked: start, Timeline: 1, LSN: 50})
-	table.Observe(start, Status{Endpoint: "r1", Asked: start, Timeline: 2, InRecovery: true, LSN: 60})
+	table.Observe(start, Status{Endpoint: "p", QueriedAt: start, Timeline: 1, LSN: 50})
+	table.Observe(start, Status{Endpoint: "r1", QueriedAt: start, Timeline: 2, InRecovery: true, LSN: 60})
 	expectPick(t, table, start, Need{ReadOnly: true, MaxStaleness: time.Minute}, "p")
 }
--- a/internal/route/types.go
+++ b/internal/route/types.go
@@ -77,9 +77,9 @@
 type Member struct {
 	Endpoint string
 	Domain   string
-	// Out reports that the member gets no new work: its failure domain is out
-	// or it is leaving.
-	Out bool
+	// OutOfUse reports that the member gets no new work, for example because its failure
+	// domain is out.
+	OutOfUse bool
 	// Slots is the number of requests that the endpoint runs at once; zero when
 	// unlimited.
 	Slots int
@@ -88,8 +88,8 @@
 // Status is the status that an endpoint reported.
 type Status struct {
 	Endpoint string
-	// Asked is when the status was requested; the answer is at least as recent.
-	Asked      time.Time
+	// QueriedAt is when the status was requested; the answer is at least as recent.
+	QueriedAt  time.Time
 	Failed     bool
 	InRecovery bool
 	Timeline   uint32
@@ -101,9 +101,9 @@
 // Need describes what a request requires of an endpoint.
 type Need struct {
 	ReadOnly bool
-	// Min is the position that a replica must have replayed.
-	Min Position
-	// MaxStaleness, when above zero, replaces Min: the replica must hold
+	// MinPosition is the position that a replica must have replayed.
+	MinPosition Position
+	// MaxStaleness, when above zero, replaces MinPosition: the replica must hold
 	// everything that was written this long ago.
 	MaxStaleness time.Duration
 	// Exclude lists endpoints at which a read has already failed.
--- a/internal/session/model_test.go
+++ b/internal/session/model_test.go
@@ -16,59 +16,73 @@
 // acknowledged before the read started.
 
 const (
-	modelTick  = time.Millisecond
-	modelLease = 60 * time.Millisecond
-	grantLease = 61 * time.Millisecond
+	modelTick = time.Millisecond
+	// holderLease is the lease as the host counts it. grantorLease is the same lease as its
+	// grantor counts it; it ends later, so that a host is removed only after it has stopped.
+	holderLease  = 60 * time.Millisecond
+	grantorLease = 61 * time.Millisecond
 )
 
 // process is one process of a host.
 type process struct {
 	host        string
 	incarnation uint64
-	registered  uint64
-	alive       bool
-	frozen      bool
-	service     *Service
-	revision    uint64 // applied
-	members     map[string]uint64
-	departed    uint64
-	settled     uint64
-	leaseEnd    time.Time
-	grantEnd    time.Time
+	// registeredRevision is the revision at which the process was registered.
+	registeredRevision uint64
+	alive              bool
+	frozen             bool
+	service            *Service
+	// appliedRevision, members, lastRemovalRevision and settledRevision are the agreed state
+	// that the process received with its last lease.
+	appliedRevision     uint64
+	members             map[string]uint64
+	lastRemovalRevision uint64
+	settledRevision     uint64
+	holderLeaseEnd      time.Time
+	grantorLeaseEnd     time.Time
 }
 
-func (p *process) runs() bool { return p.alive && !p.frozen }
+func (p *process) isRunning() bool { return p.alive && !p.frozen }
 
-func (p *process) serves(now time.Time) bool {
-	return p.runs() && now.Before(p.leaseEnd) && p.settled >= p.registered && p.revision >= p.registered
+func (p *process) canServe(now time.Time) bool {
+	return p.isRunning() && now.Before(p.holderLeaseEnd) && p.settledRevision >= p.registeredRevision && p.appliedRevision >= p.registeredRevision
 }
 
+// modelRead is a read in progress and the LSN that its position must include.
 type modelRead struct {
 	process  *process
 	required uint64
 }
 
+// message is a message in transit, delivered at the time due.
 type message struct {
 	due     time.Time
 	deliver func()
 }
 
+// model is the agreed state, its processes and the messages in transit.
 type model struct {
-	rnd         *rand.Rand
-	injectFault func(*Service)
-	now         time.Time
-	revision    uint64
-	departed    uint64
-	members     map[string]uint64 // registered hosts with their incarnation
-	all         []*process
-	messages    []message
-	written     uint64
-	acked       map[string]uint64
-	reads       map[uint64]modelRead
-	nextRead    uint64
-	resolved    int
-	calm        bool
-	failure     string
+	rnd *rand.Rand
+	// injectFault changes a Service after each of its steps; nil injects no fault.
+	injectFault         func(*Service)
+	now                 time.Time
+	revision            uint64
+	lastRemovalRevision uint64
+	// members holds the incarnations of the registered hosts.
+	members map[string]uint64
+	// processes holds every process ever started, also replaced ones.
+	processes      []*process
+	messages       []message
+	lastWrittenLSN uint64
+	// acked holds the LSN of the last acknowledged write by workspace.
+	acked map[string]uint64
+	// reads holds the reads in progress by ID.
+	reads              map[uint64]modelRead
+	nextRead           uint64
+	resolved           int
+	hostEventsDisabled bool
+	// failure describes the first violation; empty when there is none.
+	failure string
 }
 
 var modelHosts = []string{"h1", "h2", "h3"}
@@ -87,13 +101,13 @@
 // start registers a new process of the host, which replaces the former one.
 func (m *model) start(host string) {
 	m.revision++
-	p := &process{host: host, incarnation: uint64(len(m.all) + 1), registered: m.revision, alive: true, service: NewService(DefaultConfig())}
+	p := &process{host: host, incarnation: uint64(len(m.processes) + 1), registeredRevision: m.revision, alive: true, service: NewService(DefaultConfig())}
 	m.members = cloneMembers(m.members)
 	if _, ok := m.members[host]; ok {
-		m.departed = m.revision
+		m.lastRemovalRevision = m.revision
 	}
 	m.members[host] = p.incarnation
-	m.all = append(m.all, p)
+	m.processes = append(m.processes, p)
 }
 
 func cloneMembers(members map[string]uint64) map[string]uint64 {
@@ -107,14 +121,14 @@
 func (m *model) run(ticks int) string {
 	for range ticks {
 		m.now = m.now.Add(modelTick)
-		if !m.calm && m.rnd.IntN(15) == 0 {
+		if !m.hostEventsDisabled && m.rnd.IntN(15) == 0 {
 			m.injectHostEvent()
 		}
 		m.renew()
 		m.deliver()
 		m.issueOperation()
-		for _, p := range m.all {
-			if p.runs() {
+		for _, p := range m.processes {
+			if p.isRunning() {
 				m.step(p, Tick{})
 			}
 		}
@@ -126,7 +140,7 @@
 }
 
 func (m *model) injectHostEvent() {
-	p := m.all[m.rnd.IntN(len(m.all))]
+	p := m.processes[m.rnd.IntN(len(m.processes))]
 	switch m.rnd.IntN(6) {
 	case 0:
 		p.alive = false
@@ -143,23 +157,23 @@
 
 // removeHost removes a host from the members once its lease has expired.
 func (m *model) removeHost(p *process) {
-	if m.members[p.host] != p.incarnation || m.now.Before(p.grantEnd) {
+	if m.members[p.host] != p.incarnation || m.now.Before(p.grantorLeaseEnd) {
 		return
 	}
 	m.members = cloneMembers(m.members)
 	delete(m.members, p.host)
 	m.revision++
-	m.departed = m.revision
+	m.lastRemovalRevision = m.revision
 }
 
 func (m *model) renew() {
-	for _, p := range m.all {
-		if !p.runs() || m.members[p.host] != p.incarnation || m.rnd.IntN(10) != 0 {
+	for _, p := range m.processes {
+		if !p.isRunning() || m.members[p.host] != p.incarnation || m.rnd.IntN(10) != 0 {
 			continue
 		}
-		p.revision, p.members, p.departed = m.revision, m.members, m.departed
-		p.leaseEnd, p.grantEnd = m.now.Add(modelLease), m.now.Add(grantLease)
-		p.settled = m.settled()
+		p.appliedRevision, p.members, p.lastRemovalRevision = m.revision, m.members, m.lastRemovalRevision
+		p.holderLeaseEnd, p.grantorLeaseEnd = m.now.Add(holderLease), m.now.Add(grantorLease)
+		p.settledRevision = m.settled()
 		m.step(p, p.view())
 	}
 }
@@ -167,16 +181,16 @@
 // settled returns the least revision that any holder of a lease has applied.
 func (m *model) settled() uint64 {
 	least := m.revision
-	for _, p := range m.all {
-		if m.now.Before(p.grantEnd) {
-			least = min(least, p.revision)
+	for _, p := range m.processes {
+		if m.now.Before(p.grantorLeaseEnd) {
+			least = min(least, p.appliedRevision)
 		}
 	}
 	return least
 }
 
 func (p *process) view() View {
-	v := View{Departed: p.departed, Settled: p.settled, Term: 1}
+	v := View{LastRemovalRevision: p.lastRemovalRevision, Settled: p.settledRevision, Term: 1}
 	for host, incarnation := range p.members {
 		if host != p.host {
 			v.Peers = append(v.Peers, Peer{Host: host, Incarnation: incarnation})
@@ -187,27 +201,27 @@
 
 // issueOperation starts a write, a read or a replay report on a host that may serve.
 func (m *model) issueOperation() {
-	p := m.all[m.rnd.IntN(len(m.all))]
-	if !p.serves(m.now) {
+	p := m.processes[m.rnd.IntN(len(m.processes))]
+	if !p.canServe(m.now) {
 		return
 	}
 	workspace := []string{"a", "b"}[m.rnd.IntN(2)]
 	switch m.rnd.IntN(3) {
 	case 0:
-		m.written++
-		lsn := m.written
+		m.lastWrittenLSN++
+		lsn := m.lastWrittenLSN
 		m.sendDelayed(5, func() { m.acknowledge(p, workspace, lsn) })
 	case 1:
 		m.nextRead++
 		m.reads[m.nextRead] = modelRead{process: p, required: m.acked[workspace]}
 		m.step(p, Read{ID: m.nextRead, Workspace: workspace})
 	case 2:
-		m.step(p, Replayed{Position{Term: 1, LSN: uint64(m.rnd.Int64N(int64(m.written) + 1))}})
+		m.step(p, Replayed{Position{Term: 1, LSN: uint64(m.rnd.Int64N(int64(m.lastWrittenLSN) + 1))}})
 	}
 }
 
 func (m *model) acknowledge(p *process, workspace string, lsn uint64) {
-	if !p.runs() || !m.now.Before(p.leaseEnd) {
+	if !p.isRunning() || !m.now.Before(p.holderLeaseEnd) {
 		return
 	}
 	m.step(p, Acked{Workspace: workspace, Position: Position{Term: 1, LSN: lsn}})
@@ -217,11 +231,11 @@
 // sendDelayed delivers a message within the given number of ticks, or in 1 of 30 cases
 // 20 times later.
 func (m *model) sendDelayed(ticks int, deliver func()) {
-	wait := 1 + m.rnd.IntN(ticks)
+	delayTicks := 1 + m.rnd.IntN(ticks)
 	if m.rnd.IntN(30) == 0 {
-		wait *= 20
+		delayTicks *= 20
 	}
-	m.messages = append(m.messages, message{due: m.now.Add(time.Duration(wait) * modelTick), deliver: deliver})
+	m.messages = append(m.messages, message{due: m.now.Add(time.Duration(delayTicks) * modelTick), deliver: deliver})
 }
 
 func (m *model) deliver() {
@@ -257,10 +271,10 @@
 		}
 	case RequestPrimaryPosition:
 		m.sendDelayed(3, func() {
-			position := Position{Term: 1, LSN: m.written}
+			position := Position{Term: 1, LSN: m.lastWrittenLSN}
 			m.sendDelayed(3, func() {
-				if p.runs() {
-					m.step(p, PrimaryPosition{Round: ef.Round, OK: m.now.Before(p.leaseEnd), Position: position})
+				if p.isRunning() {
+					m.step(p, PrimaryPosition{Round: ef.Round, OK: m.now.Before(p.holderLeaseEnd), Position: position})
 				}
 			})
 		})
@@ -273,13 +287,13 @@
 
 // answer sends the table of every running process of the host, also of replaced ones.
 func (m *model) answer(to *process, round uint64, host string) {
-	for _, q := range m.all {
-		if q.host != host || !q.runs() || m.rnd.IntN(40) == 0 {
+	for _, q := range m.processes {
+		if q.host != host || !q.isRunning() || m.rnd.IntN(40) == 0 {
 			continue
 		}
 		reply := Reply{Round: round, Host: host, Incarnation: q.incarnation, Table: q.service.Snapshot()}
 		m.sendDelayed(3, func() {
-			if to.runs() {
+			if to.isRunning() {
 				m.step(to, reply)
 			}
 		})
@@ -289,7 +303,7 @@
 func (m *model) check(r Resolve) {
 	read := m.reads[r.ID]
 	delete(m.reads, r.ID)
-	if !m.now.Before(read.process.leaseEnd) {
+	if !m.now.Before(read.process.holderLeaseEnd) {
 		return // the entry host refuses the read without a valid lease
 	}
 	m.resolved++
@@ -316,14 +330,14 @@
 // rule of the Service and must lead to a stale read in at least one schedule.
 func TestModelDetectsInjectedFaults(t *testing.T) {
 	faults := map[string]func(*Service){
-		"no floor after a lost process": func(s *Service) { s.floorRevision = 0 },
-		"reads join a round that runs": func(s *Service) {
+		"no new floor after a removed process": func(s *Service) { s.floorRevision = 0 },
+		"reads join a round in progress": func(s *Service) {
 			if s.round != nil {
 				s.round.reads = append(s.round.reads, s.pending...)
 				s.pending = nil
 			}
 		},
-		"a silent host counts as empty": func(s *Service) {
+		"the table of an unresponsive host counts as empty": func(s *Service) {
 			for _, p := range s.peers {
 				if p.unresponsive && s.round != nil && len(s.round.awaited) > 0 {
 					s.round.awaited = map[string]bool{}
--- a/internal/session/service.go
+++ b/internal/session/service.go
@@ -45,7 +45,7 @@
 	hasView bool
 	view    View
 	peers   map[string]*peer
-	// floor covers the writes acknowledged by departed processes, whose tables
+	// floor covers the writes acknowledged by removed processes, whose tables
 	// are lost.
 	floor Position
 	// floorRevision is the revision that must be settled before a new floor can
@@ -106,16 +106,16 @@
 	case r != nil:
 		return r.primaryRequestedAt.Add(s.cfg.PrimaryTimeout), true
 	case len(s.pending) > 0 && s.hasView:
-		return s.lastRoundAt.Add(s.cfg.Interval), true
+		return s.lastRoundAt.Add(s.cfg.MinRoundInterval), true
 	}
 	return time.Time{}, false
 }
 
-// setView applies a new view. A departed process or a new term makes a new floor
+// setView applies a new view. A removed process or a new term makes a new floor
 // necessary. A round that awaits a lost peer falls back to the primary.
 func (s *Service) setView(now time.Time, v View) {
-	if !s.hasView || v.Term != s.view.Term || v.Departed != s.view.Departed {
-		s.floorRevision = max(v.Departed, 1)
+	if !s.hasView || v.Term != s.view.Term || v.LastRemovalRevision != s.view.LastRemovalRevision {
+		s.floorRevision = max(v.LastRemovalRevision, 1)
 		s.floorChanges++
 	}
 	s.hasView, s.view = true, v
@@ -145,12 +145,12 @@
 }
 
 // startRound starts a round for the pending reads unless one is in progress or the
-// last one started less than Config.Interval ago.
+// last one started less than Config.MinRoundInterval ago.
 func (s *Service) startRound(now time.Time) {
 	if s.round != nil || len(s.pending) == 0 || !s.hasView {
 		return
 	}
-	if !s.lastRoundAt.IsZero() && now.Sub(s.lastRoundAt) < s.cfg.Interval {
+	if !s.lastRoundAt.IsZero() && now.Sub(s.lastRoundAt) < s.cfg.MinRoundInterval {
 		return
 	}
 	s.rounds++
@@ -187,8 +187,8 @@
 }
 
 // requestPrimary requests the primary's position, at most once at a time per round.
-// The answer can serve as the new floor only if the departure is settled: until then
-// a departed process may hold a lease and acknowledge further writes.
+// The answer can serve as the new floor only if the removal is settled: until then the
+// removed process may hold a lease and acknowledge further writes.
 func (s *Service) requestPrimary(now time.Time) {
 	r := s.round
 	if !r.primaryRequestedAt.IsZero() {
--- a/internal/session/types.go
+++ b/internal/session/types.go
@@ -42,16 +42,16 @@
 	GatherTimeout time.Duration
 	// PrimaryTimeout bounds the wait for the primary's position.
 	PrimaryTimeout time.Duration
-	// Interval is the least time between the starts of two rounds.
-	Interval time.Duration
+	// MinRoundInterval is the least time between the starts of two rounds.
+	MinRoundInterval time.Duration
 }
 
 // DefaultConfig returns the timeouts for hosts in one region.
 func DefaultConfig() Config {
 	return Config{
-		GatherTimeout:  8 * time.Millisecond,
-		PrimaryTimeout: time.Second,
-		Interval:       4 * time.Millisecond,
+		GatherTimeout:    8 * time.Millisecond,
+		PrimaryTimeout:   time.Second,
+		MinRoundInterval: 4 * time.Millisecond,
 	}
 }
 
@@ -67,9 +67,9 @@
 // View is the part of the agreed state that a Service depends on. Intermediate
 // states may be skipped.
 type View struct {
-	// Departed is the revision at which an entry host's process was last
+	// LastRemovalRevision is the revision at which an entry host's process was last
 	// removed or replaced.
-	Departed uint64
+	LastRemovalRevision uint64
 	// Settled is a revision that every holder of a configuration lease has
 	// applied.
 	Settled uint64
@@ -86,7 +86,7 @@
 	Workspace string
 }
 
-// Cancel withdraws a Read that needs no answer any more.
+// Cancel withdraws a Read. No answer to it is produced after that.
 type Cancel struct{ ID uint64 }
 
 // Acked records a write that is about to be acknowledged on this host.
