--- a/internal/core/server.go
+++ b/internal/core/server.go
@@ -56,7 +56,7 @@
 }
 
 // Server serves client sessions. It is safe for concurrent use and implements
-// limits.Pool.
+// limits.Pool. Locks are taken in the order Session.mu, Server.mu, endpoint.mu.
 type Server struct {
 	opts             Options
 	metrics          *metrics
--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -48,7 +48,7 @@
 // errStopped is returned to requests that reach a task after the server has stopped.
 var errStopped = errors.New("the server has stopped")
 
-// positionTask runs the position state machine of one service. Only its goroutine accesses
+// positionTask runs the position tracker of one service. Only its goroutine accesses
 // the fields after done; others send messages through post.
 type positionTask struct {
 	positions *SharedPositions
@@ -56,16 +56,16 @@
 	inbox     chan positionMessage
 	done      chan struct{}
 
-	machine *pos.Service
+	tracker *pos.PositionTracker
 	// reads holds the reply channels of the unresolved reads by id.
 	reads map[uint64]chan readResult
 	// statuses holds the last status of each endpoint.
 	statuses map[string]pgback.Status
-	// lastView identifies the last view passed to the machine.
+	// lastView identifies the last view passed to the tracker.
 	lastView struct{ revision, settled uint64 }
 	// lastActiveTerm is the last term in which the group was active.
 	lastActiveTerm uint64
-	// lastReplayed is the last position reported to the machine as replayed by all replicas.
+	// lastReplayed is the last position reported to the tracker as replayed by all replicas.
 	lastReplayed pos.Position
 }
 
@@ -74,13 +74,13 @@
 		positions: p, service: service,
 		inbox:    make(chan positionMessage, positionQueueSize),
 		done:     make(chan struct{}),
-		machine:  pos.NewService(positionConfig(p.gatherTimeout)),
+		tracker:  pos.NewPositionTracker(positionConfig(p.gatherTimeout)),
 		reads:    make(map[uint64]chan readResult),
 		statuses: make(map[string]pgback.Status),
 	}
 }
 
-// positionConfig returns the configuration of the state machine. A round starts as soon as
+// positionConfig returns the configuration of the tracker. A round starts as soon as
 // the previous one has ended: rounds are paced by their round-trip time, and reads that
 // arrive during a round share the next one.
 func positionConfig(gatherTimeout time.Duration) pos.Config {
@@ -121,7 +121,7 @@
 			t.failReads()
 			return
 		}
-		if next, ok := t.machine.NextDeadline(); ok {
+		if next, ok := t.tracker.NextDeadline(); ok {
 			timer.Reset(time.Until(next))
 		} else {
 			timer.Stop()
@@ -142,11 +142,11 @@
 	case statusMessage:
 		t.observe(ctx, m.status)
 	case snapshotMessage:
-		m.reply <- t.machine.Snapshot()
+		m.reply <- t.tracker.Snapshot()
 	}
 }
 
-// refresh passes a changed view to the machine.
+// refresh passes a changed view to the tracker.
 func (t *positionTask) refresh(ctx context.Context) {
 	v := t.positions.view.Current()
 	if v.State == nil || t.lastView.revision == v.State.Revision && t.lastView.settled == v.Settled {
@@ -156,7 +156,7 @@
 	t.step(ctx, t.sessionView(v))
 }
 
-// sessionView converts the view for the machine. While the group is not active, the term
+// sessionView converts the view for the tracker. While the group is not active, the term
 // stays that of the last active one.
 func (t *positionTask) sessionView(v view.View) pos.View {
 	group := v.State.Groups[t.service]
@@ -172,9 +172,9 @@
 	return out
 }
 
-// step passes an event to the machine and carries out the effects.
+// step passes an event to the tracker and carries out the effects.
 func (t *positionTask) step(ctx context.Context, event pos.Event) {
-	for _, effect := range t.machine.Step(time.Now(), event) {
+	for _, effect := range t.tracker.Step(time.Now(), event) {
 		switch effect := effect.(type) {
 		case pos.Resolve:
 			t.resolve(effect.ID, readResult{position: effect.Position})
@@ -204,7 +204,7 @@
 	}
 }
 
-// requestTable requests the table of one host. An error is ignored: the machine treats a
+// requestTable requests the table of one host. An error is ignored: the tracker treats a
 // missing answer like a late one.
 func (t *positionTask) requestTable(ctx context.Context, round uint64, host string) {
 	if t.positions.peers == nil {
@@ -237,7 +237,7 @@
 	_ = t.post(ctx, eventMessage{answer})
 }
 
-// observe records the status of an endpoint and reports to the machine the lowest position
+// observe records the status of an endpoint and reports to the tracker the lowest position
 // that all replicas have replayed, when it has advanced. A replica without a status on the
 // group's timeline prevents the report.
 func (t *positionTask) observe(ctx context.Context, s pgback.Status) {
--- a/internal/session/model_test.go
+++ b/internal/session/model_test.go
@@ -10,7 +10,7 @@
 	"pgregory.net/rapid"
 )
 
-// The model runs a Service on each of several hosts that crash, restart and
+// The model runs a PositionTracker on each of several hosts that crash, restart and
 // freeze, under configuration leases, with lost and delayed messages. It checks
 // that each resolved position covers all writes of the workspace that were
 // acknowledged before the read started.
@@ -31,7 +31,7 @@
 	registeredRevision uint64
 	alive              bool
 	frozen             bool
-	service            *Service
+	tracker            *PositionTracker
 	// appliedRevision, members, lastRemovalRevision and settledRevision are the agreed state
 	// that the process received with its last lease.
 	appliedRevision     uint64
@@ -63,8 +63,8 @@
 // model is the agreed state, its processes and the messages in transit.
 type model struct {
 	rnd *rand.Rand
-	// injectFault changes a Service after each of its steps; nil injects no fault.
-	injectFault         func(*Service)
+	// injectFault changes a tracker after each of its steps; nil injects no fault.
+	injectFault         func(*PositionTracker)
 	now                 time.Time
 	revision            uint64
 	lastRemovalRevision uint64
@@ -87,7 +87,7 @@
 
 var modelHosts = []string{"h1", "h2", "h3"}
 
-func newModel(seed uint64, injectFault func(*Service)) *model {
+func newModel(seed uint64, injectFault func(*PositionTracker)) *model {
 	m := &model{
 		rnd: rand.New(rand.NewPCG(seed, 3)), injectFault: injectFault, now: time.Unix(50, 0),
 		members: map[string]uint64{}, acked: map[string]uint64{}, reads: map[uint64]modelRead{},
@@ -101,7 +101,7 @@
 // start registers a new process of the host, which replaces the former one.
 func (m *model) start(host string) {
 	m.revision++
-	p := &process{host: host, incarnation: uint64(len(m.processes) + 1), registeredRevision: m.revision, alive: true, service: NewService(DefaultConfig())}
+	p := &process{host: host, incarnation: uint64(len(m.processes) + 1), registeredRevision: m.revision, alive: true, tracker: NewPositionTracker(DefaultConfig())}
 	m.members = cloneMembers(m.members)
 	if _, ok := m.members[host]; ok {
 		m.lastRemovalRevision = m.revision
@@ -253,10 +253,10 @@
 }
 
 func (m *model) step(p *process, ev Event) {
-	effects := p.service.Step(m.now, ev)
+	effects := p.tracker.Step(m.now, ev)
 	if m.injectFault != nil {
-		m.injectFault(p.service)
-		effects = p.service.effects
+		m.injectFault(p.tracker)
+		effects = p.tracker.effects
 	}
 	for _, effect := range effects {
 		m.apply(p, effect)
@@ -291,7 +291,7 @@
 		if q.host != host || !q.isRunning() || m.rnd.IntN(40) == 0 {
 			continue
 		}
-		reply := Reply{Round: round, Host: host, Incarnation: q.incarnation, Table: q.service.Snapshot()}
+		reply := Reply{Round: round, Host: host, Incarnation: q.incarnation, Table: q.tracker.Snapshot()}
 		m.sendDelayed(3, func() {
 			if to.isRunning() {
 				m.step(to, reply)
@@ -327,17 +327,17 @@
 }
 
 // TestModelDetectsInjectedFaults checks that the model is strict enough: each fault breaks a
-// rule of the Service and must lead to a stale read in at least one schedule.
+// rule of the tracker and must lead to a stale read in at least one schedule.
 func TestModelDetectsInjectedFaults(t *testing.T) {
-	faults := map[string]func(*Service){
-		"no new floor after a removed process": func(s *Service) { s.floorRevision = 0 },
-		"reads join a round in progress": func(s *Service) {
+	faults := map[string]func(*PositionTracker){
+		"no new floor after a removed process": func(s *PositionTracker) { s.floorRevision = 0 },
+		"reads join a round in progress": func(s *PositionTracker) {
 			if s.round != nil {
 				s.round.reads = append(s.round.reads, s.pending...)
 				s.pending = nil
 			}
 		},
-		"the table of an unresponsive host counts as empty": func(s *Service) {
+		"the table of an unresponsive host counts as empty": func(s *PositionTracker) {
 			for _, p := range s.peers {
 				if p.unresponsive && s.round != nil && len(s.round.awaited) > 0 {
 					s.round.awaited = map[string]bool{}
--- a/internal/session/service.go
+++ b/internal/session/tracker.go
@@ -36,10 +36,10 @@
 	floorChange uint64
 }
 
-// Service determines the positions for the reads of one database service on one
-// host. It is not safe for concurrent use. At most one round is in progress. A round
-// that starts while floorRevision is nonzero is resolved only by the primary's position.
-type Service struct {
+// PositionTracker determines the positions for the reads of one service on one host. It is
+// not safe for concurrent use. At most one round is in progress. A round that starts while
+// floorRevision is nonzero is resolved only by the primary's position.
+type PositionTracker struct {
 	cfg     Config
 	table   Table
 	hasView bool
@@ -60,15 +60,15 @@
 	effects       []Effect
 }
 
-// NewService returns a Service that resolves no read before its first View. It
-// starts without a floor, because it does not know the writes acknowledged by a
-// former process of this host.
-func NewService(cfg Config) *Service {
-	return &Service{cfg: cfg, peers: make(map[string]*peer)}
+// NewPositionTracker returns a tracker that resolves no read before its first View. It
+// starts without a floor, because it has no record of the writes acknowledged by a former
+// process of this host.
+func NewPositionTracker(cfg Config) *PositionTracker {
+	return &PositionTracker{cfg: cfg, peers: make(map[string]*peer)}
 }
 
 // Step applies one event and returns the effects in order. The slice is not reused.
-func (s *Service) Step(now time.Time, event Event) []Effect {
+func (s *PositionTracker) Step(now time.Time, event Event) []Effect {
 	s.effects = nil
 	switch ev := event.(type) {
 	case View:
@@ -93,12 +93,12 @@
 }
 
 // Snapshot returns a copy of this host's table to answer a peer's RequestTables.
-func (s *Service) Snapshot() Table {
+func (s *PositionTracker) Snapshot() Table {
 	return Table{Base: s.table.Base, Acked: maps.Clone(s.table.Acked)}
 }
 
 // NextDeadline returns the time at which Tick is due, or false when none is.
-func (s *Service) NextDeadline() (time.Time, bool) {
+func (s *PositionTracker) NextDeadline() (time.Time, bool) {
 	r := s.round
 	switch {
 	case r != nil && r.gathering:
@@ -113,7 +113,7 @@
 
 // setView applies a new view. A removed process or a new term makes a new floor
 // necessary. A round that awaits a lost peer falls back to the primary.
-func (s *Service) setView(now time.Time, v View) {
+func (s *PositionTracker) setView(now time.Time, v View) {
 	if !s.hasView || v.Term != s.view.Term || v.LastRemovalRevision != s.view.LastRemovalRevision {
 		s.floorRevision = max(v.LastRemovalRevision, 1)
 		s.floorChanges++
@@ -137,7 +137,7 @@
 }
 
 // handlePeerLost requests the primary's position if the round awaits a lost host.
-func (s *Service) handlePeerLost(now time.Time, host string) {
+func (s *PositionTracker) handlePeerLost(now time.Time, host string) {
 	if r := s.round; r != nil && r.gathering && r.awaited[host] {
 		r.gathering = false
 		s.requestPrimary(now)
@@ -146,7 +146,7 @@
 
 // startRound starts a round for the pending reads unless one is in progress or the
 // last one started less than Config.MinRoundInterval ago.
-func (s *Service) startRound(now time.Time) {
+func (s *PositionTracker) startRound(now time.Time) {
 	if s.round != nil || len(s.pending) == 0 || !s.hasView {
 		return
 	}
@@ -166,7 +166,7 @@
 
 // gatherTables requests the tables of all other hosts. If one of them is
 // unresponsive, it requests the primary's position at the same time.
-func (s *Service) gatherTables(now time.Time) {
+func (s *PositionTracker) gatherTables(now time.Time) {
 	r := s.round
 	r.gathering = true
 	r.awaited = make(map[string]bool, len(s.peers))
@@ -189,7 +189,7 @@
 // requestPrimary requests the primary's position, at most once at a time per round.
 // The answer can serve as the new floor only if the removal is settled: until then the
 // removed process may hold a lease and acknowledge further writes.
-func (s *Service) requestPrimary(now time.Time) {
+func (s *PositionTracker) requestPrimary(now time.Time) {
 	r := s.round
 	if !r.primaryRequestedAt.IsZero() {
 		return
@@ -203,7 +203,7 @@
 
 // handleReply merges the table of a peer. It ignores replies of other processes and
 // of earlier rounds.
-func (s *Service) handleReply(reply Reply) {
+func (s *PositionTracker) handleReply(reply Reply) {
 	p := s.peers[reply.Host]
 	if p == nil || p.incarnation != reply.Incarnation {
 		return
@@ -221,7 +221,7 @@
 }
 
 // finishGather resolves the round with the merged tables of all hosts and the floor.
-func (s *Service) finishGather() {
+func (s *PositionTracker) finishGather() {
 	r := s.round
 	s.round = nil
 	for _, read := range r.reads {
@@ -233,7 +233,7 @@
 // handlePrimaryPosition resolves the round with the primary's position, which covers
 // every acknowledged write. A failed request fails the round unless the tables may
 // still resolve it.
-func (s *Service) handlePrimaryPosition(answer PrimaryPosition) {
+func (s *PositionTracker) handlePrimaryPosition(answer PrimaryPosition) {
 	r := s.round
 	if r == nil || r.id != answer.Round {
 		return
@@ -255,7 +255,7 @@
 }
 
 // failRound ends the round without positions.
-func (s *Service) failRound() {
+func (s *PositionTracker) failRound() {
 	for _, read := range s.round.reads {
 		s.effects = append(s.effects, Fail{ID: read.ID, Code: result.NoPrimary})
 	}
@@ -264,7 +264,7 @@
 
 // checkTimeouts falls back from the peers to the primary after GatherTimeout, and fails
 // the round after PrimaryTimeout.
-func (s *Service) checkTimeouts(now time.Time) {
+func (s *PositionTracker) checkTimeouts(now time.Time) {
 	r := s.round
 	if r == nil {
 		return
@@ -284,7 +284,7 @@
 }
 
 // cancelRead removes a read, which then gets no answer.
-func (s *Service) cancelRead(id uint64) {
+func (s *PositionTracker) cancelRead(id uint64) {
 	match := func(r Read) bool { return r.ID == id }
 	s.pending = slices.DeleteFunc(s.pending, match)
 	if s.round != nil {
--- a/internal/session/service_test.go
+++ b/internal/session/tracker_test.go
@@ -10,9 +10,9 @@
 
 var start = time.Unix(10, 0)
 
-// newServiceWithFloor returns a Service with two peers and a floor at the given position.
-func newServiceWithFloor(floor uint64) *Service {
-	s := NewService(DefaultConfig())
+// newTrackerWithFloor returns a tracker with two peers and a floor at the given position.
+func newTrackerWithFloor(floor uint64) *PositionTracker {
+	s := NewPositionTracker(DefaultConfig())
 	s.Step(start, View{Settled: 5, LastRemovalRevision: 5, Term: 1, Peers: []Peer{{"h2", 2}, {"h3", 3}}})
 	s.Step(start, Read{ID: 1000, Workspace: "w"})
 	s.Step(start, PrimaryPosition{Round: 1, OK: true, Position: Position{1, floor}})
@@ -33,7 +33,7 @@
 // TestPendingReadsShareRound guards against a read that joins a round in progress, whose
 // answers may predate the writes that the read must include.
 func TestPendingReadsShareRound(t *testing.T) {
-	s := newServiceWithFloor(50)
+	s := newTrackerWithFloor(50)
 	now := start.Add(s.cfg.MinRoundInterval)
 	expect(t, s.Step(now, Read{1, "a"}), RequestTables{Round: 2, Hosts: []string{"h2", "h3"}})
 	expect(t, s.Step(now, Read{2, "a"}))
@@ -47,7 +47,7 @@
 }
 
 func TestMissingReplyFallsBackToPrimary(t *testing.T) {
-	s := newServiceWithFloor(50)
+	s := newTrackerWithFloor(50)
 	now := start.Add(s.cfg.MinRoundInterval)
 	s.Step(now, Read{1, "a"})
 	s.Step(now, Reply{2, "h2", 2, table("a", 70)})
@@ -61,7 +61,7 @@
 }
 
 func TestReadFailsWithoutAnyAnswer(t *testing.T) {
-	s := newServiceWithFloor(50)
+	s := newTrackerWithFloor(50)
 	now := start.Add(s.cfg.MinRoundInterval)
 	s.Step(now, Read{1, "a"})
 	now = now.Add(s.cfg.GatherTimeout)
@@ -72,7 +72,7 @@
 // TestRemovedProcessRequiresSettledFloor guards against a floor that is set too early: until
 // the removal is settled, the removed process may acknowledge further writes.
 func TestRemovedProcessRequiresSettledFloor(t *testing.T) {
-	s := newServiceWithFloor(50)
+	s := newTrackerWithFloor(50)
 	view := View{Settled: 6, LastRemovalRevision: 7, Term: 1, Peers: []Peer{{"h2", 2}}}
 	now := start.Add(s.cfg.MinRoundInterval)
 	s.Step(now, view)
@@ -93,7 +93,7 @@
 // TestPrunedPositionsRaiseBase guards against pruning that loses a position which a replica
 // that joined later has not replayed.
 func TestPrunedPositionsRaiseBase(t *testing.T) {
-	s := newServiceWithFloor(50)
+	s := newTrackerWithFloor(50)
 	s.Step(start, Acked{"a", Position{1, 70}})
 	s.Step(start, Acked{"b", Position{1, 90}})
 	s.Step(start, Replayed{Position{1, 80}})
@@ -104,7 +104,7 @@
 }
 
 func TestCancelledReadNotResolved(t *testing.T) {
-	s := newServiceWithFloor(50)
+	s := newTrackerWithFloor(50)
 	now := start.Add(s.cfg.MinRoundInterval)
 	s.Step(now, Read{1, "a"})
 	s.Step(now, Cancel{1})
@@ -114,7 +114,7 @@
 
 // BenchmarkRound measures a round of 100 reads among nine hosts.
 func BenchmarkRound(b *testing.B) {
-	s := NewService(Config{GatherTimeout: time.Second, PrimaryTimeout: time.Second})
+	s := NewPositionTracker(Config{GatherTimeout: time.Second, PrimaryTimeout: time.Second})
 	view := View{Settled: 1, Term: 1}
 	for i := range 8 {
 		view.Peers = append(view.Peers, Peer{Host: string(rune('a' + i)), Incarnation: 1})
--- a/internal/session/types.go
+++ b/internal/session/types.go
@@ -36,7 +36,7 @@
 	return p
 }
 
-// Config holds the timeouts of a Service.
+// Config holds the timeouts of a PositionTracker.
 type Config struct {
 	// GatherTimeout bounds the wait for the tables of the other hosts.
 	GatherTimeout time.Duration
@@ -61,11 +61,11 @@
 	Incarnation uint64
 }
 
-// Event is an input of Service.Step.
+// Event is an input of PositionTracker.Step.
 type Event interface{ isEvent() }
 
-// View is the part of the agreed state that a Service depends on. Intermediate
-// states may be skipped.
+// View is the part of the agreed state that a PositionTracker depends on.
+// Intermediate states may be skipped.
 type View struct {
 	// LastRemovalRevision is the revision at which an entry host's process was last
 	// removed or replaced.
@@ -126,7 +126,7 @@
 func (PrimaryPosition) isEvent() {}
 func (Tick) isEvent()            {}
 
-// Effect is an output of Service.Step.
+// Effect is an output of PositionTracker.Step.
 type Effect interface{ isEffect() }
 
 // RequestTables requests the tables of other hosts. Each must be read after the
