--- a/internal/standin/replay.go
+++ b/internal/standin/replay.go
@@ -8,34 +8,36 @@
 	"github.com/pkg/errors"
 )
 
-// replayBatch is the number of transactions that are replayed at once.
+// replayBatch is the maximum number of transactions in one engine transaction
+// during replay.
 const replayBatch = 64
 
-// replay applies flushed transactions on a replica once they are due.
+// replay applies flushed transactions on a replica once the replay lag has passed.
+// It returns when ctx ends or a transaction can't be applied.
 func (s *Server) replay(ctx context.Context) error {
 	for {
 		changed := s.wal.watch()
-		role, _, roleChanged := s.watch()
+		role, _, roleChanged := s.watchRole()
 		wait := time.Duration(-1)
 		if role == RoleReplica {
-			due, next := s.due(time.Now())
+			due, next := s.dueRecords(time.Now())
 			if len(due) > 0 {
-				if err := s.apply(ctx, due); err != nil {
+				if err := s.replayRecords(ctx, due); err != nil {
 					return err
 				}
 				continue
 			}
 			wait = next
 		}
-		if err := waitChange(ctx, changed, roleChanged, wait); err != nil {
+		if err := waitForChange(ctx, changed, roleChanged, wait); err != nil {
 			return err
 		}
 	}
 }
 
-// waitChange waits for a change of the log or the role, or for d unless it is
-// negative.
-func waitChange(ctx context.Context, changed, roleChanged <-chan struct{}, d time.Duration) error {
+// waitForChange waits until changed or roleChanged is closed or d has passed. A
+// negative d means no time limit. It returns an error only when ctx ends.
+func waitForChange(ctx context.Context, changed, roleChanged <-chan struct{}, d time.Duration) error {
 	var expired <-chan time.Time
 	if d >= 0 {
 		timer := time.NewTimer(d)
@@ -52,11 +54,11 @@
 	return nil
 }
 
-// due returns the transactions to replay now, or the time until the next one;
-// a negative time means that there is none.
-func (s *Server) due(now time.Time) ([]record, time.Duration) {
-	records := s.wal.after(s.wal.replayedTo(), replayBatch)
-	lag := time.Duration(s.lag.Load())
+// dueRecords returns the transactions to replay now or, if there is none, the time
+// until the next one. The time is negative if nothing is left to replay.
+func (s *Server) dueRecords(now time.Time) ([]record, time.Duration) {
+	records := s.wal.recordsAfter(s.wal.replayedLSN(), replayBatch)
+	lag := time.Duration(s.replayLag.Load())
 	n := 0
 	for n < len(records) && now.Sub(records[n].flushedAt) >= lag {
 		n++
@@ -70,31 +72,32 @@
 	return nil, lag - now.Sub(records[0].flushedAt)
 }
 
-// replayAll applies all that is flushed, due or not.
+// replayAll applies all flushed transactions regardless of the replay lag.
 func (s *Server) replayAll(ctx context.Context) error {
 	for {
-		records := s.wal.after(s.wal.replayedTo(), replayBatch)
+		records := s.wal.recordsAfter(s.wal.replayedLSN(), replayBatch)
 		if len(records) == 0 {
 			return nil
 		}
-		if err := s.apply(ctx, records); err != nil {
+		if err := s.replayRecords(ctx, records); err != nil {
 			return err
 		}
 	}
 }
 
-// apply replays the records that follow the replayed position, in one engine
-// transaction.
-func (s *Server) apply(ctx context.Context, records []record) error {
+// replayRecords applies records in one engine transaction. It skips those that are
+// already replayed, and all of them if the engine was replaced while it waited for
+// the write semaphore.
+func (s *Server) replayRecords(ctx context.Context, records []record) error {
 	eng := s.engine()
-	if err := eng.lockWriter(ctx); err != nil {
+	if err := eng.lockWrite(ctx); err != nil {
 		return err
 	}
-	defer eng.unlockWriter()
+	defer eng.unlockWrite()
 	if eng != s.engine() {
 		return nil
 	}
-	for len(records) > 0 && records[0].End <= s.wal.replayedTo() {
+	for len(records) > 0 && records[0].End <= s.wal.replayedLSN() {
 		records = records[1:]
 	}
 	if len(records) == 0 {
@@ -105,11 +108,12 @@
 		return errors.Wrap(err, "replay")
 	}
 	defer conn.Close()
-	return s.applyOn(eng, conn, records)
+	return s.replayOn(eng, conn, records)
 }
 
-func (s *Server) applyOn(eng *engine, conn *sql.Conn, records []record) error {
-	ctx := context.Background() // a replay is not cut short
+// replayOn applies records over conn. The caller holds the write semaphore of eng.
+func (s *Server) replayOn(eng *engine, conn *sql.Conn, records []record) error {
+	ctx := context.Background() // a batch is not interrupted
 	if _, err := conn.ExecContext(ctx, "begin immediate"); err != nil {
 		return errors.Wrap(err, "replay")
 	}
@@ -121,9 +125,9 @@
 			}
 		}
 	}
-	eng.forgetColumns()
-	eng.reads.Lock()
-	defer eng.reads.Unlock()
+	eng.invalidateColumns()
+	eng.commitMu.Lock()
+	defer eng.commitMu.Unlock()
 	if _, err := conn.ExecContext(ctx, "commit"); err != nil {
 		return errors.Wrap(err, "replay")
 	}
--- a/internal/standin/tx.go
+++ b/internal/standin/tx.go
@@ -6,39 +6,43 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// hold tells what a transaction holds in the SQL engine.
-type hold uint8
+// engineTxKind is the kind of engine transaction that a session has open. A snapshot
+// holds the read lock of engine.commitMu, a write transaction holds engine.writeSem.
+type engineTxKind uint8
 
 const (
-	holdNothing hold = iota
-	holdSnapshot
-	holdWriter
+	engineTxNone engineTxKind = iota
+	engineTxSnapshot
+	engineTxWrite
 )
 
-// txState is the state of a session's transaction. Without a snapshot each
-// statement reads what is committed when it starts (read committed); the engine
-// transaction and the right to write are taken at the first write.
+// txState is the state of a session's transaction. Without a snapshot each statement
+// reads the data committed when it starts (read committed). The engine transaction
+// and the write semaphore are acquired at the first write.
 type txState struct {
-	// block is set from BEGIN to the end of the transaction.
+	// block is set from BEGIN to the end of the transaction block.
 	block bool
-	// implicit is set while statements of one query or up to Sync share a
-	// transaction without BEGIN.
+	// implicit is set while the statements of one Query message, or the messages up
+	// to Sync, share a transaction without BEGIN.
 	implicit bool
-	failed   bool
-	mode     txMode
-	held     hold
-	changes  []change
-	saves    []savepoint
-	// settings are those to return to on rollback; locals those to return to in
-	// any case.
-	settings map[string]string
-	locals   map[string]string
-	wrote    bool
+	// failed is set after an error in a transaction block.
+	failed     bool
+	mode       txMode
+	engineTx   engineTxKind
+	changes    []change
+	savepoints []savepoint
+	// rollbackSettings are the settings to restore on rollback, commitSettings those
+	// to restore on commit after SET LOCAL, nil without one.
+	rollbackSettings map[string]string
+	commitSettings   map[string]string
+	// wrote is set once the engine transaction has been committed with changes.
+	wrote bool
 }
 
+// savepoint is a savepoint with the number of changes made before it.
 type savepoint struct {
-	name string
-	mark int
+	name        string
+	changeCount int
 }
 
 // status returns the transaction status of ReadyForQuery.
@@ -52,7 +56,7 @@
 	return 'I'
 }
 
-// begin opens a transaction block.
+// begin opens a transaction block. Inside a block it does nothing.
 func (s *session) begin(st *sqltext.Statement) {
 	if s.tx.block {
 		return
@@ -62,7 +66,7 @@
 	s.tx.mode = parseMode(st.Tokens, s.tx.mode)
 }
 
-// openTx prepares a transaction, explicit or not.
+// openTx starts an implicit transaction unless a transaction is open.
 func (s *session) openTx() {
 	if s.tx.block || s.tx.implicit {
 		return
@@ -74,50 +78,52 @@
 			readOnly: isOn(s.settings[settingReadOnly]),
 			snapshot: isolation == "repeatable read" || isolation == "serializable",
 		},
-		settings: copySettings(s.settings),
+		rollbackSettings: copySettings(s.settings),
 	}
 }
 
-// ensureRead takes a snapshot when the isolation level asks for one.
-func (s *session) ensureRead(ctx context.Context) error {
-	if s.tx.held != holdNothing || !s.tx.mode.snapshot || !s.tx.block {
+// ensureSnapshot opens a snapshot if the isolation level of a block requires one. On
+// a primary, a block that is not read-only opens a write transaction instead.
+func (s *session) ensureSnapshot(ctx context.Context) error {
+	if s.tx.engineTx != engineTxNone || !s.tx.mode.snapshot || !s.tx.block {
 		return nil
 	}
 	if !s.tx.mode.readOnly && s.srv.isPrimary() {
 		return s.ensureWrite(ctx, "a statement")
 	}
-	s.eng.reads.RLock()
+	s.eng.commitMu.RLock()
 	for _, text := range []string{"begin", "select count(*) from sqlite_master"} {
 		if _, err := s.db.ExecContext(ctx, text); err != nil {
-			s.eng.reads.RUnlock()
+			s.eng.commitMu.RUnlock()
 			return err
 		}
 	}
-	s.tx.held = holdSnapshot
+	s.tx.engineTx = engineTxSnapshot
 	return nil
 }
 
-// ensureWrite takes the right to write for a command.
+// ensureWrite acquires the write semaphore and opens a write transaction in the
+// engine. It fails on a replica and in a read-only transaction.
 func (s *session) ensureWrite(ctx context.Context, command string) error {
 	if !s.srv.isPrimary() || s.tx.mode.readOnly {
-		return errState(stateReadOnly, "cannot execute %s in a read-only transaction", command)
+		return sqlErrorf(sqlStateReadOnlyTx, "cannot execute %s in a read-only transaction", command)
 	}
-	if s.tx.held == holdWriter {
+	if s.tx.engineTx == engineTxWrite {
 		return nil
 	}
-	if err := s.eng.lockWriter(ctx); err != nil {
+	if err := s.eng.lockWrite(ctx); err != nil {
 		return err
 	}
 	if _, err := s.db.ExecContext(ctx, "begin immediate"); err != nil {
-		s.eng.unlockWriter()
+		s.eng.unlockWrite()
 		return err
 	}
-	s.tx.held = holdWriter
+	s.tx.engineTx = engineTxWrite
 	return nil
 }
 
-// commit ends the transaction. A transaction that failed is rolled back; the
-// first value reports a commit.
+// commit ends the transaction and reports whether it was committed. A failed
+// transaction is rolled back.
 func (s *session) commit() (bool, error) {
 	if s.tx.failed {
 		s.rollback()
@@ -128,85 +134,88 @@
 		s.rollback()
 		return false, err
 	}
-	if s.tx.locals != nil {
-		s.settings = s.tx.locals
+	if s.tx.commitSettings != nil {
+		s.settings = s.tx.commitSettings
 	}
 	wrote := s.tx.wrote
 	s.tx = txState{}
-	if wrote && s.srv.faults.takeDrop() {
-		return false, errGoodbye
+	if wrote && s.srv.faults.consumeDrop() {
+		return false, errConnectionClosed
 	}
 	return true, nil
 }
 
+// commitEngine ends the engine transaction. A write transaction without changes is
+// rolled back and leaves no record in the log.
 func (s *session) commitEngine() error {
-	switch s.tx.held {
-	case holdSnapshot:
+	switch s.tx.engineTx {
+	case engineTxSnapshot:
 		s.releaseSnapshot()
-	case holdWriter:
+	case engineTxWrite:
 		if len(s.tx.changes) == 0 {
-			s.releaseWriter()
+			s.releaseWrite()
 			return nil
 		}
 		if err := s.srv.commit(s); err != nil {
 			return err
 		}
 		s.tx.wrote = true
-		s.tx.held = holdNothing
-		s.eng.unlockWriter()
+		s.tx.engineTx = engineTxNone
+		s.eng.unlockWrite()
 	}
 	return nil
 }
 
 func (s *session) releaseSnapshot() {
 	_, _ = s.db.ExecContext(context.Background(), "rollback") // nothing was written
-	s.eng.reads.RUnlock()
-	s.tx.held = holdNothing
+	s.eng.commitMu.RUnlock()
+	s.tx.engineTx = engineTxNone
 }
 
-func (s *session) releaseWriter() {
-	_, _ = s.db.ExecContext(context.Background(), "rollback") // fails only when it already happened
-	s.eng.forgetColumns()
-	s.tx.held = holdNothing
-	s.eng.unlockWriter()
+func (s *session) releaseWrite() {
+	_, _ = s.db.ExecContext(context.Background(), "rollback") // fails only if already rolled back
+	s.eng.invalidateColumns()
+	s.tx.engineTx = engineTxNone
+	s.eng.unlockWrite()
 }
 
-// rollback ends the transaction without its changes.
+// rollback ends the transaction and undoes its changes, including settings.
 func (s *session) rollback() {
 	s.releaseEngine()
-	if s.tx.settings != nil {
-		s.settings = s.tx.settings
+	if s.tx.rollbackSettings != nil {
+		s.settings = s.tx.rollbackSettings
 	}
 	s.tx = txState{}
 }
 
 func (s *session) releaseEngine() {
-	switch s.tx.held {
-	case holdSnapshot:
+	switch s.tx.engineTx {
+	case engineTxSnapshot:
 		s.releaseSnapshot()
-	case holdWriter:
-		s.releaseWriter()
+	case engineTxWrite:
+		s.releaseWrite()
 	}
 }
 
-// abort marks the transaction as failed. Without savepoints its changes are
-// undone at once.
+// abort handles an error of a statement. It rolls back an implicit transaction and
+// marks a block as failed. Without savepoints the engine transaction of the block
+// ends at once, otherwise ROLLBACK TO may still resume it.
 func (s *session) abort() {
 	if !s.tx.block {
 		s.rollback()
 		return
 	}
 	s.tx.failed = true
-	if len(s.tx.saves) == 0 {
+	if len(s.tx.savepoints) == 0 {
 		s.releaseEngine()
 		s.tx.changes = nil
 	}
 }
 
-// setSavepoint serves SAVEPOINT.
+// setSavepoint runs SAVEPOINT. A block that may write opens its write transaction.
 func (s *session) setSavepoint(ctx context.Context, name string) error {
 	if !s.tx.block {
-		return errState(stateNoTx, "SAVEPOINT can only be used in transaction blocks")
+		return sqlErrorf(sqlStateNoActiveTx, "SAVEPOINT can only be used in transaction blocks")
 	}
 	if !s.tx.mode.readOnly && s.srv.isPrimary() {
 		if err := s.ensureWrite(ctx, "SAVEPOINT"); err != nil {
@@ -216,34 +225,35 @@
 			return err
 		}
 	}
-	s.tx.saves = append(s.tx.saves, savepoint{name: name, mark: len(s.tx.changes)})
+	s.tx.savepoints = append(s.tx.savepoints, savepoint{name: name, changeCount: len(s.tx.changes)})
 	return nil
 }
 
-// endSavepoint serves RELEASE and ROLLBACK TO.
-func (s *session) endSavepoint(ctx context.Context, name string, undo bool) error {
-	i := len(s.tx.saves) - 1
-	for i >= 0 && s.tx.saves[i].name != name {
+// endSavepoint runs RELEASE or, with rollback set, ROLLBACK TO, which keeps the
+// savepoint and clears the failed state.
+func (s *session) endSavepoint(ctx context.Context, name string, rollback bool) error {
+	i := len(s.tx.savepoints) - 1
+	for i >= 0 && s.tx.savepoints[i].name != name {
 		i--
 	}
 	if i < 0 {
-		return errState(stateNoSavepoint, "savepoint %q does not exist", name)
+		return sqlErrorf(sqlStateInvalidSavepoint, "savepoint %q does not exist", name)
 	}
 	text, keep := "release ", i
-	if undo {
+	if rollback {
 		text, keep = "rollback to ", i+1
 	}
-	if s.tx.held == holdWriter {
+	if s.tx.engineTx == engineTxWrite {
 		if _, err := s.db.ExecContext(ctx, text+quoteName(name)); err != nil {
 			return err
 		}
 	}
-	if undo {
-		s.tx.changes = s.tx.changes[:s.tx.saves[i].mark]
+	if rollback {
+		s.tx.changes = s.tx.changes[:s.tx.savepoints[i].changeCount]
 		s.tx.failed = false
-		s.eng.forgetColumns()
+		s.eng.invalidateColumns()
 	}
-	s.tx.saves = s.tx.saves[:keep]
+	s.tx.savepoints = s.tx.savepoints[:keep]
 	return nil
 }
 
