--- a/internal/entry/position_task.go
+++ b/internal/entry/position_task.go
@@ -48,44 +48,44 @@
 // errStopped is returned to requests that reach a task after the server has stopped.
 var errStopped = errors.New("the server has stopped")
 
-// positionTask runs the position state machine of one service. Only its goroutine accesses
+// positionTask runs the position tracker of one service. Only its goroutine accesses
 // the fields after done; others send messages through post.
 type positionTask struct {
-	shared  *SharedPositions
-	service string
-	inbox   chan positionMessage
-	done    chan struct{}
+	positions *SharedPositions
+	service   string
+	inbox     chan positionMessage
+	done      chan struct{}
 
-	machine *pos.Service
+	tracker *pos.PositionTracker
 	// reads holds the reply channels of the unresolved reads by id.
 	reads map[uint64]chan readResult
-	// replicas holds the last status of each endpoint.
-	replicas map[string]pgback.Status
-	// seen identifies the last view passed to the machine.
-	seen struct{ revision, settled uint64 }
-	// term is the last term in which the group was active.
-	term uint64
-	// replayed is the last position reported to the machine as replayed by all replicas.
-	replayed pos.Position
+	// statuses holds the last status of each endpoint.
+	statuses map[string]pgback.Status
+	// lastView identifies the last view passed to the tracker.
+	lastView struct{ revision, settled uint64 }
+	// lastActiveTerm is the last term in which the group was active.
+	lastActiveTerm uint64
+	// lastReplayed is the last position reported to the tracker as replayed by all replicas.
+	lastReplayed pos.Position
 }
 
 func newPositionTask(p *SharedPositions, service string) *positionTask {
 	return &positionTask{
-		shared: p, service: service,
+		positions: p, service: service,
 		inbox:    make(chan positionMessage, positionQueueSize),
 		done:     make(chan struct{}),
-		machine:  pos.NewService(positionConfig(p.gatherTimeout)),
+		tracker:  pos.NewPositionTracker(positionConfig(p.gatherTimeout)),
 		reads:    make(map[uint64]chan readResult),
-		replicas: make(map[string]pgback.Status),
+		statuses: make(map[string]pgback.Status),
 	}
 }
 
-// positionConfig returns the configuration of the state machine. A round starts as soon as
+// positionConfig returns the configuration of the tracker. A round starts as soon as
 // the previous one has ended: rounds are paced by their round-trip time, and reads that
 // arrive during a round share the next one.
 func positionConfig(gatherTimeout time.Duration) pos.Config {
 	cfg := pos.DefaultConfig()
-	cfg.Interval = 0
+	cfg.MinRoundInterval = 0
 	if gatherTimeout > 0 {
 		cfg.GatherTimeout = gatherTimeout
 	}
@@ -118,10 +118,10 @@
 		case <-timer.C:
 			t.step(ctx, pos.Tick{})
 		case <-ctx.Done():
-			t.failAll()
+			t.failReads()
 			return
 		}
-		if next, ok := t.machine.NextDeadline(); ok {
+		if next, ok := t.tracker.NextDeadline(); ok {
 			timer.Reset(time.Until(next))
 		} else {
 			timer.Stop()
@@ -142,39 +142,39 @@
 	case statusMessage:
 		t.observe(ctx, m.status)
 	case snapshotMessage:
-		m.reply <- t.machine.Snapshot()
+		m.reply <- t.tracker.Snapshot()
 	}
 }
 
-// refresh passes a changed view to the machine.
+// refresh passes a changed view to the tracker.
 func (t *positionTask) refresh(ctx context.Context) {
-	v := t.shared.view.Current()
-	if v.State == nil || t.seen.revision == v.State.Revision && t.seen.settled == v.Settled {
+	v := t.positions.view.Current()
+	if v.State == nil || t.lastView.revision == v.State.Revision && t.lastView.settled == v.Settled {
 		return
 	}
-	t.seen.revision, t.seen.settled = v.State.Revision, v.Settled
+	t.lastView.revision, t.lastView.settled = v.State.Revision, v.Settled
 	t.step(ctx, t.sessionView(v))
 }
 
-// sessionView converts the view for the machine. While the group is not active, the term
+// sessionView converts the view for the tracker. While the group is not active, the term
 // stays that of the last active one.
 func (t *positionTask) sessionView(v view.View) pos.View {
 	group := v.State.Groups[t.service]
 	if group.Phase == agreed.PhaseActive {
-		t.term = group.Term
+		t.lastActiveTerm = group.Term
 	}
-	out := pos.View{Departed: v.State.EntryRemoved, Settled: v.Settled, Term: t.term}
+	out := pos.View{LastRemovalRevision: v.State.EntryRemoved, Settled: v.Settled, Term: t.lastActiveTerm}
 	for id, host := range v.State.Hosts {
-		if host.Entry && id != t.shared.self {
+		if host.Entry && id != t.positions.host {
 			out.Peers = append(out.Peers, pos.Peer{Host: id, Incarnation: host.Incarnation})
 		}
 	}
 	return out
 }
 
-// step passes an event to the machine and carries out the effects.
+// step passes an event to the tracker and carries out the effects.
 func (t *positionTask) step(ctx context.Context, event pos.Event) {
-	for _, effect := range t.machine.Step(time.Now(), event) {
+	for _, effect := range t.tracker.Step(time.Now(), event) {
 		switch effect := effect.(type) {
 		case pos.Resolve:
 			t.resolve(effect.ID, readResult{position: effect.Position})
@@ -198,21 +198,21 @@
 	}
 }
 
-func (t *positionTask) failAll() {
+func (t *positionTask) failReads() {
 	for id := range t.reads {
 		t.resolve(id, readResult{err: result.New(result.ShuttingDown, "%v", errStopped)})
 	}
 }
 
-// requestTable requests the table of one host. An error is ignored: the machine treats a
+// requestTable requests the table of one host. An error is ignored: the tracker treats a
 // missing answer like a late one.
 func (t *positionTask) requestTable(ctx context.Context, round uint64, host string) {
-	if t.shared.peers == nil {
+	if t.positions.peers == nil {
 		return
 	}
-	limited, cancel := context.WithTimeout(ctx, gatherCallTimeout)
+	callCtx, cancel := context.WithTimeout(ctx, gatherCallTimeout)
 	defer cancel()
-	answer, err := t.shared.peers.Gather(limited, host, t.service)
+	answer, err := t.positions.peers.Gather(callCtx, host, t.service)
 	if err != nil {
 		return
 	}
@@ -225,11 +225,11 @@
 // acknowledged writes.
 func (t *positionTask) readPrimaryPosition(ctx context.Context, round uint64) {
 	answer := pos.PrimaryPosition{Round: round}
-	if state := t.shared.view.Current().State; state != nil {
+	if state := t.positions.view.Current().State; state != nil {
 		group := state.Groups[t.service]
 		co := &checkout{service: t.service, endpoint: group.Primary, term: group.Term}
-		status, err := t.shared.primaryStatus(ctx, group.Primary)
-		if err == nil && termHolds(t.shared.view.Current(), co) {
+		status, err := t.positions.primaryStatus(ctx, group.Primary)
+		if err == nil && termHolds(t.positions.view.Current(), co) {
 			answer.OK = true
 			answer.Position = pos.Position{Term: group.Term, LSN: status.LSN}
 		}
@@ -237,12 +237,12 @@
 	_ = t.post(ctx, eventMessage{answer})
 }
 
-// observe records the status of an endpoint and reports to the machine the lowest position
+// observe records the status of an endpoint and reports to the tracker the lowest position
 // that all replicas have replayed, when it has advanced. A replica without a status on the
 // group's timeline prevents the report.
 func (t *positionTask) observe(ctx context.Context, s pgback.Status) {
-	t.replicas[s.Endpoint] = s
-	v := t.shared.view.Current()
+	t.statuses[s.Endpoint] = s
+	v := t.positions.view.Current()
 	if v.State == nil {
 		return
 	}
@@ -253,7 +253,7 @@
 		if id == group.Primary {
 			continue
 		}
-		r, ok := t.replicas[id]
+		r, ok := t.statuses[id]
 		if !ok || r.Err != nil || !r.InRecovery || r.Timeline != group.Timeline {
 			return
 		}
@@ -262,8 +262,8 @@
 		}
 		count++
 	}
-	if count > 0 && t.replayed.Before(replayed) {
-		t.replayed = replayed
+	if count > 0 && t.lastReplayed.Before(replayed) {
+		t.lastReplayed = replayed
 		t.step(ctx, pos.Replayed{Position: replayed})
 	}
 }
