--- a/bridge/host.go
+++ b/bridge/host.go
@@ -137,15 +137,15 @@
 func (h *Host) buildControl() {
 	if c := h.settings.Control; c != nil {
 		h.control = control.New(control.Options{
-			Fleet:     h.settings.Fleet,
-			DataDir:   c.DataDir,
-			Bootstrap: c.Bootstrap,
-			Controls:  h.settings.Controls,
-			Peer:      h.peers,
-			Lease:     h.leaseConfig,
-			Logger:    h.log,
-			Databases: watch.NewProber(),
-			Registry:  h.registry,
+			Fleet:           h.settings.Fleet,
+			DataDir:         c.DataDir,
+			Bootstrap:       c.Bootstrap,
+			Controls:        h.settings.Controls,
+			Peer:            h.peers,
+			Lease:           h.leaseConfig,
+			Logger:          h.log,
+			EndpointManager: watch.NewProber(),
+			Registry:        h.registry,
 		})
 		h.owner = limits.NewOwner(h.peers, h.view, limits.DefaultConfig(), h.log)
 	}
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -61,7 +61,7 @@
 }
 
 func (h *Host) nextMemberChange() (consensus.Change, bool) {
-	if h.opts.Open {
+	if h.opts.OpenMembership {
 		return h.node.NextOpenChange()
 	}
 	desired := make([]consensus.DesiredMember, 0, len(h.opts.Controls))
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -55,7 +55,7 @@
 func newFailoverDriver(h *Host) *failoverDriver {
 	ctx, cancel := context.WithCancel(context.Background())
 	cfg := failover.DefaultConfig()
-	cfg.Fenced, cfg.Chooser = h.opts.Fenced, h.term
+	cfg.Fenced, cfg.ChooserTerm = h.opts.Fenced, h.term
 	return &failoverDriver{
 		host:       h,
 		fleet:      failover.NewMachineSet(cfg),
@@ -138,7 +138,7 @@
 			d.propose(now, e.Service, agreed.Command{SealGroup: &agreed.SealGroup{Service: e.Service, Term: e.Term, Reason: e.Reason}})
 		case failover.Choose:
 			d.propose(now, e.Service, agreed.Command{ChooseCandidate: &agreed.ChooseCandidate{
-				Service: e.Service, Term: e.Term, Candidate: e.Candidate, ChooserTerm: e.Chooser, Attempt: e.Attempt,
+				Service: e.Service, Term: e.Term, Candidate: e.Candidate, ChooserTerm: e.ChooserTerm, Attempt: e.Attempt,
 			}})
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
@@ -164,7 +164,7 @@
 }
 
 func (d *failoverDriver) endpointClient() endpointClient {
-	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.Databases, state: d.host.state, fenced: d.host.opts.Fenced}
+	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
 // startProbes starts probes of endpoints, at most one at a time for each endpoint.
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -131,7 +131,7 @@
 		h.control = control.New(control.Options{
 			Fleet: "fleet", DataDir: filepath.Join(f.dir, name), Bootstrap: true, Controls: f.controls,
 			Peer: h.peer, Lease: f.leases, Logger: logger().With("host", name), CompactEvery: 200, Registry: h.registry,
-			Databases: f.endpointManager(name),
+			EndpointManager: f.endpointManager(name),
 		})
 	}
 	h.subscriber = control.NewSubscriber(control.SubscriberOptions{
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -30,13 +30,13 @@
 	Controls  []config.ControlHost
 	// Open admits every control host that requests to join. Controls are then the
 	// seeds, and the identity of a host is its peer address.
-	Open     bool
-	Peer     *peer.Node
-	Lease    lease.Config
-	Logger   *log.Logger
-	Registry prometheus.Registerer
+	OpenMembership bool
+	Peer           *peer.Node
+	Lease          lease.Config
+	Logger         *log.Logger
+	Registry       prometheus.Registerer
 	// Databases probes and promotes endpoints; nil disables failover.
-	Databases EndpointManager
+	EndpointManager EndpointManager
 	// Fenced is set if promotion orders may be executed late. They carry a fence
 	// by which an outdated order is rejected.
 	Fenced bool
@@ -254,7 +254,7 @@
 			founder = founder || c.Host == cfg.Host
 		}
 	}
-	if h.opts.Open && !founder {
+	if h.opts.OpenMembership && !founder {
 		cfg.Founders = nil // a host that is not a seed waits to be admitted
 	}
 	return cfg
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -133,7 +133,7 @@
 	if h.state.HostsChanged == 0 {
 		h.broker.AssumeNoLeases()
 	}
-	if h.opts.Databases != nil {
+	if h.opts.EndpointManager != nil {
 		h.failover = newFailoverDriver(h)
 	}
 }
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -185,7 +185,7 @@
 // controlAddr returns the configured address of a control host, empty if it is
 // unknown. With open membership the identity is the address.
 func (h *Host) controlAddr(host string) string {
-	if h.opts.Open {
+	if h.opts.OpenMembership {
 		return host
 	}
 	for _, c := range h.opts.Controls {
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -142,7 +142,7 @@
 }
 
 func (e hostSeedsEvent) handle(h *Host, _ time.Time) {
-	if h.opts.Open {
+	if h.opts.OpenMembership {
 		h.node.SetPeers(e.hosts)
 	}
 }
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -45,11 +45,11 @@
 	Controls []config.ControlHost
 	// Open adds the control hosts of the agreed state to Controls, which are then
 	// seeds.
-	Open     bool
-	Peer     *peer.Node
-	Lease    lease.Config
-	Logger   *log.Logger
-	Registry prometheus.Registerer
+	OpenMembership bool
+	Peer           *peer.Node
+	Lease          lease.Config
+	Logger         *log.Logger
+	Registry       prometheus.Registerer
 	// View receives the agreed state and the end of the lease.
 	View *view.Publisher
 }
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -61,7 +61,7 @@
 // switchToLocal switches once to a control host in the same failure domain. Without
 // open membership it does nothing.
 func (s *Subscriber) switchToLocal(now time.Time) {
-	if !s.opts.Open || s.localChosen {
+	if !s.opts.OpenMembership || s.localChosen {
 		return
 	}
 	if c, ok := s.localUpstream(); ok {
@@ -94,7 +94,7 @@
 // SetSeeds replaces the seeds, for example after the settings were reloaded. Without
 // open membership or with an empty list it does nothing.
 func (s *Subscriber) SetSeeds(seeds []config.ControlHost) {
-	if s.opts.Open && len(seeds) > 0 {
+	if s.opts.OpenMembership && len(seeds) > 0 {
 		s.post(seedsEvent{seeds: seeds})
 	}
 }
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -13,7 +13,7 @@
 // configured ones, and with open membership first those of the agreed state, the
 // nearest first.
 func (s *Subscriber) updateCandidates(state *agreed.State) {
-	if !s.opts.Open {
+	if !s.opts.OpenMembership {
 		s.candidates = s.opts.Controls
 		return
 	}
--- a/internal/daemon/daemon.go
+++ b/internal/daemon/daemon.go
@@ -131,15 +131,15 @@
 	seeds := config.SeedHosts(d.opts.Settings.Seeds)
 	if c := d.opts.Settings.Control; c != nil {
 		d.control = control.New(control.Options{
-			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, Open: true, Controls: seeds,
+			Fleet: d.opts.Settings.Fleet, DataDir: c.DataDir, Bootstrap: c.Bootstrap, OpenMembership: true, Controls: seeds,
 			Peer: d.peers, Lease: leaseCfg, Logger: d.log, Registry: d.registry,
-			Databases: d.opts.EndpointManager, Fenced: d.opts.Fenced,
+			EndpointManager: d.opts.EndpointManager, Fenced: d.opts.Fenced,
 		})
 		d.owner = limits.NewOwner(d.peers, d.view, d.limitsConfig(), d.log)
 	}
 	control.ServeEndpointRequests(d.peers, d.view, d.opts.EndpointManager)
 	d.subscriber = control.NewSubscriber(control.SubscriberOptions{
-		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, Open: true, Controls: seeds,
+		Fleet: d.opts.Settings.Fleet, Domain: d.opts.Settings.Domain, OpenMembership: true, Controls: seeds,
 		Entry: d.opts.Settings.Entry != nil, Control: d.opts.Settings.Control != nil,
 		Peer: d.peers, Lease: leaseCfg, Logger: d.log, View: d.view, Registry: d.registry,
 	})
--- a/internal/failover/active.go
+++ b/internal/failover/active.go
@@ -33,7 +33,7 @@
 		m.setStatus(cause + "; no other member in use is reachable")
 		return
 	}
-	if !m.lastSwitchoverAt.IsZero() && now.Sub(m.lastSwitchoverAt) < m.cfg.SwitchoverRetry {
+	if !m.lastSwitchoverAt.IsZero() && now.Sub(m.lastSwitchoverAt) < m.cfg.SwitchoverInterval {
 		m.setStatus(cause + "; waiting before the next switchover")
 		return
 	}
@@ -118,7 +118,7 @@
 		m.setStatus("forming: more than one endpoint is out of recovery on the highest timeline")
 	case primary == "":
 		m.setStatus("forming: no endpoint is out of recovery")
-	case answered < m.view.Size && now.Sub(m.majorityAt) < m.cfg.FormGrace:
+	case answered < m.view.Size && now.Sub(m.majorityAt) < m.cfg.FormingGrace:
 		m.setStatus("forming: waiting for the remaining endpoints")
 	default:
 		m.setStatus("")
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -110,7 +110,7 @@
 // answered. Under note.AckReplicas each may hold commits that no other member has.
 // The choice does not wait for suspected members.
 func (m *Machine) awaitsPositions(now time.Time, all []contender) bool {
-	if m.view.Ack != note.AckReplicas || now.Sub(m.majorityAt) >= m.cfg.BestGrace {
+	if m.view.Ack != note.AckReplicas || now.Sub(m.majorityAt) >= m.cfg.PositionGrace {
 		return false
 	}
 	return slices.ContainsFunc(m.view.Members, func(member Member) bool {
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -55,7 +55,7 @@
 func (p *delayingPlatform) startLeader() {
 	p.chooser++
 	cfg := DefaultConfig()
-	cfg.Fenced, cfg.Chooser = true, p.chooser
+	cfg.Fenced, cfg.ChooserTerm = true, p.chooser
 	p.m = New(cfg)
 	p.step(Settled{Revision: p.group.Changed})
 	p.sendView()
@@ -90,7 +90,7 @@
 			p.step(Answer{Term: e.Term, Endpoint: id, Condition: c})
 		}
 	case Choose:
-		p.commit(func(g *agreed.Group) { g.Candidate, g.ChooserTerm, g.Attempt = e.Candidate, e.Chooser, e.Attempt })
+		p.commit(func(g *agreed.Group) { g.Candidate, g.ChooserTerm, g.Attempt = e.Candidate, e.ChooserTerm, e.Attempt })
 	case Activate:
 		p.commit(func(g *agreed.Group) { g.Phase, g.Primary = agreed.PhaseActive, e.Primary })
 		p.active = e.Primary
@@ -183,7 +183,7 @@
 	h.answer("b", replica(100))
 	expectNone[Choose](h) // another member may hold more
 	h.answer("c", replica(120))
-	h.advance(DefaultConfig().BestGrace)
+	h.advance(DefaultConfig().PositionGrace)
 	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
@@ -193,7 +193,7 @@
 	h.seal()
 	h.send(Settled{Revision: 11})
 	h.answer("b", replica(100))
-	h.advance(DefaultConfig().BestGrace)
+	h.advance(DefaultConfig().PositionGrace)
 	expect(h, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
 }
 
@@ -211,7 +211,7 @@
 	expectNone[Choose](h) // c may hold an acknowledged commit that b lacks
 	h.answer("b", replica(100))
 	h.answer("c", replica(120))
-	h.advance(DefaultConfig().BestGrace)
+	h.advance(DefaultConfig().PositionGrace)
 	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
--- a/internal/failover/machine.go
+++ b/internal/failover/machine.go
@@ -159,7 +159,7 @@
 // AskInterval. A committed one is confirmed by the next View.
 func (m *Machine) handleCommandResult(now time.Time, r CommandResult) {
 	if !r.Committed {
-		m.pendingUntil = now.Add(m.cfg.AskInterval)
+		m.pendingUntil = now.Add(m.cfg.QueryInterval)
 	}
 }
 
@@ -186,7 +186,7 @@
 
 // queryPositions requests the positions of all members once per AskInterval.
 func (m *Machine) queryPositions(now time.Time) {
-	if !m.queriedAt.IsZero() && now.Sub(m.queriedAt) < m.cfg.AskInterval {
+	if !m.queriedAt.IsZero() && now.Sub(m.queriedAt) < m.cfg.QueryInterval {
 		return
 	}
 	m.queriedAt = now
--- a/internal/failover/machine_test.go
+++ b/internal/failover/machine_test.go
@@ -70,7 +70,7 @@
 
 // commit sends a view in which the proposed choice is recorded.
 func (h *harness) commit(c Choose) {
-	h.view.Group.Candidate, h.view.Group.ChooserTerm = c.Candidate, c.Chooser
+	h.view.Group.Candidate, h.view.Group.ChooserTerm = c.Candidate, c.ChooserTerm
 	h.view.Group.Attempt++
 	h.view.Group.Changed++
 	h.send(h.view)
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -271,7 +271,7 @@
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term {
 			return
 		}
-		g.Candidate, g.ChooserTerm, g.Attempt = c.Candidate, c.Chooser, c.Attempt
+		g.Candidate, g.ChooserTerm, g.Attempt = c.Candidate, c.ChooserTerm, c.Attempt
 	case Activate:
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term || c.Primary != g.Candidate {
 			return
--- a/internal/failover/sealed.go
+++ b/internal/failover/sealed.go
@@ -29,11 +29,11 @@
 func (m *Machine) proposeCandidate(now time.Time, endpoint string) {
 	m.setStatus("sealed: choosing " + endpoint)
 	m.propose(now, Choose{
-		Service:   m.view.Group.Service,
-		Term:      m.view.Group.Term,
-		Candidate: endpoint,
-		Chooser:   m.cfg.Chooser,
-		Attempt:   m.view.Group.Attempt + 1,
+		Service:     m.view.Group.Service,
+		Term:        m.view.Group.Term,
+		Candidate:   endpoint,
+		ChooserTerm: m.cfg.ChooserTerm,
+		Attempt:     m.view.Group.Attempt + 1,
 	})
 }
 
@@ -63,7 +63,7 @@
 	}
 	best := slices.MinFunc(eligible, comparePreference)
 	fallback := best.suspected || best.member.outOfUse()
-	if fallback && len(all) < len(m.view.Members) && now.Sub(m.majorityAt) < m.cfg.SecondBestGrace {
+	if fallback && len(all) < len(m.view.Members) && now.Sub(m.majorityAt) < m.cfg.FallbackGrace {
 		m.setStatus("sealed: only an endpoint that is suspected or out of use qualifies; waiting for others")
 		return "", false
 	}
@@ -148,7 +148,7 @@
 		return
 	}
 	m.setStatus("sealed: promoting " + g.Candidate)
-	if g.ChooserTerm != m.cfg.Chooser || m.orderExpired(now) {
+	if g.ChooserTerm != m.cfg.ChooserTerm || m.orderExpired(now) {
 		m.proposeCandidate(now, g.Candidate)
 		return
 	}
@@ -164,7 +164,7 @@
 // is this leader's, and rejects all lower ones. It is always true unless Fenced is set.
 func (m *Machine) ownOrderIsLatest() bool {
 	g := m.view.Group
-	return !m.cfg.Fenced || g.ChooserTerm == m.cfg.Chooser && m.acceptedFence == g.Changed
+	return !m.cfg.Fenced || g.ChooserTerm == m.cfg.ChooserTerm && m.acceptedFence == g.Changed
 }
 
 // orderExpired reports whether another order is due: the last one got no answer, or
--- a/internal/failover/sim_test.go
+++ b/internal/failover/sim_test.go
@@ -194,7 +194,7 @@
 	case Seal:
 		s.group.Term, s.group.Phase = e.Term+1, agreed.PhaseSealed
 	case Choose:
-		s.group.Candidate, s.group.ChooserTerm, s.group.Attempt = e.Candidate, e.Chooser, e.Attempt
+		s.group.Candidate, s.group.ChooserTerm, s.group.Attempt = e.Candidate, e.ChooserTerm, e.Attempt
 	case Activate:
 		s.group.Phase, s.group.Primary, s.group.Candidate = agreed.PhaseActive, e.Primary, ""
 	}
--- a/internal/failover/suspect.go
+++ b/internal/failover/suspect.go
@@ -90,7 +90,7 @@
 	}
 	votes := 0
 	for key, r := range m.reports {
-		if key.endpoint == endpoint && r.lostSince.IsZero() && now.Sub(r.at) <= m.cfg.WellTTL {
+		if key.endpoint == endpoint && r.lostSince.IsZero() && now.Sub(r.at) <= m.cfg.HealthyTTL {
 			votes++
 		}
 	}
--- a/internal/failover/types.go
+++ b/internal/failover/types.go
@@ -59,9 +59,9 @@
 	// newer one, WellTTL that of a healthy endpoint. WellTTL is longer because
 	// healthy endpoints are reported only every ReportInterval.
 	ObservationTTL time.Duration
-	WellTTL        time.Duration
+	HealthyTTL     time.Duration
 	// AskInterval is the time between two requests for positions.
-	AskInterval time.Duration
+	QueryInterval time.Duration
 	// AnswerTTL is how long an answer counts as proof that an endpoint is alive.
 	AnswerTTL time.Duration
 	// ProposeTimeout is the time after which an unconfirmed command is proposed again.
@@ -73,7 +73,7 @@
 	PromoteTimeout time.Duration
 	// SecondBestGrace is how long the choice waits for other members when only an
 	// endpoint that is suspected or out of use qualifies.
-	SecondBestGrace time.Duration
+	FallbackGrace time.Duration
 	// CatchUpTimeout is the maximum time that a planned switchover waits for a
 	// replica to reach the last position of the primary.
 	CatchUpTimeout time.Duration
@@ -82,14 +82,14 @@
 	// already sent are acknowledged only in its term, once a majority holds them.
 	DrainTime time.Duration
 	// SwitchoverRetry is the minimum time between two planned switchovers of a group.
-	SwitchoverRetry time.Duration
+	SwitchoverInterval time.Duration
 	// FormGrace is how long a new group waits for its missing members once a
 	// majority has answered.
-	FormGrace time.Duration
+	FormingGrace time.Duration
 	// BestGrace is how long the choice waits for further members of a group
 	// whose endpoints decide acknowledgement (note.AckReplicas): each may hold a
 	// later position.
-	BestGrace time.Duration
+	PositionGrace time.Duration
 	// OrderTimeout is how long an accepted order may take until the candidate is
 	// seen as primary.
 	OrderTimeout time.Duration
@@ -98,27 +98,27 @@
 	// this leader was accepted, after which the platform rejects all earlier ones.
 	Fenced bool
 	// Chooser is the control leader's consensus term.
-	Chooser uint64
+	ChooserTerm uint64
 }
 
 // DefaultConfig returns the limits that fit probes every ProbeInterval.
 func DefaultConfig() Config {
 	return Config{
-		SuspectAfter:     3 * ProbeInterval,
-		ObservationTTL:   2 * time.Second,
-		WellTTL:          2*ReportInterval + 2*time.Second,
-		AskInterval:      100 * time.Millisecond,
-		AnswerTTL:        time.Second,
-		ProposeTimeout:   time.Second,
-		CandidateTimeout: 1500 * time.Millisecond,
-		PromoteTimeout:   8 * time.Second,
-		SecondBestGrace:  time.Second,
-		CatchUpTimeout:   3 * time.Second,
-		DrainTime:        250 * time.Millisecond,
-		SwitchoverRetry:  3 * time.Second,
-		FormGrace:        3 * time.Second,
-		BestGrace:        300 * time.Millisecond,
-		OrderTimeout:     3 * time.Second,
+		SuspectAfter:       3 * ProbeInterval,
+		ObservationTTL:     2 * time.Second,
+		HealthyTTL:         2*ReportInterval + 2*time.Second,
+		QueryInterval:      100 * time.Millisecond,
+		AnswerTTL:          time.Second,
+		ProposeTimeout:     time.Second,
+		CandidateTimeout:   1500 * time.Millisecond,
+		PromoteTimeout:     8 * time.Second,
+		FallbackGrace:      time.Second,
+		CatchUpTimeout:     3 * time.Second,
+		DrainTime:          250 * time.Millisecond,
+		SwitchoverInterval: 3 * time.Second,
+		FormingGrace:       3 * time.Second,
+		PositionGrace:      300 * time.Millisecond,
+		OrderTimeout:       3 * time.Second,
 	}
 }
 
@@ -241,8 +241,8 @@
 	Candidate string
 	// Chooser, the leader's consensus term, and Attempt make the record differ from
 	// every earlier choice, so that its revision is a new fence.
-	Chooser uint64
-	Attempt uint64
+	ChooserTerm uint64
+	Attempt     uint64
 }
 
 // Activate proposes the command that makes a sealed or forming group active with
