--- a/internal/agreed/apply_catalog.go
+++ b/internal/agreed/apply_catalog.go
@@ -40,7 +40,7 @@
 
 // setDomain takes a failure domain out of use or puts it back into use.
 func setDomain(s *State, d note.Domain) (*State, Outcome) {
-	if known, ok := s.Catalog.Domains[d.Name]; ok && known == d {
+	if current, ok := s.Catalog.Domains[d.Name]; ok && current == d {
 		return nil, Outcome{}
 	}
 	next := copyOf(s)
--- a/internal/agreed/apply_endpoint.go
+++ b/internal/agreed/apply_endpoint.go
@@ -20,7 +20,7 @@
 	if tombstone, ok := s.Retired[e.ID]; ok && e.StartedMS <= tombstone.StartedMS {
 		return refuse(result.GroupConflict, "endpoint %q has left", e.ID)
 	}
-	if known, ok := s.Endpoints[e.ID]; ok && (e.StartedMS < known.StartedMS || e.StartedMS == known.StartedMS && e.Seq < known.Seq) {
+	if current, ok := s.Endpoints[e.ID]; ok && (e.StartedMS < current.StartedMS || e.StartedMS == current.StartedMS && e.Seq < current.Seq) {
 		return refuse(result.GroupConflict, "endpoint %q has a later announcement", e.ID)
 	}
 	for id, other := range s.Endpoints {
@@ -46,15 +46,15 @@
 	if !ok {
 		return nil, refuse(result.UnknownService, "endpoint %q belongs to service %q, which is not in the catalog", e.ID, e.Service)
 	}
-	known, exists := s.Endpoints[e.ID]
+	current, exists := s.Endpoints[e.ID]
 	limit := s.Catalog.Services[e.Service].Endpoints
 	switch {
 	case e.ID == "" || e.Addr == "":
 		return nil, refuse(result.GroupConflict, "an endpoint has an identity and an address")
 	case s.HasEndpoint(e):
 		return nil, Outcome{}
-	case exists && known.Service != e.Service && e.StartedMS <= known.StartedMS:
-		return nil, refuse(result.GroupConflict, "endpoint %q is a member of service %q", e.ID, known.Service)
+	case exists && current.Service != e.Service && e.StartedMS <= current.StartedMS:
+		return nil, refuse(result.GroupConflict, "endpoint %q is a member of service %q", e.ID, current.Service)
 	case !exists && limit != note.UnlimitedEndpoints && len(g.Members) >= limit:
 		return nil, refuse(result.GroupConflict, "the group of service %q has all its %d endpoints", e.Service, len(g.Members))
 	}
@@ -99,12 +99,12 @@
 // retireEndpoint removes an endpoint and adds a tombstone for its process. It changes
 // nothing if the endpoint is unknown or already has a newer process.
 func retireEndpoint(s *State, index uint64, c *RetireEndpoint) (*State, Outcome) {
-	known, exists := s.Endpoints[c.ID]
+	current, exists := s.Endpoints[c.ID]
 	startedMS := c.StartedMS
 	if startedMS == 0 {
-		startedMS = known.StartedMS
+		startedMS = current.StartedMS
 	}
-	if !exists || known.StartedMS > startedMS {
+	if !exists || current.StartedMS > startedMS {
 		return nil, Outcome{}
 	}
 	next := copyOf(s.withoutEndpoints(index, func(e Endpoint) bool { return e.ID == c.ID }))
--- a/internal/agreed/apply_host.go
+++ b/internal/agreed/apply_host.go
@@ -9,27 +9,27 @@
 // registerHost adds a host or replaces its data. The registered incarnation may
 // register again and keeps its Registered revision; an older one is refused.
 func registerHost(s *State, index uint64, h Host) (*State, Outcome) {
-	known, ok := s.Hosts[h.ID]
+	current, ok := s.Hosts[h.ID]
 	if h.ID == "" || h.Incarnation == 0 {
 		return nil, refuse(result.PeerMalformed, "a host has an identity and an incarnation")
 	}
-	if ok && h.Incarnation < known.Incarnation {
+	if ok && h.Incarnation < current.Incarnation {
 		return nil, refuse(result.PeerIncarnation, "host %q has a newer process", h.ID)
 	}
 	h.Registered = index
-	if ok && h.Incarnation == known.Incarnation {
-		h.Registered = known.Registered
+	if ok && h.Incarnation == current.Incarnation {
+		h.Registered = current.Registered
 	}
-	if h == known {
+	if h == current {
 		return nil, Outcome{}
 	}
 	next := copyOf(s)
 	next.Hosts = maps.Clone(s.Hosts)
 	next.Hosts[h.ID] = h
-	if known.Entry && known.Incarnation != h.Incarnation {
+	if current.Entry && current.Incarnation != h.Incarnation {
 		next.EntryRemoved = index
 	}
-	if known.Control != h.Control {
+	if current.Control != h.Control {
 		next.OwnersEpoch++
 	}
 	next.HostsChanged = index
@@ -38,17 +38,17 @@
 
 // removeHost removes a host if the given incarnation is the registered one.
 func removeHost(s *State, index uint64, c *RemoveHost) (*State, Outcome) {
-	known, ok := s.Hosts[c.ID]
-	if !ok || known.Incarnation != c.Incarnation {
+	current, ok := s.Hosts[c.ID]
+	if !ok || current.Incarnation != c.Incarnation {
 		return nil, Outcome{}
 	}
 	next := copyOf(s)
 	next.Hosts = maps.Clone(s.Hosts)
 	delete(next.Hosts, c.ID)
-	if known.Entry {
+	if current.Entry {
 		next.EntryRemoved = index
 	}
-	if known.Control {
+	if current.Control {
 		next.OwnersEpoch++
 	}
 	next.HostsChanged = index
--- a/internal/agreed/delta.go
+++ b/internal/agreed/delta.go
@@ -79,8 +79,8 @@
 		Routes:  diffMap(from.Catalog.Routes, to.Catalog.Routes),
 		Retired: diffMap(from.Retired, to.Retired),
 	}
-	if head := catalogHeader(to); to.Document.Number != from.Document.Number {
-		d.Catalog = &head
+	if header := catalogHeader(to); to.Document.Number != from.Document.Number {
+		d.Catalog = &header
 	}
 	for _, stamp := range to.History {
 		if stamp.Number > from.Catalog.Stamp.Number {
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -56,8 +56,8 @@
 }
 
 func TestPutCatalogKeepsDomains(t *testing.T) {
-	out := Command{SetDomain: &SetDomain{Domain: note.Domain{Name: "a", Region: "r", Out: true}}}
-	s, _ := applyCommands(t, putDocument(1, "logs"), out, putDocument(2, "logs"))
+	takeOut := Command{SetDomain: &SetDomain{Domain: note.Domain{Name: "a", Region: "r", Out: true}}}
+	s, _ := applyCommands(t, putDocument(1, "logs"), takeOut, putDocument(2, "logs"))
 	if !s.Catalog.Domains["a"].Out {
 		t.Error("the domain is back in use")
 	}
@@ -107,8 +107,8 @@
 // TestChooseCandidateFence checks that a repeated choice keeps the fence, and that
 // another attempt or another leader gets a greater one.
 func TestChooseCandidateFence(t *testing.T) {
-	choose := func(chooser, attempt uint64) Command {
-		return Command{ChooseCandidate: &ChooseCandidate{Service: "logs", Term: 2, Candidate: "e2", ChooserTerm: chooser, Attempt: attempt}}
+	choose := func(chooserTerm, attempt uint64) Command {
+		return Command{ChooseCandidate: &ChooseCandidate{Service: "logs", Term: 2, Candidate: "e2", ChooserTerm: chooserTerm, Attempt: attempt}}
 	}
 	commands := []Command{
 		putDocument(1, "logs"), announce("e1", "x:1", 10, 5), announce("e2", "y:1", 10, 5),
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -20,8 +20,8 @@
 
 // Limits of an announcement.
 const (
-	maxBytes = 16 << 10 // of the request body
-	maxName  = 63       // bytes
+	maxBodyBytes = 16 << 10 // of the request body
+	maxNameBytes = 63       // bytes
 )
 
 // Roles that an endpoint reports for itself.
@@ -77,7 +77,7 @@
 // ServeHTTP forwards the announcement in the request body and writes a Response. A
 // malformed announcement is rejected and not forwarded.
 func (h *Handler) ServeHTTP(w http.ResponseWriter, r *http.Request) {
-	a, err := parse(http.MaxBytesReader(w, r.Body, maxBytes))
+	a, err := parse(http.MaxBytesReader(w, r.Body, maxBodyBytes))
 	if err != nil {
 		admin.WriteError(w, err)
 		return
@@ -114,8 +114,8 @@
 func (r Request) check() error {
 	names := []struct{ field, value string }{{"service", r.Service}, {"id", r.ID}, {"domain", r.Domain}}
 	for _, name := range names {
-		if name.value == "" || len(name.value) > maxName {
-			return result.New(result.MalformedMessage, "announcement: %s must have 1 to %d bytes", name.field, maxName)
+		if name.value == "" || len(name.value) > maxNameBytes {
+			return result.New(result.MalformedMessage, "announcement: %s must have 1 to %d bytes", name.field, maxNameBytes)
 		}
 	}
 	if _, err := netip.ParseAddrPort(r.Addr); err != nil {
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -25,13 +25,13 @@
 const validBody = `{"service":"log","id":"b","addr":"127.0.0.1:5432","domain":"d","role":"replica","timeline":3,"lsn":"1/A0"}`
 
 func TestHandlerForwardsAnnouncement(t *testing.T) {
-	box := view.NewPublisher()
+	publisher := view.NewPublisher()
 	state := agreed.New()
 	state.Groups["log"] = agreed.Group{Service: "log", Term: 4, Primary: "a", Phase: agreed.PhaseActive}
 	state.Endpoints["a"] = agreed.Endpoint{ID: "a", Addr: "127.0.0.1:1"}
-	box.Publish(view.View{State: state})
+	publisher.Publish(view.View{State: state})
 	var sender recorder
-	w := post(NewHandler(box, &sender), validBody)
+	w := post(NewHandler(publisher, &sender), validBody)
 	want := `{"term":4,"phase":"active","primary":"a","primary_addr":"127.0.0.1:1","member":false}`
 	if w.Code != http.StatusOK || strings.TrimSpace(w.Body.String()) != want {
 		t.Fatalf("%d %s", w.Code, w.Body)
@@ -43,7 +43,7 @@
 
 func TestHandlerRejectsMalformedAnnouncements(t *testing.T) {
 	malformed := []string{
-		``, `{`, validBody + validBody, strings.Repeat(" ", maxBytes) + validBody,
+		``, `{`, validBody + validBody, strings.Repeat(" ", maxBodyBytes) + validBody,
 		strings.Replace(validBody, `"log"`, `""`, 1),
 		strings.Replace(validBody, `"b"`, `"`+strings.Repeat("b", 64)+`"`, 1),
 		strings.Replace(validBody, `127.0.0.1:5432`, `localhost:5432`, 1),
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -96,8 +96,8 @@
 // update its address and failure domain if it is a member. It returns the
 // announcement with the time of the proposal or the reason of a refusal.
 func (h *Host) proposeMember(now time.Time, a announcedEndpoint) announcedEndpoint {
-	known, member := h.state.Endpoints[a.Endpoint.ID]
-	if member && known == a.Endpoint {
+	current, member := h.state.Endpoints[a.Endpoint.ID]
+	if member && current == a.Endpoint {
 		a.refusal = ""
 		return a
 	}
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -11,7 +11,7 @@
 // outcome. See Host.Propose.
 func (s *Subscriber) Propose(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
 	return retryProposal(ctx, func(ctx context.Context) (agreed.Outcome, error) {
-		up := s.current.Load()
+		up := s.currentUpstream.Load()
 		return callProposal(ctx, s.opts.Peer, up.Host, up.Addr, proposal{Command: c})
 	})
 }
@@ -19,7 +19,7 @@
 // Status returns the leader's status of the fleet. If the upstream control host
 // cannot reach the leader, it is the status of that control host.
 func (s *Subscriber) Status(ctx context.Context) (Status, error) {
-	up := s.current.Load()
+	up := s.currentUpstream.Load()
 	var status Status
 	err := s.opts.Peer.Call(ctx, up.Host, up.Addr, peer.KindStatus, statusRequest{}, &status)
 	return status, err
@@ -39,7 +39,7 @@
 
 // sendBestEffort sends soft state to the upstream; a failed send is only logged.
 func (s *Subscriber) sendBestEffort(kind peer.Kind, msg any) {
-	up := s.current.Load()
+	up := s.currentUpstream.Load()
 	if err := s.opts.Peer.Send(up.Host, up.Addr, kind, msg); err != nil {
 		s.log.Debug("send_failed", "control", up.Host, "kind", kind, "err", err.Error())
 	}
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -46,9 +46,9 @@
 		t.Fatalf("the repeated note got stamp %+v, the first %+v", again.Stamp, first.Stamp)
 	}
 	outcomes := make([]agreed.Outcome, 3)
-	var racing sync.WaitGroup
+	var proposers sync.WaitGroup
 	for i, title := range []string{"a", "b", "c"} {
-		racing.Go(func() {
+		proposers.Go(func() {
 			ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 			defer cancel()
 			var err error
@@ -58,12 +58,12 @@
 			}
 		})
 	}
-	racing.Wait()
-	won := 0
+	proposers.Wait()
+	accepted := 0
 	for _, out := range outcomes {
 		switch out.Code {
 		case 0:
-			won++
+			accepted++
 		case result.NoteConflict:
 		default:
 			t.Errorf("code %d", out.Code)
@@ -72,8 +72,8 @@
 			t.Errorf("concurrent proposers got different stamps: %+v", out.Stamp)
 		}
 	}
-	if won != 1 {
-		t.Errorf("%d of the concurrent notes were accepted, want 1", won)
+	if accepted != 1 {
+		t.Errorf("%d of the concurrent notes were accepted, want 1", accepted)
 	}
 }
 
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -82,12 +82,12 @@
 			h.lastLeased[id] = now
 			continue
 		}
-		held, known := h.lastLeased[id]
-		if !known {
+		leasedAt, seen := h.lastLeased[id]
+		if !seen {
 			h.lastLeased[id] = now
 			continue
 		}
-		if now.Sub(held) < hostRemovalDelay {
+		if now.Sub(leasedAt) < hostRemovalDelay {
 			continue
 		}
 		h.lastLeased[id] = now
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -32,13 +32,13 @@
 // former driver are dropped. A host that is not the leader has a nil driver, on which
 // the methods called for every host do nothing.
 type failoverDriver struct {
-	host       *Host
-	fleet      *failover.MachineSet
-	ctx        context.Context
-	cancel     context.CancelFunc
-	lastTick   time.Time
-	stateDirty bool
-	leaving    map[string]bool
+	host             *Host
+	machines         *failover.MachineSet
+	ctx              context.Context
+	cancel           context.CancelFunc
+	lastTick         time.Time
+	stateDirty       bool
+	leavingEndpoints map[string]bool
 	// probing holds the endpoints with a probe in flight.
 	probing map[string]bool
 	// results are the outcomes of commands, kept for applyPending.
@@ -58,7 +58,7 @@
 	cfg.Fenced, cfg.ChooserTerm = h.opts.Fenced, h.term
 	return &failoverDriver{
 		host:       h,
-		fleet:      failover.NewMachineSet(cfg),
+		machines:   failover.NewMachineSet(cfg),
 		ctx:        ctx,
 		cancel:     cancel,
 		stateDirty: true,
@@ -96,12 +96,12 @@
 	}
 	if d.stateDirty {
 		d.stateDirty = false
-		d.run(now, d.fleet.SetState(now, d.host.state, d.leaving))
+		d.run(now, d.machines.SetState(now, d.host.state, d.leavingEndpoints))
 	}
 	results := d.results
 	d.results = nil
 	for _, r := range results {
-		d.run(now, d.fleet.Step(now, r.service, failover.CommandResult{Committed: r.committed}))
+		d.run(now, d.machines.Step(now, r.service, failover.CommandResult{Committed: r.committed}))
 	}
 }
 
@@ -111,15 +111,15 @@
 		return
 	}
 	d.lastTick = now
-	if leaving := d.host.leavingEndpoints(now); !maps.Equal(leaving, d.leaving) {
-		d.leaving, d.stateDirty = leaving, true
+	if leaving := d.host.leavingEndpoints(now); !maps.Equal(leaving, d.leavingEndpoints) {
+		d.leavingEndpoints, d.stateDirty = leaving, true
 	}
-	d.run(now, d.fleet.StepAll(now, failover.Tick{}))
+	d.run(now, d.machines.StepAll(now, failover.Tick{}))
 }
 
 // settled reports a new settled revision to the failover state machines.
 func (d *failoverDriver) settled(now time.Time, revision uint64) {
-	d.run(now, d.fleet.StepAll(now, failover.Settled{Revision: revision}))
+	d.run(now, d.machines.StepAll(now, failover.Settled{Revision: revision}))
 }
 
 // reason returns why a group is not active or what it waits for.
@@ -127,7 +127,7 @@
 	if d == nil {
 		return ""
 	}
-	return d.fleet.Reason(service)
+	return d.machines.Reason(service)
 }
 
 // run carries out effects of the failover state machines.
@@ -160,7 +160,7 @@
 		d.commandDone(service, false)
 		return
 	}
-	d.host.proposals[index] = pendingProposal{term: d.host.term, until: now.Add(proposalTimeout), service: service}
+	d.host.proposals[index] = pendingProposal{term: d.host.term, deadline: now.Add(proposalTimeout), service: service}
 }
 
 func (d *failoverDriver) endpointClient() endpointClient {
@@ -179,8 +179,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 			defer cancel()
-			seen := client.probe(ctx, endpoint)
-			d.deliver(probeEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: seen}})
+			condition := client.probe(ctx, endpoint)
+			d.deliver(probeEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: condition}})
 		}()
 	}
 }
@@ -227,7 +227,7 @@
 		return
 	}
 	delete(e.driver.probing, e.answer.Endpoint)
-	e.driver.run(now, e.driver.fleet.Step(now, e.service, e.answer))
+	e.driver.run(now, e.driver.machines.Step(now, e.service, e.answer))
 }
 
 // promotionEvent is the result of a promotion.
@@ -241,7 +241,7 @@
 	if e.driver != h.failover {
 		return
 	}
-	e.driver.run(now, e.driver.fleet.Step(now, e.service, e.result))
+	e.driver.run(now, e.driver.machines.Step(now, e.service, e.result))
 }
 
 // observationEvent is an observation by a watcher.
@@ -258,7 +258,7 @@
 		return
 	}
 	o := e.observation
-	h.failover.run(now, h.failover.fleet.Step(now, o.Service, failover.Observation{
+	h.failover.run(now, h.failover.machines.Step(now, o.Service, failover.Observation{
 		Watcher: o.Watcher, Domain: o.Domain, Endpoint: o.Endpoint, Condition: o.Condition,
 	}))
 }
--- a/internal/control/fleet_test.go
+++ b/internal/control/fleet_test.go
@@ -30,13 +30,13 @@
 
 // fleet is a set of hosts in this process, connected over loopback.
 type fleet struct {
-	t        testing.TB
-	net      *network
-	dir      string
-	controls []config.ControlHost
-	hosts    map[string]*testHost
-	started  uint64
-	leases   lease.Config
+	t               testing.TB
+	net             *network
+	dir             string
+	controls        []config.ControlHost
+	hosts           map[string]*testHost
+	lastIncarnation uint64
+	leaseConfig     lease.Config
 	// unreachableFrom holds the hosts whose control role cannot reach any endpoint.
 	unreachableFrom map[string]bool
 }
@@ -78,7 +78,7 @@
 // newFleet starts control hosts c0 to c(n-1), which are also entry hosts. Those in
 // unreachableFrom cannot reach endpoints.
 func newFleet(t testing.TB, n int, unreachableFrom ...string) *fleet {
-	f := &fleet{t: t, net: newNetwork(), dir: t.TempDir(), hosts: map[string]*testHost{}, leases: lease.DefaultConfig()}
+	f := &fleet{t: t, net: newNetwork(), dir: t.TempDir(), hosts: map[string]*testHost{}, leaseConfig: lease.DefaultConfig()}
 	f.unreachableFrom = make(map[string]bool)
 	for _, name := range unreachableFrom {
 		f.unreachableFrom[name] = true
@@ -113,7 +113,7 @@
 // start starts a new process of a host, with a greater incarnation than any before.
 func (f *fleet) start(name string) *testHost {
 	f.t.Helper()
-	f.started++
+	f.lastIncarnation++
 	h := &testHost{name: name, domain: "domain of " + name, view: view.NewPublisher(), registry: prometheus.NewRegistry(),
 		replaced: make(chan struct{}), done: make(chan struct{})}
 	listen, isControl := "127.0.0.1:0", false
@@ -123,20 +123,20 @@
 		}
 	}
 	h.peer = peer.NewNode(peer.Options{
-		Host: name, Fleet: "fleet", Secret: "a secret of the fleet", Incarnation: f.started,
+		Host: name, Fleet: "fleet", Secret: "a secret of the fleet", Incarnation: f.lastIncarnation,
 		Listen: listen, Transport: transport{f.net, name}, Logger: logger().With("host", name),
 		OnReplaced: func() { close(h.replaced) }, Registry: h.registry,
 	})
 	if isControl {
 		h.control = control.New(control.Options{
 			Fleet: "fleet", DataDir: filepath.Join(f.dir, name), Bootstrap: true, Controls: f.controls,
-			Peer: h.peer, Lease: f.leases, Logger: logger().With("host", name), CompactEvery: 200, Registry: h.registry,
+			Peer: h.peer, Lease: f.leaseConfig, Logger: logger().With("host", name), CompactEvery: 200, Registry: h.registry,
 			EndpointManager: f.endpointManager(name),
 		})
 	}
 	h.subscriber = control.NewSubscriber(control.SubscriberOptions{
 		Fleet: "fleet", Domain: h.domain, Entry: true, Control: isControl, Controls: f.controls,
-		Peer: h.peer, Lease: f.leases, Logger: logger().With("host", name), View: h.view, Registry: h.registry,
+		Peer: h.peer, Lease: f.leaseConfig, Logger: logger().With("host", name), View: h.view, Registry: h.registry,
 	})
 	control.ServeEndpointRequests(h.peer, h.view, watch.NewProber())
 	h.watcher = watch.NewWatcher(name, h.domain, h.view, h.subscriber.Observe)
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -244,17 +244,17 @@
 		Host: h.opts.Peer.Host(),
 		Rand: rand.New(rand.NewPCG(rand.Uint64(), rand.Uint64())),
 	}
-	founder := false
+	isFounder := false
 	for _, c := range h.opts.Controls {
 		if c.Host != cfg.Host {
 			cfg.Peers = append(cfg.Peers, c.Host)
 		}
 		if c.Voter && h.opts.Bootstrap {
 			cfg.Founders = append(cfg.Founders, c.Host)
-			founder = founder || c.Host == cfg.Host
+			isFounder = isFounder || c.Host == cfg.Host
 		}
 	}
-	if h.opts.OpenMembership && !founder {
+	if h.opts.OpenMembership && !isFounder {
 		cfg.Founders = nil // a host that is not a seed waits to be admitted
 	}
 	return cfg
@@ -281,4 +281,4 @@
 }
 
 // errTaskUnavailable is returned when the event queue of a Host has no space.
-var errTaskUnavailable = errors.New("the control role is overloaded or stopped")
+var errQueueFull = errors.New("the control role is overloaded or stopped")
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -158,8 +158,8 @@
 		return h.broker.Settled()
 	}
 	before := h.broker.Settled()
-	e := lease.Registrations{Holders: h.possibleHolders(), Changed: h.state.HostsChanged}
-	settled := h.broker.Settle(now, h.state.Revision, e)
+	registrations := lease.Registrations{Holders: h.possibleHolders(), Changed: h.state.HostsChanged}
+	settled := h.broker.Settle(now, h.state.Revision, registrations)
 	if settled > before && h.failover != nil {
 		h.failover.settled(now, settled)
 	}
--- a/internal/control/propose.go
+++ b/internal/control/propose.go
@@ -31,9 +31,9 @@
 // pendingProposal is a proposal whose log entry has not been applied yet. term is
 // the consensus term in which it was appended.
 type pendingProposal struct {
-	term  uint64
-	until time.Time
-	reply chan proposalResult
+	term     uint64
+	deadline time.Time
+	reply    chan proposalResult
 	// service is set instead of reply if the failover driver proposed the command.
 	service string
 }
@@ -51,7 +51,7 @@
 		e.reply <- proposalResult{err: err}
 		return
 	}
-	h.proposals[index] = pendingProposal{term: h.term, until: now.Add(proposalTimeout), reply: e.reply}
+	h.proposals[index] = pendingProposal{term: h.term, deadline: now.Add(proposalTimeout), reply: e.reply}
 }
 
 // appendCommand appends a command to the leader's log and returns its index. A note
@@ -102,7 +102,7 @@
 
 func (h *Host) expireProposals(now time.Time) {
 	for index, p := range h.proposals {
-		if now.After(p.until) {
+		if now.After(p.deadline) {
 			h.answerProposal(index, agreed.Outcome{}, errUnconfirmed())
 		}
 	}
@@ -172,7 +172,7 @@
 func (h *Host) proposeLocal(ctx context.Context, c agreed.Command) (agreed.Outcome, error) {
 	reply := make(chan proposalResult, 1)
 	if !h.post(proposeEvent{command: c, reply: reply}) {
-		return agreed.Outcome{}, result.New(result.QueueFull, "%v", errTaskUnavailable)
+		return agreed.Outcome{}, result.New(result.QueueFull, "%v", errQueueFull)
 	}
 	select {
 	case <-ctx.Done():
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -11,7 +11,7 @@
 
 // firstReadID numbers the confirmations of linearizable reads above those of lease
 // rounds, which stay below initialSeq plus the number of rounds of a process.
-const firstReadID = uint64(1) << 63
+const readIDBase = uint64(1) << 63
 
 // documentResult is the result of a read of the document.
 type documentResult struct {
@@ -21,12 +21,12 @@
 
 // pendingReads are the linearizable reads that wait for a confirmation of the leader.
 type pendingReads struct {
-	next    uint64
+	lastID  uint64
 	pending map[uint64]chan documentResult // buffered
 }
 
 func newPendingReads() pendingReads {
-	return pendingReads{next: firstReadID, pending: make(map[uint64]chan documentResult)}
+	return pendingReads{lastID: readIDBase, pending: make(map[uint64]chan documentResult)}
 }
 
 // failAll fails every pending read.
@@ -68,10 +68,10 @@
 		e.reply <- documentResult{err: h.errNotLeader()}
 		return
 	}
-	h.pendingReads.next++
-	h.pendingReads.pending[h.pendingReads.next] = e.reply
-	if err := h.node.ConfirmQuorum(h.pendingReads.next); err != nil {
-		h.pendingReads.finish(h.pendingReads.next, documentResult{err: err})
+	h.pendingReads.lastID++
+	h.pendingReads.pending[h.pendingReads.lastID] = e.reply
+	if err := h.node.ConfirmQuorum(h.pendingReads.lastID); err != nil {
+		h.pendingReads.finish(h.pendingReads.lastID, documentResult{err: err})
 	}
 }
 
@@ -115,7 +115,7 @@
 func (h *Host) localDocument(ctx context.Context) (agreed.Document, error) {
 	reply := make(chan documentResult, 1)
 	if !h.post(readEvent{reply: reply}) {
-		return agreed.Document{}, result.New(result.QueueFull, "%v", errTaskUnavailable)
+		return agreed.Document{}, result.New(result.QueueFull, "%v", errQueueFull)
 	}
 	select {
 	case d := <-reply:
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -60,7 +60,7 @@
 	if state.HasEndpoint(e) || state.CheckStale(e).Code != 0 {
 		return nil
 	}
-	if _, known := state.Catalog.Services[e.Service]; !known && state.Catalog.Stamp.Number == 0 {
+	if _, exists := state.Catalog.Services[e.Service]; !exists && state.Catalog.Stamp.Number == 0 {
 		return nil // a later announcement is accepted once there is a catalog
 	}
 	out, err := r.host.Propose(ctx, agreed.Command{PutEndpoint: &agreed.PutEndpoint{Endpoint: e}})
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -76,36 +76,36 @@
 
 // probe returns the condition of an endpoint, read through other hosts if the
 // direct attempt cannot reach it.
-func (r endpointClient) probe(ctx context.Context, e agreed.Endpoint) failover.Condition {
+func (c endpointClient) probe(ctx context.Context, e agreed.Endpoint) failover.Condition {
 	direct, cancel := withTimeFraction(ctx, directAttemptDivisor)
-	seen := r.endpoints.Probe(direct, r.state.Catalog.Services[e.Service], e)
+	condition := c.endpoints.Probe(direct, c.state.Catalog.Services[e.Service], e)
 	cancel()
-	for _, helper := range r.helpers(e) {
-		if seen.Reachable || ctx.Err() != nil {
+	for _, helper := range c.helpers(e) {
+		if condition.Reachable || ctx.Err() != nil {
 			break
 		}
 		var answer failover.Condition
-		if err := r.node.Call(ctx, helper.ID, helper.PeerAddr, peer.KindPosition, endpointRequest{Endpoint: e.ID}, &answer); err == nil {
-			seen = answer
+		if err := c.node.Call(ctx, helper.ID, helper.PeerAddr, peer.KindPosition, endpointRequest{Endpoint: e.ID}, &answer); err == nil {
+			condition = answer
 		}
 	}
-	return seen
+	return condition
 }
 
 // promote orders an endpoint to become the primary. Orders without a fence are
 // repeated through other hosts if the direct attempt fails.
-func (r endpointClient) promote(ctx context.Context, e agreed.Endpoint, fence uint64) (failover.OrderOutcome, error) {
-	if r.fenced {
-		return r.endpoints.Promote(ctx, r.order(e, fence))
+func (c endpointClient) promote(ctx context.Context, e agreed.Endpoint, fence uint64) (failover.OrderOutcome, error) {
+	if c.fenced {
+		return c.endpoints.Promote(ctx, c.order(e, fence))
 	}
 	direct, cancel := withTimeFraction(ctx, directAttemptDivisor)
-	_, err := r.endpoints.Promote(direct, r.order(e, fence))
+	_, err := c.endpoints.Promote(direct, c.order(e, fence))
 	cancel()
-	for _, helper := range r.helpers(e) {
+	for _, helper := range c.helpers(e) {
 		if err == nil || ctx.Err() != nil {
 			break
 		}
-		err = r.node.Call(ctx, helper.ID, helper.PeerAddr, peer.KindPromote, endpointRequest{Endpoint: e.ID, Fence: fence}, nil)
+		err = c.node.Call(ctx, helper.ID, helper.PeerAddr, peer.KindPromote, endpointRequest{Endpoint: e.ID, Fence: fence}, nil)
 	}
 	if err != nil {
 		return failover.OrderRefused, err
@@ -113,22 +113,22 @@
 	return failover.OrderAccepted, nil
 }
 
-func (r endpointClient) order(e agreed.Endpoint, fence uint64) failover.Order {
-	return failover.Order{Service: r.state.Catalog.Services[e.Service], Endpoint: e, Fence: fence}
+func (c endpointClient) order(e agreed.Endpoint, fence uint64) failover.Order {
+	return failover.Order{Service: c.state.Catalog.Services[e.Service], Endpoint: e, Fence: fence}
 }
 
 // helpers returns up to maxHelpers entry hosts that may reach the endpoint, those in
 // its failure domain first.
-func (r endpointClient) helpers(e agreed.Endpoint) []agreed.Host {
+func (c endpointClient) helpers(e agreed.Endpoint) []agreed.Host {
 	var hosts []agreed.Host
-	for _, h := range r.state.Hosts {
-		if h.Entry && h.ID != r.node.Host() {
+	for _, h := range c.state.Hosts {
+		if h.Entry && h.ID != c.node.Host() {
 			hosts = append(hosts, h)
 		}
 	}
 	slices.SortFunc(hosts, func(a, b agreed.Host) int {
-		if near := compareBool(b.Domain == e.Domain, a.Domain == e.Domain); near != 0 {
-			return near
+		if n := compareBool(b.Domain == e.Domain, a.Domain == e.Domain); n != 0 {
+			return n
 		}
 		return cmp.Compare(a.ID, b.ID)
 	})
--- a/internal/control/status.go
+++ b/internal/control/status.go
@@ -43,7 +43,7 @@
 func (h *Host) LocalStatus(ctx context.Context) (Status, error) {
 	reply := make(chan Status, 1)
 	if !h.post(statusEvent{reply: reply}) {
-		return Status{}, result.New(result.QueueFull, "%v", errTaskUnavailable)
+		return Status{}, result.New(result.QueueFull, "%v", errQueueFull)
 	}
 	select {
 	case <-ctx.Done():
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -65,7 +65,7 @@
 
 	// current is the upstream, the control host that the subscriber uses. Other
 	// goroutines read it.
-	current atomic.Pointer[config.ControlHost]
+	currentUpstream atomic.Pointer[config.ControlHost]
 
 	state  *agreed.State
 	holder *lease.Holder
@@ -149,10 +149,10 @@
 }
 
 // upstream returns the control host in use.
-func (s *Subscriber) upstream() config.ControlHost { return *s.current.Load() }
+func (s *Subscriber) upstream() config.ControlHost { return *s.currentUpstream.Load() }
 
 // setUpstream stores the upstream for all goroutines.
-func (s *Subscriber) setUpstream(c config.ControlHost) { s.current.Store(&c) }
+func (s *Subscriber) setUpstream(c config.ControlHost) { s.currentUpstream.Store(&c) }
 
 // runDueTasks switches the upstream after a timeout, renews the lease and registers
 // the host, each when it is due.
@@ -161,15 +161,15 @@
 	if s.leased {
 		s.logLeaseChange(s.isRegistered())
 	}
-	silence, interval := s.opts.Lease.Duration/silenceDivisor, s.opts.Lease.RenewInterval
+	silenceTimeout, renewInterval := s.opts.Lease.Duration/silenceDivisor, s.opts.Lease.RenewInterval
 	if !s.leased {
-		silence, interval = min(silence, initialSilenceTimeout), min(interval, initialRenewInterval)
+		silenceTimeout, renewInterval = min(silenceTimeout, initialSilenceTimeout), min(renewInterval, initialRenewInterval)
 	}
-	if now.Sub(s.lastGrant) > silence {
+	if now.Sub(s.lastGrant) > silenceTimeout {
 		s.switchUpstream(now, s.nextUpstream())
 		s.log.Info("control_host_silent", "next", s.upstream().Host)
 	}
-	if now.Sub(s.lastRenew) >= interval {
+	if now.Sub(s.lastRenew) >= renewInterval {
 		s.renew(now)
 	}
 	if !s.isRegistered() && now.Sub(s.lastRegister) >= registerInterval {
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -33,7 +33,7 @@
 	highestFence uint64 // of the executed orders
 	pending      []delayedOrder
 	fences       map[uint64]string // leader and endpoint of each used fence
-	chooser      uint64
+	chooserTerm  uint64
 	// active is the primary that hosts write to, empty while the group is sealed.
 	active string
 }
@@ -53,9 +53,9 @@
 
 // startLeader starts a new control leader, which has only the agreed state.
 func (p *delayingPlatform) startLeader() {
-	p.chooser++
+	p.chooserTerm++
 	cfg := DefaultConfig()
-	cfg.Fenced, cfg.ChooserTerm = true, p.chooser
+	cfg.Fenced, cfg.ChooserTerm = true, p.chooserTerm
 	p.m = New(cfg)
 	p.step(Settled{Revision: p.group.Changed})
 	p.sendView()
@@ -109,7 +109,7 @@
 // order executes an order at once and answers it, or executes it later without an
 // answer, or drops it.
 func (p *delayingPlatform) order(e Promote) {
-	owner := fmt.Sprint(p.chooser, e.Endpoint)
+	owner := fmt.Sprint(p.chooserTerm, e.Endpoint)
 	if former, used := p.fences[e.Fence]; used {
 		p.t.Fatalf("fence %d used by %s and again by %s", e.Fence, former, owner)
 	}
@@ -187,7 +187,7 @@
 	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
-func TestChooseSingleReplicaAfterBestGrace(t *testing.T) {
+func TestChooseSingleReplicaAfterPositionGrace(t *testing.T) {
 	h := newHarness(t, threeDomains)
 	h.view.Ack = note.AckReplicas
 	h.seal()
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -92,7 +92,7 @@
 	endpoints       []*modelEndpoint
 	events          []delayed
 	commands        []Effect
-	promotes        []string
+	promotions      []string
 	pending         []*pendingWrite
 	acked           map[int]bool
 	primaries       map[uint64]string
@@ -100,7 +100,7 @@
 	sealedAt        uint64
 	nextID          int
 	faultsEnded     bool
-	out             map[string]bool // failure domains
+	domainsOut      map[string]bool // failure domains
 	checked         [2]uint64       // revision and acknowledged writes at the last check
 	failure         string
 }
@@ -108,7 +108,7 @@
 func newModel(pick func(int) int, size int, f fault) *model {
 	m := &model{
 		pick: pick, fault: f, now: time.Unix(1000, 0), revision: 1,
-		acked: map[int]bool{}, primaries: map[uint64]string{}, out: map[string]bool{}, answered: map[string]bool{},
+		acked: map[int]bool{}, primaries: map[uint64]string{}, domainsOut: map[string]bool{}, answered: map[string]bool{},
 	}
 	for i := range size {
 		e := &modelEndpoint{id: fmt.Sprintf("e%d", i), alive: true, inRecovery: i > 0, upstream: "e0", unreachableFrom: map[string]bool{}}
@@ -142,7 +142,7 @@
 
 // setDomainOut takes a failure domain out of use, or puts it back into use.
 func (m *model) setDomainOut(domain string, out bool) {
-	m.out[domain] = out
+	m.domainsOut[domain] = out
 	m.revision++
 	m.step(m.view())
 }
@@ -185,7 +185,7 @@
 	v := View{Group: m.group, Size: len(m.endpoints), Electorate: m.electorate}
 	for i, e := range m.endpoints {
 		domain := fmt.Sprintf("d%d", i%3)
-		v.Members = append(v.Members, Member{Endpoint: e.id, Domain: domain, DomainOut: m.out[domain]})
+		v.Members = append(v.Members, Member{Endpoint: e.id, Domain: domain, DomainOut: m.domainsOut[domain]})
 	}
 	return v
 }
@@ -215,7 +215,7 @@
 		if m.group.Phase != agreed.PhaseSealed || m.group.Candidate != ef.Endpoint {
 			m.failf("promoting %s, which is not the recorded candidate", ef.Endpoint)
 		}
-		m.promotes = append(m.promotes, ef.Endpoint)
+		m.promotions = append(m.promotions, ef.Endpoint)
 	case Status:
 	}
 }
--- a/internal/failover/modelrun_test.go
+++ b/internal/failover/modelrun_test.go
@@ -42,7 +42,7 @@
 	for _, h := range m.hosts {
 		h.isolated = false
 	}
-	for domain := range m.out {
+	for domain := range m.domainsOut {
 		m.setDomainOut(domain, false)
 	}
 }
@@ -78,7 +78,7 @@
 		m.isolatePrimary()
 	case 14:
 		domain := m.primaryDomain()
-		m.setDomainOut(domain, !m.out[domain])
+		m.setDomainOut(domain, !m.domainsOut[domain])
 	}
 }
 
@@ -143,7 +143,7 @@
 
 func (m *model) executePromotions() {
 	var rest []string
-	for _, id := range m.promotes {
+	for _, id := range m.promotions {
 		e := m.endpoint(id)
 		switch {
 		case m.pick(4) == 0:
@@ -154,7 +154,7 @@
 			e.log = append(e.log, record{id: m.nextID, timeline: e.timeline() + 1})
 		}
 	}
-	m.promotes = rest
+	m.promotions = rest
 }
 
 func (m *model) renew() {
--- a/internal/failover/property_test.go
+++ b/internal/failover/property_test.go
@@ -61,7 +61,7 @@
 		name            string
 		fault           fault
 		skipChoiceRules bool
-		sign            string
+		wantFailure     string
 	}{
 		{"no majority, by the rule", promoteWithoutMajority, false, "candidate chosen from"},
 		{"no majority, by the loss", promoteWithoutMajority, true, "is not on primary"},
@@ -75,7 +75,7 @@
 			for seed := range uint64(schedules) {
 				m := newModel(rand.New(rand.NewPCG(seed, 1)).IntN, 3, c.fault)
 				m.skipChoiceRules = c.skipChoiceRules
-				if strings.Contains(m.run(faultySteps), c.sign) {
+				if strings.Contains(m.run(faultySteps), c.wantFailure) {
 					detected++
 				}
 			}
--- a/internal/failover/sealed.go
+++ b/internal/failover/sealed.go
@@ -53,7 +53,7 @@
 		m.setStatus("sealed: waiting for the positions of the other members")
 		return "", false
 	}
-	eligible := m.untried(m.holdingAcknowledged(all))
+	eligible := m.withoutFailed(m.holdingAcknowledged(all))
 	if _, planned := m.switchoverCause(); planned && !m.suspected(now, m.view.Group.Primary) {
 		eligible = m.switchoverCandidates(now, all, eligible)
 	}
@@ -72,7 +72,7 @@
 
 // untried returns the contenders whose promotion has not failed in this term, or
 // all of them when each has failed.
-func (m *Machine) untried(all []contender) []contender {
+func (m *Machine) withoutFailed(all []contender) []contender {
 	remaining := exclude(all, func(c contender) bool { return m.failedCandidates[c.member.Endpoint] })
 	if len(remaining) == 0 {
 		return all
--- a/internal/watch/prober_test.go
+++ b/internal/watch/prober_test.go
@@ -42,9 +42,9 @@
 	primary := agreed.Endpoint{ID: "s-1", Service: "s", Addr: group.Servers[0].Addr()}
 	replica := agreed.Endpoint{ID: "s-2", Service: "s", Addr: group.Servers[1].Addr()}
 
-	was := p.Probe(ctx, service, primary)
-	if !was.Reachable || was.InRecovery || was.Timeline != 1 {
-		t.Errorf("primary: %+v", was)
+	before := p.Probe(ctx, service, primary)
+	if !before.Reachable || before.InRecovery || before.Timeline != 1 {
+		t.Errorf("primary: %+v", before)
 	}
 	if c := p.Probe(ctx, service, replica); !c.Reachable || !c.InRecovery {
 		t.Errorf("replica: %+v", c)
@@ -56,7 +56,7 @@
 		}
 	}
 	c := p.Probe(ctx, service, replica)
-	if c.InRecovery || c.Timeline != was.Timeline+1 {
+	if c.InRecovery || c.Timeline != before.Timeline+1 {
 		t.Errorf("after promotion: %+v", c)
 	}
 }
