--- a/internal/agreed/apply_endpoint.go
+++ b/internal/agreed/apply_endpoint.go
@@ -8,8 +8,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// MaxTombstones is the number of removed endpoints that the state remembers. That
-// many leave in days, while announcements are late by seconds.
+// MaxTombstones is the maximum number of tombstones in the state. It takes days until
+// that many endpoints have left, while a late announcement is late by seconds.
 const MaxTombstones = 256
 
 // CheckStale returns an outcome with code zero if an announcement of an endpoint is
@@ -34,8 +34,8 @@
 // HasEndpoint reports whether the state contains the endpoint as announced,
 // regardless of the announcement's number.
 func (s *State) HasEndpoint(e Endpoint) bool {
-	known, ok := s.Endpoints[e.ID]
-	return ok && known.sameExceptSeq(e)
+	current, ok := s.Endpoints[e.ID]
+	return ok && current.sameExceptSeq(e)
 }
 
 // putEndpoint adds or changes an endpoint. A group gets no more members than its
--- a/internal/agreed/apply_note.go
+++ b/internal/agreed/apply_note.go
@@ -8,8 +8,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// MaxHistory is the number of accepted notes that the state remembers. A repeated
-// note is recognized only while it is among them.
+// MaxHistory is the maximum number of accepted notes in the history of the state. A
+// repeated note is recognized only while its stamp is in the history.
 const MaxHistory = 1024
 
 // applyNote accepts the note with the next number. A note with the number and digest
--- a/internal/agreed/apply_test.go
+++ b/internal/agreed/apply_test.go
@@ -80,7 +80,7 @@
 	s := run(t, New(), step{noteWith(1, "mine"), 0})
 	same, out := Apply(s, 9, noteWith(1, "yours"))
 	if same != s || out.Code != result.NoteConflict {
-		t.Fatalf("got %+v", out)
+		t.Fatalf("outcome %+v, want NoteConflict and the state unchanged", out)
 	}
 	for _, want := range []string{"note 1", `"mine"`, s.Catalog.Stamp.Digest} {
 		if !strings.Contains(out.Detail, want) {
@@ -95,7 +95,7 @@
 	bad.ApplyNote.Note.Added.Workspaces[0].Rate = -1
 	s, out := Apply(New(), 1, bad)
 	if out.Code != result.NoteInvalid || len(out.Problems) == 0 || len(s.Catalog.Workspaces) != 0 {
-		t.Fatalf("got %+v", out)
+		t.Fatalf("outcome %+v, want NoteInvalid with problems and the state unchanged", out)
 	}
 }
 
@@ -105,7 +105,7 @@
 		s = run(t, s, step{noteWith(n+1, "x"), 0})
 	}
 	if len(s.History) != MaxHistory {
-		t.Fatalf("history has %d entries", len(s.History))
+		t.Fatalf("history has %d entries, want MaxHistory", len(s.History))
 	}
 	run(t, s, step{noteWith(1, "x"), result.NoteOutOfOrder}, step{noteWith(20, "x"), 0})
 }
@@ -154,7 +154,7 @@
 	)
 	g := s.Groups["log"]
 	if g.Term != 2 || g.Primary != "b" || g.Phase != PhaseActive || g.Timeline != 2 || s.Quorum("log") != 2 {
-		t.Fatalf("got %+v", g)
+		t.Fatalf("group %+v, want it active in term 2 with primary b on timeline 2, with quorum 2", g)
 	}
 }
 
@@ -162,7 +162,7 @@
 	withdraw := Command{ApplyNote: &ApplyNote{Note: note.Note{Number: 2, Withdrawn: note.Withdrawals{Services: []string{"log"}}}}}
 	s := run(t, New(), step{noteWith(1, "first", "log"), 0}, step{put("a"), 0}, step{withdraw, 0})
 	if len(s.Groups) != 0 || len(s.Endpoints) != 0 {
-		t.Fatalf("remaining groups %v, endpoints %v", s.Groups, s.Endpoints)
+		t.Fatalf("groups %v and endpoints %v remain, want none", s.Groups, s.Endpoints)
 	}
 }
 
--- a/internal/agreed/delta.go
+++ b/internal/agreed/delta.go
@@ -57,8 +57,8 @@
 // ErrGap is returned by Patch if the delta does not start at the state's revision.
 var ErrGap = errors.New("the delta does not start at the revision of the state")
 
-// Diff returns the delta from one state to a later one. Maps shared by both states
-// are not compared.
+// Diff returns the delta from one state to a later one. It does not compare the entries
+// of a map that both states share.
 func Diff(from, to *State) Delta {
 	d := Delta{
 		From:         from.Revision,
--- a/internal/agreed/document_test.go
+++ b/internal/agreed/document_test.go
@@ -46,11 +46,11 @@
 func TestPutCatalogHighestNumberInForce(t *testing.T) {
 	s, out := applyCommands(t, putDocument(4, "logs"), putDocument(9, "logs", "more"), putDocument(9, "other"), putDocument(5, "logs"))
 	if s.Catalog.Stamp.Number != 9 || len(s.Catalog.Services) != 2 || s.Document.Number != 9 {
-		t.Errorf("state %+v", s.Catalog)
+		t.Errorf("catalog %+v, want two services of document 9", s.Catalog)
 	}
 	for i, o := range out {
 		if o.Code != 0 || o.Repeated != (i >= 2) {
-			t.Errorf("command %d: %+v", i, o)
+			t.Errorf("command %d: outcome %+v, want code 0, and Repeated only for the last two", i, o)
 		}
 	}
 }
@@ -59,7 +59,7 @@
 	takeOut := Command{SetDomain: &SetDomain{Domain: note.Domain{Name: "a", Region: "r", Out: true}}}
 	s, _ := applyCommands(t, putDocument(1, "logs"), takeOut, putDocument(2, "logs"))
 	if !s.Catalog.Domains["a"].Out {
-		t.Error("the domain is back in use")
+		t.Error("a new document put the failure domain back into use")
 	}
 }
 
@@ -79,18 +79,18 @@
 	refused := map[int]bool{3: true, 5: true, 7: true}
 	for i, o := range out {
 		if (o.Code == result.GroupConflict) != refused[i] {
-			t.Errorf("command %d: %+v", i, o)
+			t.Errorf("command %d: outcome %+v, want GroupConflict only for the stale announcements", i, o)
 		}
 	}
 	if len(s.Endpoints) != 2 || s.Endpoints["e2"].Addr != "y:1" || s.Endpoints["e1"].StartedMS != 30 {
-		t.Errorf("endpoints %+v", s.Endpoints)
+		t.Errorf("endpoints %+v, want e2 at y:1 and the new process of e1", s.Endpoints)
 	}
 }
 
 func TestPutEndpointNewerProcessTakesAddress(t *testing.T) {
 	s, _ := applyCommands(t, putDocument(1, "logs"), announce("e1", "x:1", 10, 5), announce("e2", "x:1", 20, 1))
 	if _, ok := s.Endpoints["e1"]; ok || len(s.Groups["logs"].Members) != 1 {
-		t.Errorf("endpoints %+v, group %+v", s.Endpoints, s.Groups["logs"])
+		t.Errorf("endpoints %+v, group %+v, want only e2", s.Endpoints, s.Groups["logs"])
 	}
 }
 
@@ -100,7 +100,7 @@
 		Command{RetireEndpoint: &RetireEndpoint{ID: "e1"}})
 	g := s.Groups["logs"]
 	if g.Phase != PhaseSealed || g.Term != 2 || len(g.Members) != 1 {
-		t.Errorf("group %+v", g)
+		t.Errorf("group %+v, want it sealed in term 2 with one member", g)
 	}
 }
 
@@ -125,7 +125,7 @@
 	s, _ := applyCommands(t, commands...)
 	fences = append(fences, s.Groups["logs"].Changed)
 	if fences[0] != fences[1] || fences[2] <= fences[1] || fences[3] <= fences[2] {
-		t.Errorf("fences %v", fences)
+		t.Errorf("fences %v, want the second equal to the first and the others ascending", fences)
 	}
 }
 
@@ -135,6 +135,6 @@
 		all = addTombstone(all, string(rune('a'+i)), Tombstone{StartedMS: i, At: i})
 	}
 	if len(all) != MaxTombstones {
-		t.Errorf("%d entries", len(all))
+		t.Errorf("%d tombstones, want MaxTombstones", len(all))
 	}
 }
--- a/internal/announce/announce.go
+++ b/internal/announce/announce.go
@@ -20,8 +20,8 @@
 
 // Limits of an announcement.
 const (
-	maxBodyBytes = 16 << 10 // of the request body
-	maxNameBytes = 63       // bytes
+	maxBodyBytes = 16 << 10
+	maxNameBytes = 63 // of the service, the ID and the failure domain each
 )
 
 // Roles that an endpoint reports for itself.
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -34,10 +34,10 @@
 	w := post(NewHandler(publisher, &sender), validBody)
 	want := `{"term":4,"phase":"active","primary":"a","primary_addr":"127.0.0.1:1","member":false}`
 	if w.Code != http.StatusOK || strings.TrimSpace(w.Body.String()) != want {
-		t.Fatalf("%d %s", w.Code, w.Body)
+		t.Fatalf("response %d %s, want 200 with the agreed primary", w.Code, w.Body)
 	}
 	if len(sender.got) != 1 || sender.got[0].LSN != 1<<32|0xa0 || sender.got[0].Timeline != 3 || sender.got[0].Primary {
-		t.Fatalf("forwarded %+v", sender.got)
+		t.Fatalf("forwarded %+v, want one announcement of a replica at 1/A0 on timeline 3", sender.got)
 	}
 }
 
@@ -55,7 +55,7 @@
 		var sender recorder
 		w := post(NewHandler(view.NewPublisher(), &sender), body)
 		if w.Code != http.StatusBadRequest || len(sender.got) != 0 || !strings.Contains(w.Body.String(), `"code":3001`) {
-			t.Errorf("%.60q: %d %s", body, w.Code, w.Body)
+			t.Errorf("%.60q: response %d %s, want 400 with code 3001 and nothing forwarded", body, w.Code, w.Body)
 		}
 	}
 }
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -139,7 +139,7 @@
 
 // removeSilentMember proposes to remove one member, other than the primary, that
 // has sent no announcement for endpointRetention. A leader confirmed more recently
-// than that removes none, since it cannot know who was silent.
+// than that removes none, since the announcements it received do not cover that time.
 func (h *Host) removeSilentMember(now time.Time, g agreed.Group) {
 	if g.Phase != agreed.PhaseActive || now.Sub(h.confirmedAt) < endpointRetention {
 		return
--- a/internal/control/client.go
+++ b/internal/control/client.go
@@ -26,7 +26,7 @@
 }
 
 // Announce forwards an endpoint's announcement to the leader, without
-// acknowledgment. A lost one is made good by the endpoint's next announcement.
+// acknowledgment. The endpoint's next announcement makes up for a lost one.
 func (s *Subscriber) Announce(a Announcement) {
 	s.sendBestEffort(peer.KindAnnounce, a)
 }
--- a/internal/control/control_test.go
+++ b/internal/control/control_test.go
@@ -66,7 +66,7 @@
 			accepted++
 		case result.NoteConflict:
 		default:
-			t.Errorf("code %d", out.Code)
+			t.Errorf("a concurrent note got code %d, want 0 or NoteConflict", out.Code)
 		}
 		if out.Stamp == nil || *out.Stamp != *outcomes[0].Stamp {
 			t.Errorf("concurrent proposers got different stamps: %+v", out.Stamp)
@@ -99,7 +99,7 @@
 	waitFor(t, "the lease of the isolated host to expire", func() bool { return !f.hosts[old].valid() })
 	v := f.hosts[old].view.Current()
 	if v.State.Catalog.Stamp.Number != 1 {
-		t.Errorf("the isolated host has note %d", v.State.Catalog.Stamp.Number)
+		t.Errorf("the isolated host has note %d, want 1", v.State.Catalog.Stamp.Number)
 	}
 	f.waitValid(others...)
 	f.net.isolate(old, false)
@@ -232,7 +232,7 @@
 	defer cancel()
 	_, err := f.hosts["c0"].control.Propose(ctx, testNote(1, "alone"))
 	if code := result.CodeOf(err); code != result.NoQuorum && code != result.NotLeader {
-		t.Fatalf("got %v", err)
+		t.Fatalf("propose without a quorum: error %v, want code NoQuorum or NotLeader", err)
 	}
 	waitFor(t, "the lease to expire", func() bool { return !f.hosts["c0"].valid() })
 	f.start("c1")
--- a/internal/control/driver.go
+++ b/internal/control/driver.go
@@ -40,8 +40,8 @@
 	h.metrics.update(h)
 }
 
-// process handles the output of consensus until there is none left. After a failed
-// save it returns, and the save is attempted again with the next event or tick.
+// process handles the output of consensus until there is none left. It returns after a
+// failed save, which is attempted again at the next event or tick.
 func (h *Host) process(now time.Time) error {
 	for {
 		if err := h.processReady(now); err != nil {
@@ -56,6 +56,9 @@
 	}
 }
 
+// processReady saves the output of consensus, sends its messages and applies the
+// committed entries, in this order. Messages are sent only after the save, since they may
+// acknowledge what it has stored.
 func (h *Host) processReady(now time.Time) error {
 	for h.node.HasReady() {
 		h.updateRole(now)
@@ -212,12 +215,14 @@
 	h.leading, h.confirmed, h.term = true, false, term
 	h.broker.AbortRound()
 	h.broker.BecomeLeader(now)
-	clear(h.lastLeased)
+	clear(h.removalDelayStart)
 	if err := h.node.ConfirmQuorum(electionConfirmID); err != nil {
 		h.log.Warn("confirm_failed", "err", err.Error())
 	}
 }
 
+// stopLeading ends the leadership and all tasks of the leader. It does nothing on a host
+// that does not lead.
 func (h *Host) stopLeading() {
 	if !h.leading {
 		return
--- a/internal/control/duties.go
+++ b/internal/control/duties.go
@@ -60,6 +60,8 @@
 	h.log.Info("member_change", "peer", change.Member.Host, "kind", change.Kind)
 }
 
+// nextMemberChange returns the next change of the members, if one is due. With open
+// membership the consensus node determines it, otherwise the configured control hosts.
 func (h *Host) nextMemberChange() (consensus.Change, bool) {
 	if h.opts.OpenMembership {
 		return h.node.NextOpenChange()
@@ -79,22 +81,22 @@
 	for _, host := range h.state.Hosts {
 		id := lease.ID{Host: host.ID, Incarnation: host.Incarnation}
 		if leased[id] {
-			h.lastLeased[id] = now
+			h.removalDelayStart[id] = now
 			continue
 		}
-		leasedAt, seen := h.lastLeased[id]
-		if !seen {
-			h.lastLeased[id] = now
+		start, ok := h.removalDelayStart[id]
+		if !ok {
+			h.removalDelayStart[id] = now
 			continue
 		}
-		if now.Sub(leasedAt) < hostRemovalDelay {
+		if now.Sub(start) < hostRemovalDelay {
 			continue
 		}
-		h.lastLeased[id] = now
+		h.removalDelayStart[id] = now
 		h.log.Info("host_aged_out", "host", host.ID, "incarnation", host.Incarnation)
 		h.proposeNoReply(agreed.Command{RemoveHost: &agreed.RemoveHost{ID: host.ID, Incarnation: host.Incarnation}})
 	}
-	maps.DeleteFunc(h.lastLeased, func(id lease.ID, _ time.Time) bool {
+	maps.DeleteFunc(h.removalDelayStart, func(id lease.ID, _ time.Time) bool {
 		host, ok := h.state.Hosts[id.Host]
 		return !ok || host.Incarnation != id.Incarnation
 	})
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -27,17 +27,18 @@
 	Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error)
 }
 
-// failoverDriver feeds package failover with events and carries out its effects
-// on a confirmed leader. There is a new driver for each leadership; results for a
-// former driver are dropped. A host that is not the leader has a nil driver, on which
-// the methods called for every host do nothing.
+// failoverDriver sends events to the failover state machines and carries out their
+// effects on a confirmed leader. Each leadership has its own driver; results for a former
+// driver are dropped. A host that is not the leader has a nil driver. On a nil driver
+// stop, stateChanged, commandDone, applyPending, tick and reason do nothing.
 type failoverDriver struct {
-	host             *Host
-	machines         *failover.MachineSet
-	ctx              context.Context
-	cancel           context.CancelFunc
-	lastTick         time.Time
-	stateDirty       bool
+	host       *Host
+	machines   *failover.MachineSet
+	ctx        context.Context
+	cancel     context.CancelFunc
+	lastTick   time.Time
+	stateDirty bool
+	// leavingEndpoints are the endpoints that request to be taken out of use.
 	leavingEndpoints map[string]bool
 	// probing holds the endpoints with a probe in flight.
 	probing map[string]bool
@@ -45,8 +46,8 @@
 	results []commandResult
 }
 
-// commandResult is the outcome of a command proposed by the driver. It is
-// committed only if it was also accepted, that is with result code zero.
+// commandResult is the outcome of a command proposed by the driver. committed is set
+// only if the command was also accepted, with result code zero.
 type commandResult struct {
 	service   string
 	committed bool
@@ -117,7 +118,7 @@
 	d.run(now, d.machines.StepAll(now, failover.Tick{}))
 }
 
-// settled reports a new settled revision to the failover state machines.
+// settled sends a new settled revision to the failover state machines.
 func (d *failoverDriver) settled(now time.Time, revision uint64) {
 	d.run(now, d.machines.StepAll(now, failover.Settled{Revision: revision}))
 }
@@ -152,8 +153,8 @@
 	}
 }
 
-// propose appends a command of a service's state machine. Its outcome, also a
-// failure to append, reaches commandDone.
+// propose appends a command of a service's state machine to the log. The outcome, also
+// of a failed append, is passed to commandDone.
 func (d *failoverDriver) propose(now time.Time, service string, c agreed.Command) {
 	index, err := d.host.appendCommand(c)
 	if err != nil {
--- a/internal/control/failover_test.go
+++ b/internal/control/failover_test.go
@@ -91,7 +91,7 @@
 	})
 	first := f.hosts["c1"].group()
 	if first.Term != 1 || first.Primary != "log-1" {
-		t.Fatalf("got %+v", first)
+		t.Fatalf("group %+v, want term 1 with primary log-1", first)
 	}
 	group.Servers[0].Kill()
 	waitFor(t, "another active primary", func() bool {
@@ -100,7 +100,7 @@
 	})
 	second := f.hosts["c1"].group()
 	if second.Primary == first.Primary || second.Timeline <= first.Timeline {
-		t.Fatalf("got %+v", second)
+		t.Fatalf("group %+v, want another primary on a later timeline", second)
 	}
 }
 
--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -28,17 +28,17 @@
 	// Bootstrap creates a new fleet whose first voters are those among Controls.
 	Bootstrap bool
 	Controls  []config.ControlHost
-	// Open admits every control host that requests to join. Controls are then the
-	// seeds, and the identity of a host is its peer address.
+	// OpenMembership admits every control host that requests to join. Controls are
+	// then the seeds, and the identity of a host is its peer address.
 	OpenMembership bool
 	Peer           *peer.Node
 	Lease          lease.Config
 	Logger         *log.Logger
 	Registry       prometheus.Registerer
-	// Databases probes and promotes endpoints; nil disables failover.
+	// EndpointManager probes and promotes endpoints; nil disables failover.
 	EndpointManager EndpointManager
-	// Fenced is set if promotion orders may be executed late. They carry a fence
-	// by which an outdated order is rejected.
+	// Fenced is set if promotion orders may be executed late and the platform rejects
+	// an outdated order by its fence.
 	Fenced bool
 	// CompactEvery is the number of applied entries between two snapshots;
 	// zero selects DefaultCompactEvery.
@@ -71,18 +71,20 @@
 	subscribers  map[lease.ID]*subscription
 	proposals    map[uint64]pendingProposal
 	pendingReads pendingReads
-	announced    map[string]announcedEndpoint
+	announced    map[string]announcedEndpoint // by endpoint ID
 	// joinPositions are the positions required to join a group, by service.
 	joinPositions map[string]joinPosition
-	// lastLeased is when a registered process was last seen with a lease.
-	lastLeased map[lease.ID]time.Time
+	// removalDelayStart is the time from which hostRemovalDelay counts for a registered
+	// process: when it last may have held a lease, was first seen in this leadership, or
+	// its removal was last proposed.
+	removalDelayStart map[lease.ID]time.Time
 	// registered holds the registered processes of the state.
 	registered      []lease.ID
 	roundDeadline   time.Time // when the lease round in flight times out
 	nextRound       time.Time // when the next lease round is due
 	nextLeaderTasks time.Time // when the leader's periodic tasks are due
 	waitingFor      string    // the host that registrations wait for, as last logged
-	saveErr         error
+	saveErr         error     // of the last save to the store, nil after a success
 
 	leading bool
 	// confirmed is set once a quorum has confirmed this leader in its term. Only a
@@ -172,6 +174,7 @@
 	}
 }
 
+// open opens the store and loads its content.
 func (h *Host) open() error {
 	st, err := store.Open(h.opts.DataDir, store.Options{})
 	if err != nil {
@@ -214,7 +217,7 @@
 	h.pendingReads = newPendingReads()
 	h.announced = make(map[string]announcedEndpoint)
 	h.joinPositions = make(map[string]joinPosition)
-	h.lastLeased = make(map[lease.ID]time.Time)
+	h.removalDelayStart = make(map[lease.ID]time.Time)
 	h.leading, h.confirmed = false, false
 	return nil
 }
@@ -260,6 +263,7 @@
 	return cfg
 }
 
+// close fails everything that is pending and closes the store.
 func (h *Host) close() {
 	h.stopLeading()
 	h.knownLeader.Store(&leaderInfo{})
@@ -280,5 +284,6 @@
 	return h.state.Hosts[host].PeerAddr
 }
 
-// errTaskUnavailable is returned when the event queue of a Host has no space.
+// errQueueFull is returned when the event queue of a Host has no space, for example after
+// Run has ended.
 var errQueueFull = errors.New("the control role is overloaded or stopped")
--- a/internal/control/network_test.go
+++ b/internal/control/network_test.go
@@ -11,14 +11,14 @@
 // hosts. Bytes sent by or to an isolated host are dropped without an error.
 // Connections that have lost bytes fail once the isolation ends.
 type network struct {
-	mu       sync.Mutex
-	isolated map[string]bool
-	byAddr   map[string]string // listener or dialer address to host
-	reserved map[string]*reservation
+	mu           sync.Mutex
+	isolated     map[string]bool
+	byAddr       map[string]string // listener or dialer address to host
+	reservations map[string]*reservation
 }
 
 func newNetwork() *network {
-	return &network{isolated: map[string]bool{}, byAddr: map[string]string{}, reserved: map[string]*reservation{}}
+	return &network{isolated: map[string]bool{}, byAddr: map[string]string{}, reservations: map[string]*reservation{}}
 }
 
 func (n *network) isolate(host string, isolated bool) {
@@ -84,7 +84,7 @@
 	}
 	r := &reservation{Listener: l}
 	n.mu.Lock()
-	n.reserved[l.Addr().String()] = r
+	n.reservations[l.Addr().String()] = r
 	n.mu.Unlock()
 	go r.serve()
 	return r, nil
@@ -93,7 +93,7 @@
 func (n *network) reservation(addr string) *reservation {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.reserved[addr]
+	return n.reservations[addr]
 }
 
 func (r *reservation) serve() {
@@ -177,9 +177,9 @@
 // lossyConn drops written bytes while one of its hosts is isolated.
 type lossyConn struct {
 	net.Conn
-	transport transport
-	mu        sync.Mutex
-	lost      bool
+	transport    transport
+	mu           sync.Mutex
+	hasLostBytes bool
 }
 
 func (c *lossyConn) Write(p []byte) (int, error) {
@@ -187,10 +187,10 @@
 	c.mu.Lock()
 	defer c.mu.Unlock()
 	if dropped {
-		c.lost = true
+		c.hasLostBytes = true
 		return len(p), nil
 	}
-	if c.lost {
+	if c.hasLostBytes {
 		_ = c.Close()
 		return 0, errors.New("connection lost bytes")
 	}
--- a/internal/control/publish_test.go
+++ b/internal/control/publish_test.go
@@ -17,15 +17,15 @@
 		now = now.Add(step)
 		if sub.acknowledge(now, 4) {
 			if behind := now.Sub(time.Unix(100, 0)); behind > resendDelay+step {
-				t.Errorf("resent after %v", behind)
+				t.Errorf("resent after %v, want at most resendDelay and one step", behind)
 			}
 			if sub.sent != 4 {
-				t.Errorf("the next push starts at %d", sub.sent)
+				t.Errorf("the next push starts at %d, want 4", sub.sent)
 			}
 			return
 		}
 	}
-	t.Error("never resent")
+	t.Error("the missed delta was never resent")
 }
 
 // TestSubscriptionKeepsPushInFlight checks that pushes to a host that makes progress
@@ -37,7 +37,7 @@
 		sub.recordPush(now, 6+i)
 		now = now.Add(resendDelay / 2)
 		if sub.acknowledge(now, 5+i) {
-			t.Fatalf("push %d was repeated", i)
+			t.Fatalf("push %d was repeated while one was in flight", i)
 		}
 	}
 }
--- a/internal/control/read.go
+++ b/internal/control/read.go
@@ -9,8 +9,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// firstReadID numbers the confirmations of linearizable reads above those of lease
-// rounds, which stay below initialSeq plus the number of rounds of a process.
+// readIDBase is below the confirmation IDs of all linearizable reads and above those of
+// lease rounds, which stay below initialSeq plus the number of rounds of a process.
 const readIDBase = uint64(1) << 63
 
 // documentResult is the result of a read of the document.
@@ -125,18 +125,20 @@
 	}
 }
 
+// serveDocument answers a document request of another host as the leader.
 func (h *Host) serveDocument(ctx context.Context, _ peer.Identity, _ documentRequest) (agreed.Document, error) {
 	ctx, cancel := context.WithTimeout(ctx, attemptTimeout)
 	defer cancel()
 	return h.localDocument(ctx)
 }
 
-// SetSeeds replaces the control hosts that this host contacts while it belongs to no
+// SetSeeds replaces the control hosts that this host contacts while it is not in a
 // consensus group. It has no effect without open membership.
 func (h *Host) SetSeeds(hosts []string) {
 	h.post(hostSeedsEvent{hosts: hosts})
 }
 
+// hostSeedsEvent replaces the seeds of the Host.
 type hostSeedsEvent struct {
 	hosts []string
 }
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -22,10 +22,10 @@
 	return &Registry{host: host, view: src}
 }
 
-// PutDocument puts a document in force unless one with an equal or higher number
-// is. An invalid document returns result code NoteInvalid with all its errors. On
-// NoQuorum or NotLeader the outcome is unknown and the same document may be sent
-// again.
+// PutDocument puts a document in force. It changes nothing if a document with the same or
+// a higher number is in force. An invalid document returns result code NoteInvalid with
+// all its errors. On NoQuorum or NotLeader the outcome is unknown and the same document
+// may be sent again.
 func (r *Registry) PutDocument(ctx context.Context, d note.Document, source []byte) error {
 	catalog, problems := d.Catalog()
 	if note.HasErrors(problems) {
--- a/internal/control/remote.go
+++ b/internal/control/remote.go
@@ -70,7 +70,8 @@
 	node      *peer.Node
 	endpoints EndpointManager
 	state     *agreed.State
-	// fenced orders are sent by the leader only, and once: they may be executed late.
+	// fenced is set if orders may be executed late. Only the leader then sends an
+	// order, and sends it once.
 	fenced bool
 }
 
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -43,8 +43,8 @@
 	Entry    bool
 	Control  bool
 	Controls []config.ControlHost
-	// Open adds the control hosts of the agreed state to Controls, which are then
-	// seeds.
+	// OpenMembership adds the control hosts of the agreed state to Controls, which
+	// are then seeds.
 	OpenMembership bool
 	Peer           *peer.Node
 	Lease          lease.Config
@@ -63,8 +63,8 @@
 
 	metrics *subscriberMetrics
 
-	// current is the upstream, the control host that the subscriber uses. Other
-	// goroutines read it.
+	// currentUpstream is the control host that the subscriber uses. Other goroutines
+	// read it.
 	currentUpstream atomic.Pointer[config.ControlHost]
 
 	state  *agreed.State
@@ -78,7 +78,8 @@
 	lastRenew    time.Time
 	lastRegister time.Time // when registration was last attempted
 	leaving      bool
-	leased       bool // as last logged
+	// leased is whether the view was valid at the last check; changes are logged.
+	leased bool
 }
 
 // subscriberEvent is a message to the goroutine of a Subscriber.
@@ -179,9 +180,9 @@
 }
 
 // switchUpstream makes another control host the upstream and releases the lease
-// requests in flight at the former one. Otherwise they would count there with the
-// revision that the host has applied now, and hold back the settled revision. A
-// valid lease is kept.
+// requests in flight at the former one. Otherwise these would count there with the
+// revision that the host has applied by now, and delay the settling of later revisions.
+// A valid lease is kept.
 func (s *Subscriber) switchUpstream(now time.Time, next config.ControlHost) {
 	former := s.upstream()
 	s.setUpstream(next)
--- a/internal/control/subscriber_events.go
+++ b/internal/control/subscriber_events.go
@@ -41,8 +41,8 @@
 	}
 }
 
-// setState replaces the state by a newer one and reports its revision at once, so
-// that it can settle. A state of another fleet is rejected.
+// setState replaces the state by a newer one and reports its revision to the upstream at
+// once, so that the revision can settle. A state of another fleet is rejected.
 func (s *Subscriber) setState(now time.Time, next *agreed.State) {
 	if next.Fleet != "" && next.Fleet != s.opts.Fleet {
 		s.log.Error("foreign_state", "fleet", next.Fleet)
@@ -81,7 +81,7 @@
 	}
 }
 
-// seedsEvent replaces the seeds of an open fleet.
+// seedsEvent replaces the seeds of a fleet with open membership.
 type seedsEvent struct {
 	seeds []config.ControlHost
 }
@@ -113,7 +113,7 @@
 	s.publish()
 }
 
-// leaveEvent invalidates the view for good and returns the upstream.
+// leaveEvent invalidates the view permanently and returns the upstream.
 type leaveEvent struct {
 	done chan config.ControlHost // buffered
 }
@@ -124,7 +124,7 @@
 	e.done <- s.upstream()
 }
 
-// Leave invalidates the view for good and removes the host from the fleet. Call it
+// Leave invalidates the view permanently and removes the host from the fleet. Call it
 // after the host has stopped serving callers.
 func (s *Subscriber) Leave(ctx context.Context) error {
 	done := make(chan config.ControlHost, 1)
--- a/internal/control/upstream.go
+++ b/internal/control/upstream.go
@@ -9,9 +9,9 @@
 	"github.com/galenabridge/galenabridge/internal/rendezvous"
 )
 
-// updateCandidates sets the control hosts that can become the upstream: the
-// configured ones, and with open membership first those of the agreed state, the
-// nearest first.
+// updateCandidates sets the control hosts that can become the upstream. With open
+// membership these are the control hosts of the agreed state, nearest first, and then the
+// seeds; otherwise they are the configured control hosts.
 func (s *Subscriber) updateCandidates(state *agreed.State) {
 	if !s.opts.OpenMembership {
 		s.candidates = s.opts.Controls
@@ -34,8 +34,8 @@
 	s.candidates = candidates
 }
 
-// distance orders control hosts: 0 for this host, 1 for the same failure domain, 2
-// for others.
+// distance returns the rank of a control host in the order of candidates: 0 for this
+// host, 1 for others in its failure domain, 2 for all others.
 func (s *Subscriber) distance(state *agreed.State, host string) int {
 	switch {
 	case host == s.opts.Peer.Host():
@@ -69,7 +69,7 @@
 func (s *Subscriber) localUpstream() (config.ControlHost, bool) {
 	var local []string
 	for _, c := range s.candidates {
-		if s.distance(s.state, c.Host) < 2 {
+		if s.distance(s.state, c.Host) < 2 { // this host or one in its failure domain
 			local = append(local, c.Host)
 		}
 	}
--- a/internal/failover/active.go
+++ b/internal/failover/active.go
@@ -7,9 +7,10 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// advanceActive seals the term of an active group when its primary is lost or must
-// be replaced by a planned switchover. A lost primary is sealed at once; a planned
-// switchover waits for a successor, SwitchoverRetry and DrainTime.
+// advanceActive seals the term of an active group when its primary is lost or must be
+// replaced by a planned switchover. The term of a lost primary is sealed at once. A
+// planned switchover waits for a successor, for SwitchoverInterval and, except under
+// note.AckReplicas, for DrainTime.
 func (m *Machine) advanceActive(now time.Time) {
 	g := m.view.Group
 	if m.view.Leaving {
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -37,9 +37,10 @@
 	return max(m.view.Size, len(m.view.Members))/2 + 1
 }
 
-// contenders returns the members whose latest answer counts: replicas, the
-// primary of the former term on the group's timeline, and the recorded candidate.
-// Any other endpoint out of recovery has a history that was never agreed.
+// contenders returns the members whose latest answer counts: replicas, the primary of
+// the former term on the group's timeline, the recorded candidate, and if Fenced is set
+// any endpoint on a later timeline than the group's. Any other endpoint out of recovery
+// has a history that was never agreed.
 func (m *Machine) contenders(now time.Time) []contender {
 	var found []contender
 	for _, member := range m.view.Members {
@@ -82,9 +83,10 @@
 	return a.condition, true
 }
 
-// holdingAcknowledged returns the contenders that hold every write that a majority
-// may have acknowledged: those at least as far as a majority of the group, themselves
-// included. Any two majorities share a member. Under note.AckReplicas only the
+// holdingAcknowledged returns the contenders that hold every write that a majority may
+// have acknowledged: those whose log is at least as far as the logs of a majority,
+// themselves included. That majority shares a member with the one that acknowledged a
+// write. Under note.AckReplicas only the
 // contenders with the highest position qualify.
 func (m *Machine) holdingAcknowledged(all []contender) []contender {
 	var found []contender
--- a/internal/failover/machine.go
+++ b/internal/failover/machine.go
@@ -35,8 +35,8 @@
 	queriedAt    time.Time
 	// majorityAt is when a majority began to answer, zero while none does.
 	majorityAt time.Time
-	// candidateAt is when the current attempt of the recorded candidate began for
-	// this machine; its timeouts run from then.
+	// candidateAt is when this machine first saw the recorded candidate, or last chose
+	// it again after a failure. CandidateTimeout and PromoteTimeout run from then.
 	candidateAt time.Time
 	// promoteSentAt is when Promote was last emitted, sentFence its fence.
 	// acceptedFence is that of the last order that was accepted, unansweredFence
@@ -115,8 +115,8 @@
 }
 
 // enterPhase discards the state of the former term or phase. Reports are kept over
-// a seal, since the choice depends on which endpoints are still suspected; they are
-// dropped on activation, since they were judged against the former primary.
+// a seal, since the choice depends on which endpoints are still suspected. They are
+// discarded on activation, since they were evaluated for the former primary.
 func (m *Machine) enterPhase() {
 	clear(m.answers)
 	clear(m.failedCandidates)
@@ -156,7 +156,7 @@
 }
 
 // handleCommandResult allows a failed command to be proposed again after
-// AskInterval. A committed one is confirmed by the next View.
+// QueryInterval. A committed one is confirmed by the next View.
 func (m *Machine) handleCommandResult(now time.Time, r CommandResult) {
 	if !r.Committed {
 		m.pendingUntil = now.Add(m.cfg.QueryInterval)
@@ -184,7 +184,7 @@
 	m.effects = append(m.effects, command)
 }
 
-// queryPositions requests the positions of all members once per AskInterval.
+// queryPositions requests the positions of all members once per QueryInterval.
 func (m *Machine) queryPositions(now time.Time) {
 	if !m.queriedAt.IsZero() && now.Sub(m.queriedAt) < m.cfg.QueryInterval {
 		return
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -61,9 +61,9 @@
 }
 
 type delayed struct {
-	due   time.Time
-	event Event
-	term  uint64 // the leader that it is delivered to
+	at     time.Time
+	event  Event
+	leader uint64 // the number of the leader that it is for
 }
 
 type fault int
@@ -86,21 +86,21 @@
 	revision        uint64
 	group           agreed.Group
 	machine         *Machine
-	leader          uint64
-	elected         time.Time
+	leader          uint64 // number of the control leader
+	electedAt       time.Time
 	hosts           []*modelHost
 	endpoints       []*modelEndpoint
 	events          []delayed
 	commands        []Effect
-	promotions      []string
+	promotions      []string // endpoints whose promotion has not been executed yet
 	pending         []*pendingWrite
 	acked           map[int]bool
-	primaries       map[uint64]string
-	answered        map[string]bool
-	sealedAt        uint64
+	primaries       map[uint64]string // by term
+	answered        map[string]bool   // endpoints that answered in the current term
+	sealRevision    uint64            // of the last seal
 	nextID          int
 	faultsEnded     bool
-	domainsOut      map[string]bool // failure domains
+	domainsOut      map[string]bool // failure domains out of use
 	checked         [2]uint64       // revision and acknowledged writes at the last check
 	failure         string
 }
@@ -172,7 +172,7 @@
 func (m *model) replaceLeader() {
 	m.machine = New(DefaultConfig())
 	m.leader++
-	m.elected = m.now
+	m.electedAt = m.now
 	m.answered = map[string]bool{}
 	m.commands = nil
 	for _, h := range m.hosts {
@@ -234,7 +234,7 @@
 		m.failf("candidate chosen from %d answers", len(m.answered))
 	}
 	for _, h := range m.hosts {
-		if m.now.Before(h.leaseEnd) && h.revision < m.sealedAt {
+		if m.now.Before(h.leaseEnd) && h.revision < m.sealRevision {
 			m.failf("candidate chosen while host %s may act in the former term", h.id)
 		}
 	}
@@ -253,7 +253,7 @@
 	if m.pick(20) == 0 {
 		wait = time.Duration(m.pick(40)) * modelStep
 	}
-	m.events = append(m.events, delayed{due: m.now.Add(wait), event: ev, term: m.leader})
+	m.events = append(m.events, delayed{at: m.now.Add(wait), event: ev, leader: m.leader})
 }
 
 // commit applies a command to the agreed group when its conditions hold.
@@ -266,7 +266,7 @@
 		}
 		g.Term, g.Phase, g.Candidate = g.Term+1, agreed.PhaseSealed, ""
 		m.answered = map[string]bool{}
-		m.sealedAt = m.revision + 1
+		m.sealRevision = m.revision + 1
 	case Choose:
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term {
 			return
--- a/internal/failover/modelrun_test.go
+++ b/internal/failover/modelrun_test.go
@@ -121,11 +121,11 @@
 	due := m.events
 	m.events = nil
 	for _, d := range due {
-		if d.due.After(m.now) {
+		if d.at.After(m.now) {
 			rest = append(rest, d)
 			continue
 		}
-		if d.term == m.leader {
+		if d.leader == m.leader {
 			m.step(d.event)
 		}
 	}
@@ -176,7 +176,7 @@
 		switch {
 		case h.renewed && m.now.Before(h.grantEnd):
 			least = min(least, h.revision)
-		case !h.renewed && m.now.Before(m.elected.Add(grantLease)):
+		case !h.renewed && m.now.Before(m.electedAt.Add(grantLease)):
 			return 0
 		}
 	}
@@ -282,11 +282,11 @@
 
 // check verifies that an active primary holds every acknowledged record.
 func (m *model) check() {
-	seen := [2]uint64{m.revision, uint64(len(m.acked))}
-	if m.group.Phase != agreed.PhaseActive || seen == m.checked {
+	current := [2]uint64{m.revision, uint64(len(m.acked))}
+	if m.group.Phase != agreed.PhaseActive || current == m.checked {
 		return
 	}
-	m.checked = seen
+	m.checked = current
 	p := m.endpoint(m.group.Primary)
 	present := make(map[int]bool, len(p.log))
 	for _, r := range p.log {
--- a/internal/failover/sealed.go
+++ b/internal/failover/sealed.go
@@ -24,7 +24,7 @@
 	}
 }
 
-// proposeCandidate proposes to record a choice. Repeating it for the recorded
+// proposeCandidate proposes to record a choice. A repeated choice of the recorded
 // candidate gives the next order a new fence.
 func (m *Machine) proposeCandidate(now time.Time, endpoint string) {
 	m.setStatus("sealed: choosing " + endpoint)
@@ -70,8 +70,8 @@
 	return best.member.Endpoint, true
 }
 
-// untried returns the contenders whose promotion has not failed in this term, or
-// all of them when each has failed.
+// withoutFailed returns the contenders whose promotion has not failed in this term, or
+// all of them if each has failed.
 func (m *Machine) withoutFailed(all []contender) []contender {
 	remaining := exclude(all, func(c contender) bool { return m.failedCandidates[c.member.Endpoint] })
 	if len(remaining) == 0 {
@@ -130,14 +130,14 @@
 }
 
 // advanceCandidate promotes and activates the recorded candidate, or chooses another
-// one when it fails. The seal was settled before the first choice of the term, so it
-// does not wait for that again. Before each further order it repeats the choice,
-// since an order needs a fence of its own.
+// one when it fails. It does not wait for the seal to settle, since that came before the
+// first choice of the term. Before each further order it repeats the choice, since each
+// order needs a new fence.
 func (m *Machine) advanceCandidate(now time.Time) {
 	m.queryPositions(now)
 	g := m.view.Group
-	c, answers := m.answer(now, g.Candidate)
-	if answers && m.canActivate(c) && m.ownOrderIsLatest() {
+	c, answered := m.answer(now, g.Candidate)
+	if answered && m.canActivate(c) && m.ownOrderIsLatest() {
 		m.setStatus("sealed: activating " + g.Candidate)
 		m.propose(now, Activate{Service: g.Service, Term: g.Term, Primary: g.Candidate, Timeline: c.Timeline})
 		return
@@ -180,8 +180,8 @@
 	return m.unansweredFence == m.sentFence || now.Sub(m.promoteSentAt) >= wait
 }
 
-// replaceCandidate chooses again. The same endpoint gets another attempt, with new
-// timeouts, when no other qualifies.
+// replaceCandidate chooses again. If no other endpoint qualifies, the same one is chosen
+// with new timeouts.
 func (m *Machine) replaceCandidate(now time.Time) {
 	next, ok := m.choose(now)
 	if !ok {
@@ -211,7 +211,7 @@
 
 // candidateFailed reports whether another candidate should be chosen: the candidate
 // is no member, its order was refused, it was not reachable for CandidateTimeout, or
-// its attempt has taken PromoteTimeout.
+// PromoteTimeout has passed since candidateAt.
 func (m *Machine) candidateFailed(now time.Time) bool {
 	g := m.view.Group
 	if _, ok := m.member(g.Candidate); !ok || m.failedCandidates[g.Candidate] {
--- a/internal/failover/sim_test.go
+++ b/internal/failover/sim_test.go
@@ -49,16 +49,16 @@
 
 type simulation struct {
 	scenario
-	rnd      *rand.Rand
-	now      time.Time
-	machine  *Machine
-	group    agreed.Group
-	revision uint64
-	grants   []time.Time // lease ends of the hosts with the primary
-	elected  time.Time
-	probes   []simProbe
-	due      []delayed
-	promoted bool
+	rnd       *rand.Rand
+	now       time.Time
+	machine   *Machine
+	group     agreed.Group
+	revision  uint64
+	leaseEnds []time.Time // of the hosts that still reach the primary
+	electedAt time.Time
+	probes    []simProbe
+	events    []delayed
+	promoted  bool
 }
 
 // simProbe is a watcher with the time of its next probe.
@@ -72,17 +72,17 @@
 func newSimulation(s scenario, seed uint64) *simulation {
 	sim := &simulation{
 		scenario: s, rnd: rand.New(rand.NewPCG(seed, 9)), now: simStart,
-		revision: 1, elected: simStart,
+		revision: 1, electedAt: simStart,
 		group: agreed.Group{Service: "s", Members: []string{"a", "b", "c"}, Term: 1, Primary: "a", Phase: agreed.PhaseActive, Timeline: 1},
 	}
 	for range s.hostsWithPrimary {
-		sim.grants = append(sim.grants, simStart.Add(grantLease-sim.upTo(simRenew)))
+		sim.leaseEnds = append(sim.leaseEnds, simStart.Add(grantLease-sim.upTo(simRenew)))
 	}
 	for _, w := range sim.view().Electorate.Watchers("a") {
 		sim.probes = append(sim.probes, simProbe{watcher: w, at: simStart.Add(sim.upTo(ProbeInterval))})
 	}
 	if s.leaderLost {
-		sim.elected = simStart.Add(simElection/2 + sim.upTo(simElection/2))
+		sim.electedAt = simStart.Add(simElection/2 + sim.upTo(simElection/2))
 	}
 	return sim
 }
@@ -110,7 +110,7 @@
 		if s.now.Sub(simStart) > time.Minute {
 			return time.Minute
 		}
-		if s.machine == nil && !s.now.Before(s.elected) {
+		if s.machine == nil && !s.now.Before(s.electedAt) {
 			s.machine = New(DefaultConfig())
 			s.step(s.view())
 		}
@@ -125,12 +125,12 @@
 }
 
 func (s *simulation) settled() uint64 {
-	for _, end := range s.grants {
+	for _, end := range s.leaseEnds {
 		if s.now.Before(end) {
 			return 1
 		}
 	}
-	if s.leaderLost && s.hostsWithPrimary > 0 && s.now.Before(s.elected.Add(grantLease)) {
+	if s.leaderLost && s.hostsWithPrimary > 0 && s.now.Before(s.electedAt.Add(grantLease)) {
 		return 1
 	}
 	return s.revision
@@ -153,16 +153,16 @@
 }
 
 func (s *simulation) schedule(wait time.Duration, ev Event) {
-	s.due = append(s.due, delayed{due: s.now.Add(wait), event: ev})
+	s.events = append(s.events, delayed{at: s.now.Add(wait), event: ev})
 }
 
 func (s *simulation) deliver() {
-	due := s.due
-	s.due = nil
+	due := s.events
+	s.events = nil
 	for _, d := range due {
 		switch {
-		case d.due.After(s.now):
-			s.due = append(s.due, d)
+		case d.at.After(s.now):
+			s.events = append(s.events, d)
 		case s.machine != nil:
 			s.step(d.event)
 		}
--- a/internal/failover/suspect.go
+++ b/internal/failover/suspect.go
@@ -59,7 +59,7 @@
 	return m.view.Group.Timeline == 0 || t == m.view.Group.Timeline
 }
 
-// fresh reports whether a report on a lost endpoint still counts.
+// fresh reports whether a report on a lost endpoint is recent enough to count.
 func (m *Machine) fresh(now time.Time, r report) bool {
 	return now.Sub(r.at) <= m.cfg.ObservationTTL
 }
@@ -83,7 +83,7 @@
 }
 
 // seenHealthy reports whether a majority of voters found the endpoint healthy within
-// WellTTL.
+// HealthyTTL.
 func (m *Machine) seenHealthy(now time.Time, endpoint string) bool {
 	if m.view.Electorate == nil {
 		return false
--- a/internal/failover/types.go
+++ b/internal/failover/types.go
@@ -7,7 +7,8 @@
 // control leader continues where the former one stopped:
 //
 //  1. Seal the term once watchers in a majority of failure domains report the
-//     primary as lost, or its failure domain is out of use.
+//     primary as lost, or once a planned switchover is due since the primary or its
+//     failure domain is being taken out of use.
 //  2. Wait until the seal is settled: no host may then act under the former term.
 //  3. Query the positions of the members and choose a candidate that holds every
 //     write a majority may have acknowledged.
@@ -20,13 +21,13 @@
 //   - The first candidate of a term is chosen only after its seal is settled: no
 //     host can acknowledge a write in the former term once positions are read.
 //   - A candidate is recorded in the agreed state before it is promoted. It was
-//     chosen from a majority then, so a new leader may repeat the recorded choice
-//     without one.
+//     chosen from the answers of a majority, so a new leader may repeat the recorded
+//     choice before a majority has answered it.
 //   - Each promotion order carries the revision of its recorded choice as its
 //     fence, and no fence is used twice.
-//   - A sealed group becomes active only with its recorded candidate, after that
-//     was seen out of recovery on a timeline later than the group's or, if it is
-//     the former primary, on the group's own.
+//   - A sealed group becomes active only with its recorded candidate, after the
+//     candidate answered as out of recovery on a timeline later than the group's or,
+//     if it is the former primary, on the group's own.
 package failover
 
 import (
@@ -56,11 +57,11 @@
 	// interruption before its vote counts.
 	SuspectAfter time.Duration
 	// ObservationTTL is how long an observation of a lost endpoint counts without a
-	// newer one, WellTTL that of a healthy endpoint. WellTTL is longer because
+	// newer one, HealthyTTL that of a healthy endpoint. HealthyTTL is longer because
 	// healthy endpoints are reported only every ReportInterval.
 	ObservationTTL time.Duration
 	HealthyTTL     time.Duration
-	// AskInterval is the time between two requests for positions.
+	// QueryInterval is the time between two requests for positions.
 	QueryInterval time.Duration
 	// AnswerTTL is how long an answer counts as proof that an endpoint is alive.
 	AnswerTTL time.Duration
@@ -71,7 +72,7 @@
 	CandidateTimeout time.Duration
 	// PromoteTimeout is the maximum time for the promotion of a candidate that answers.
 	PromoteTimeout time.Duration
-	// SecondBestGrace is how long the choice waits for other members when only an
+	// FallbackGrace is how long the choice waits for other members when only an
 	// endpoint that is suspected or out of use qualifies.
 	FallbackGrace time.Duration
 	// CatchUpTimeout is the maximum time that a planned switchover waits for a
@@ -81,12 +82,12 @@
 	// Hosts send no new work to a primary that is to be replaced, but requests
 	// already sent are acknowledged only in its term, once a majority holds them.
 	DrainTime time.Duration
-	// SwitchoverRetry is the minimum time between two planned switchovers of a group.
+	// SwitchoverInterval is the minimum time between two planned switchovers of a group.
 	SwitchoverInterval time.Duration
-	// FormGrace is how long a new group waits for its missing members once a
+	// FormingGrace is how long a new group waits for its missing members once a
 	// majority has answered.
 	FormingGrace time.Duration
-	// BestGrace is how long the choice waits for further members of a group
+	// PositionGrace is how long the choice waits for further members of a group
 	// whose endpoints decide acknowledgement (note.AckReplicas): each may hold a
 	// later position.
 	PositionGrace time.Duration
@@ -97,7 +98,7 @@
 	// checks their fences. A group is then activated only once the latest order of
 	// this leader was accepted, after which the platform rejects all earlier ones.
 	Fenced bool
-	// Chooser is the control leader's consensus term.
+	// ChooserTerm is the consensus term of this control leader.
 	ChooserTerm uint64
 }
 
@@ -130,7 +131,7 @@
 // state.
 type View struct {
 	Group agreed.Group
-	// Size is the number of endpoints that the release note declares for the group.
+	// Size is the number of endpoints that the catalog declares for the service.
 	Size    int
 	Members []Member
 	// Electorate is shared by all groups of a fleet.
@@ -211,7 +212,7 @@
 type CommandResult struct{ Committed bool }
 
 // Tick lets the Machine act on the passage of time. It must be sent at least
-// every AskInterval.
+// every QueryInterval.
 type Tick struct{}
 
 func (View) isEvent()            {}
@@ -225,8 +226,8 @@
 // Effect is an output of a Machine.
 type Effect interface{ isEffect() }
 
-// Seal proposes the command that ends a term: the term grows by one, the
-// phase becomes sealed and no host may act on the group.
+// Seal proposes the command that ends a term: the term grows by one, the phase becomes
+// sealed and no host that applies the command may act on the group.
 type Seal struct {
 	Service string
 	// Term is the expected current term; the command fails in any other.
@@ -239,7 +240,7 @@
 	Service   string
 	Term      uint64
 	Candidate string
-	// Chooser, the leader's consensus term, and Attempt make the record differ from
+	// ChooserTerm, the leader's consensus term, and Attempt make the record differ from
 	// every earlier choice, so that its revision is a new fence.
 	ChooserTerm uint64
 	Attempt     uint64
@@ -262,8 +263,8 @@
 	Endpoints []string
 }
 
-// Promote requests an order that makes an endpoint the primary. Each has a fence
-// of its own, greater than any before.
+// Promote requests an order that makes an endpoint the primary. The fence of each order
+// is greater than those of all earlier orders for the service.
 type Promote struct {
 	Service  string
 	Term     uint64
--- a/internal/watch/prober.go
+++ b/internal/watch/prober.go
@@ -45,8 +45,8 @@
 	return &Prober{endpoints: make(map[string]*endpointConn)}
 }
 
-// Probe implements control.EndpointManager. It returns a Condition with Reachable false for
-// an endpoint that does not answer before ctx ends.
+// Probe implements control.EndpointManager. It returns the zero Condition, with Reachable
+// false, if a query fails or the endpoint does not answer before ctx ends.
 func (p *Prober) Probe(ctx context.Context, service note.Service, e agreed.Endpoint) failover.Condition {
 	return p.probeWith(ctx, service, e, readCondition)
 }
@@ -148,6 +148,7 @@
 	return ec
 }
 
+// open connects to the target unless the current connection is already to that target.
 func (ec *endpointConn) open(ctx context.Context, target pgback.Target) error {
 	if ec.conn != nil && ec.target != target {
 		ec.close()
--- a/internal/watch/prober_test.go
+++ b/internal/watch/prober_test.go
@@ -44,10 +44,10 @@
 
 	before := p.Probe(ctx, service, primary)
 	if !before.Reachable || before.InRecovery || before.Timeline != 1 {
-		t.Errorf("primary: %+v", before)
+		t.Errorf("condition of the primary %+v, want out of recovery on timeline 1", before)
 	}
 	if c := p.Probe(ctx, service, replica); !c.Reachable || !c.InRecovery {
-		t.Errorf("replica: %+v", c)
+		t.Errorf("condition of the replica %+v, want in recovery", c)
 	}
 	for range 2 { // the second order has no effect
 		outcome, err := p.Promote(ctx, failover.Order{Service: service, Endpoint: replica})
@@ -57,7 +57,7 @@
 	}
 	c := p.Probe(ctx, service, replica)
 	if c.InRecovery || c.Timeline != before.Timeline+1 {
-		t.Errorf("after promotion: %+v", c)
+		t.Errorf("condition after the promotion %+v, want out of recovery on the next timeline", c)
 	}
 }
 
@@ -68,12 +68,12 @@
 	service := note.Service{Name: "s", Database: "db", User: standin.DefaultUser}
 	e := agreed.Endpoint{ID: "s-1", Service: "s", Addr: group.Servers[0].Addr()}
 	if c := p.Probe(context.Background(), service, e); !c.Reachable {
-		t.Fatalf("before the loss: %+v", c)
+		t.Fatalf("condition before the loss %+v, want reachable", c)
 	}
 	group.Servers[0].Kill()
 	ctx, cancel := context.WithTimeout(context.Background(), probeTimeout)
 	defer cancel()
 	if c := p.Probe(ctx, service, e); c.Reachable {
-		t.Errorf("after the loss: %+v", c)
+		t.Errorf("condition after the loss %+v, want unreachable", c)
 	}
 }
--- a/internal/watch/watcher_test.go
+++ b/internal/watch/watcher_test.go
@@ -17,11 +17,11 @@
 	later := healthy
 	later.Position++
 	for _, c := range []struct {
-		name   string
-		target probeTarget
-		seen   failover.Condition
-		after  time.Duration
-		want   bool
+		name      string
+		target    probeTarget
+		condition failover.Condition
+		after     time.Duration
+		want      bool
 	}{
 		{"healthy, position changed", primary, later, time.Second, false},
 		{"healthy after the interval", primary, later, failover.ReportInterval, true},
@@ -31,8 +31,8 @@
 		{"replica changed", probeTarget{}, recovering, 0, true},
 	} {
 		last := lastReport{at: now, condition: healthy}
-		if got := last.mustReport(now.Add(c.after), c.target, c.seen); got != c.want {
-			t.Errorf("%s: mustReport returns %t", c.name, got)
+		if got := last.mustReport(now.Add(c.after), c.target, c.condition); got != c.want {
+			t.Errorf("%s: unexpected result %t of mustReport", c.name, got)
 		}
 	}
 	for _, loss := range []failover.Condition{{}, recovering} {
