--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -12,6 +12,7 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
+// loadProfiles returns the profiles that the repository ships.
 func loadProfiles(t *testing.T) []*Profile {
 	t.Helper()
 	paths, err := filepath.Glob("../../profiles/*.json")
@@ -29,7 +30,7 @@
 	return out
 }
 
-func TestProfilesLoadAndBadOnesAreRefused(t *testing.T) {
+func TestParseProfileAcceptsShippedRejectsInvalid(t *testing.T) {
 	loadProfiles(t)
 	for _, bad := range []string{
 		`{}`, `{"name":"x","unknown":1}`,
@@ -43,7 +44,7 @@
 	}
 }
 
-func TestDirectRunServesAndChecks(t *testing.T) {
+func TestRunDirectHasNoViolations(t *testing.T) {
 	p := loadProfiles(t)[0]
 	p.Faults = nil
 	direct, err := NewDirect(p, 0)
@@ -78,10 +79,10 @@
 	}
 }
 
-// TestStoredCheckFindsPlantedFaults shows that the check fails on each kind of
-// broken promise.
-func TestStoredCheckFindsPlantedFaults(t *testing.T) {
-	sent := []*entry{
+// Guards against a final check that misses lost writes, doubled writes or writes
+// stored although they were reported as not run.
+func TestCheckStoredCountsEachKindOfViolation(t *testing.T) {
+	sent := []*sentWrite{
 		{id: "kept", outcome: history.Acked}, {id: "lost", outcome: history.Acked}, {id: "twice", outcome: history.Acked},
 		{id: "refused", outcome: history.NotRun}, {id: "ran", outcome: history.NotRun},
 		{id: "open", outcome: history.Unknown}, {id: "open twice", outcome: history.Unknown},
@@ -94,7 +95,7 @@
 	}
 }
 
-func TestCompareBreaksOnWorseResults(t *testing.T) {
+func TestCompareCountsExceededBounds(t *testing.T) {
 	base := func() *Result {
 		return &Result{
 			Classes:      map[note.Class]Stats{note.ClassInteractive: {P50: 1, P99: 10}},
@@ -112,13 +113,13 @@
 	}
 	var out bytes.Buffer
 	if n := Compare(&out, base(), base(), DefaultBounds); n != 0 {
-		t.Errorf("equal results break %d bounds:\n%s", n, out.String())
+		t.Errorf("equal results exceed %d bounds:\n%s", n, out.String())
 	}
 	for name, change := range worse {
 		r := base()
 		change(r)
 		if n := Compare(&out, base(), r, DefaultBounds); n != 1 {
-			t.Errorf("%s: %d bounds broken", name, n)
+			t.Errorf("%s: %d bounds exceeded, want 1", name, n)
 		}
 	}
 }
--- a/internal/standin/helpers_test.go
+++ b/internal/standin/helpers_test.go
@@ -11,12 +11,13 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// patience bounds every wait for a condition.
-const patience = 60 * time.Second
+// waitTimeout limits every wait for a condition and every test context.
+const waitTimeout = 60 * time.Second
 
 const password = "ledger secret"
 
-// startGroup runs a primary with two replicas until the test ends.
+// startGroup runs a primary with two replicas until the test ends. change adjusts the
+// options, which have no connect and replication delays.
 func startGroup(t *testing.T, change func(*standin.Options)) *standin.Group {
 	t.Helper()
 	opts := standin.Options{
@@ -29,11 +30,13 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	run(t, group.Run)
+	runServer(t, group.Run)
 	return group
 }
 
-func run(t *testing.T, task func(context.Context) error) {
+// runServer runs task in a goroutine, and at the end of the test stops it and checks
+// its error.
+func runServer(t *testing.T, task func(context.Context) error) {
 	t.Helper()
 	ctx, cancel := context.WithCancel(context.Background())
 	done := make(chan error, 1)
@@ -53,7 +56,7 @@
 
 func testContext(t *testing.T) context.Context {
 	t.Helper()
-	ctx, cancel := context.WithTimeout(context.Background(), patience)
+	ctx, cancel := context.WithTimeout(context.Background(), waitTimeout)
 	t.Cleanup(cancel)
 	return ctx
 }
@@ -76,19 +79,20 @@
 	}
 }
 
-// eventually waits until condition holds.
-func eventually(t *testing.T, what string, condition func() bool) {
+// waitFor polls until condition holds and fails the test after waitTimeout.
+func waitFor(t *testing.T, what string, condition func() bool) {
 	t.Helper()
-	deadline := time.Now().Add(patience)
+	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, patience)
+			t.Fatalf("%s: not within %s", what, waitTimeout)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
 }
 
-func count(t *testing.T, conn *pgx.Conn) int64 {
+// countRecords returns the number of rows in the table "records".
+func countRecords(t *testing.T, conn *pgx.Conn) int64 {
 	t.Helper()
 	var n int64
 	if err := conn.QueryRow(testContext(t), "select count(*) from records").Scan(&n); err != nil {
--- a/internal/standin/sqltext/statement.go
+++ b/internal/standin/sqltext/statement.go
@@ -5,12 +5,14 @@
 	"strings"
 )
 
-// Class tells how a statement is executed.
+// Class determines how the stand-in executes a statement.
 type Class uint8
 
 // Classes of statements.
 const (
 	Empty Class = iota
+	// Read is a statement that changes no data. Write changes data or the schema
+	// or, with FOR UPDATE or FOR SHARE, requests row locks.
 	Read
 	Write
 	Begin
@@ -30,7 +32,7 @@
 	Unsupported
 )
 
-// Statement is one statement of a query.
+// Statement is one statement of a query text.
 type Statement struct {
 	Tokens []Token
 	Class  Class
@@ -38,13 +40,14 @@
 	Tag string
 	// CountsRows reports that the tag is followed by a row count.
 	CountsRows bool
-	// Returning reports that a writing statement yields rows.
+	// Returning reports that a statement of class Write returns rows.
 	Returning bool
-	// Params is the number of the highest parameter.
+	// Params is the highest parameter number, so the count of parameters to bind.
 	Params int
 }
 
-// Parse splits a query text into its statements.
+// Parse splits a query text at its semicolons into statements. Statements without
+// a token are left out. Its only error is ErrUnterminated.
 func Parse(src string) ([]*Statement, error) {
 	tokens, err := Lex(src)
 	if err != nil {
@@ -76,7 +79,7 @@
 	return s
 }
 
-// First returns the first word of the statement.
+// First returns the text of the first token, or "" for an empty statement.
 func (s *Statement) First() string {
 	if len(s.Tokens) == 0 {
 		return ""
@@ -84,7 +87,8 @@
 	return s.Tokens[0].Text
 }
 
-func (s *Statement) wordAt(i int) string {
+// textAt returns the text of the token at i, or "" beyond the end.
+func (s *Statement) textAt(i int) string {
 	if i >= len(s.Tokens) {
 		return ""
 	}
@@ -97,7 +101,7 @@
 	case "select", "values", "table", "with", "explain", "(":
 		s.classifyQuery(first)
 	case "insert", "update", "delete":
-		s.setData(first)
+		s.classifyDataChange(first)
 	case "create", "drop", "alter":
 		s.Class, s.Tag = Write, strings.ToUpper(first+" "+s.objectType())
 	case "truncate":
@@ -107,10 +111,12 @@
 	case "start_replication":
 		s.Class = StartReplication
 	default:
-		s.classifySession(first)
+		s.classifyUtility(first)
 	}
 }
 
+// objectType returns the kind of object that CREATE, DROP or ALTER names, such as
+// "table".
 func (s *Statement) objectType() string {
 	for _, t := range s.Tokens[1:] {
 		switch t.Text {
@@ -122,15 +128,19 @@
 	return ""
 }
 
-func (s *Statement) setData(verb string) {
+// classifyDataChange handles INSERT, UPDATE and DELETE. The tag "INSERT 0" holds
+// the obsolete object identifier that precedes the row count.
+func (s *Statement) classifyDataChange(verb string) {
 	s.Class, s.CountsRows = Write, true
 	s.Tag = strings.ToUpper(verb)
 	if verb == "insert" {
 		s.Tag = "INSERT 0"
 	}
-	s.Returning = s.topLevel("returning") >= 0
+	s.Returning = s.indexTopLevel("returning") >= 0
 }
 
+// classifyQuery handles statements that start like a query. WITH followed by a
+// data change and a query with a locking clause are of class Write.
 func (s *Statement) classifyQuery(first string) {
 	s.Class, s.Tag, s.CountsRows = Read, "SELECT", true
 	if first == "explain" {
@@ -139,13 +149,13 @@
 	}
 	if first == "with" {
 		for _, verb := range []string{"insert", "update", "delete"} {
-			if s.topLevel(verb) >= 0 {
-				s.setData(verb)
+			if s.indexTopLevel(verb) >= 0 {
+				s.classifyDataChange(verb)
 				return
 			}
 		}
 	}
-	if i := s.topLevel("for"); i >= 0 && (s.wordAt(i+1) == "update" || s.wordAt(i+1) == "share") {
+	if i := s.indexTopLevel("for"); i >= 0 && (s.textAt(i+1) == "update" || s.textAt(i+1) == "share") {
 		s.Class, s.Returning = Write, true
 	}
 }
@@ -153,16 +163,17 @@
 func (s *Statement) classifyCopy() {
 	s.Tag, s.CountsRows = "COPY", true
 	switch {
-	case s.topLevel("stdin") >= 0:
+	case s.indexTopLevel("stdin") >= 0:
 		s.Class = CopyIn
-	case s.topLevel("stdout") >= 0:
+	case s.indexTopLevel("stdout") >= 0:
 		s.Class = CopyOut
 	default:
 		s.Class = Unsupported
 	}
 }
 
-func (s *Statement) classifySession(first string) {
+// classifyUtility handles transaction control and settings.
+func (s *Statement) classifyUtility(first string) {
 	tag := strings.ToUpper(first)
 	switch first {
 	case "begin":
@@ -175,7 +186,7 @@
 		s.Class, tag = Rollback, "ROLLBACK"
 	case "rollback":
 		s.Class = Rollback
-		if s.topLevel("to") >= 0 {
+		if s.indexTopLevel("to") >= 0 {
 			s.Class = RollbackTo
 		}
 	case "savepoint":
@@ -198,12 +209,13 @@
 	s.Tag = tag
 }
 
-// topLevel returns the index of the first such word outside parentheses, or -1.
-func (s *Statement) topLevel(word string) int {
-	return topLevel(s.Tokens, word)
+// indexTopLevel returns the index of the word's first occurrence outside
+// parentheses, or -1.
+func (s *Statement) indexTopLevel(word string) int {
+	return indexTopLevel(s.Tokens, word)
 }
 
-func topLevel(tokens []Token, word string) int {
+func indexTopLevel(tokens []Token, word string) int {
 	depth := 0
 	for i, t := range tokens {
 		switch {
@@ -218,18 +230,19 @@
 	return -1
 }
 
-// YieldsRows reports whether the statement answers with rows.
+// YieldsRows reports whether the statement returns rows. COPY data does not count.
 func (s *Statement) YieldsRows() bool {
 	return s.Class == Read || s.Class == Show || s.Class == Write && s.Returning
 }
 
-// DescribeQuery returns a query with the same result columns as the statement and no
-// effect. For a statement with RETURNING it selects the list from the table.
+// DescribeQuery returns a query with the same result columns as the statement and
+// without its effect. For a data change with RETURNING the query selects the
+// returned expressions from the target table.
 func (s *Statement) DescribeQuery() []Token {
-	i := s.topLevel("returning")
+	i := s.indexTopLevel("returning")
 	if s.Class != Write || i < 0 {
 		return s.Tokens
 	}
 	out := append([]Token{{Word, "select"}}, s.Tokens[i+1:]...)
-	return append(out, Token{Word, "from"}, Token{QuotedName, `"` + s.target() + `"`})
+	return append(out, Token{Word, "from"}, Token{QuotedName, `"` + s.targetTable() + `"`})
 }
