--- a/internal/control/host.go
+++ b/internal/control/host.go
@@ -263,7 +263,7 @@
 	return cfg
 }
 
-// close fails everything that is pending and closes the store.
+// close ends the leadership, fails pending proposals and reads, and closes the store.
 func (h *Host) close() {
 	h.stopLeading()
 	h.knownLeader.Store(&leaderInfo{})
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -86,8 +86,7 @@
 // holdingAcknowledged returns the contenders that hold every write that a majority may
 // have acknowledged: those whose log is at least as far as the logs of a majority,
 // themselves included. That majority shares a member with the one that acknowledged a
-// write. Under note.AckReplicas only the
-// contenders with the highest position qualify.
+// write. Under note.AckReplicas only the contenders with the highest position qualify.
 func (m *Machine) holdingAcknowledged(all []contender) []contender {
 	var found []contender
 	if m.view.Ack == note.AckReplicas {
