--- a/internal/agreed/delta.go
+++ b/internal/agreed/delta.go
@@ -57,8 +57,8 @@
 // ErrGap is returned by Patch if the delta does not start at the state's revision.
 var ErrGap = errors.New("the delta does not start at the revision of the state")
 
-// Diff returns the delta from one state to a later one. Maps shared by both states
-// are not compared.
+// Diff returns the delta from one state to a later one. It does not compare the entries
+// of a map that both states share.
 func Diff(from, to *State) Delta {
 	d := Delta{
 		From:         from.Revision,
@@ -79,8 +79,8 @@
 		Routes:  diffMap(from.Catalog.Routes, to.Catalog.Routes),
 		Retired: diffMap(from.Retired, to.Retired),
 	}
-	if head := catalogHeader(to); to.Document.Number != from.Document.Number {
-		d.Catalog = &head
+	if header := catalogHeader(to); to.Document.Number != from.Document.Number {
+		d.Catalog = &header
 	}
 	for _, stamp := range to.History {
 		if stamp.Number > from.Catalog.Stamp.Number {
--- a/internal/announce/announce_test.go
+++ b/internal/announce/announce_test.go
@@ -25,25 +25,25 @@
 const validBody = `{"service":"log","id":"b","addr":"127.0.0.1:5432","domain":"d","role":"replica","timeline":3,"lsn":"1/A0"}`
 
 func TestHandlerForwardsAnnouncement(t *testing.T) {
-	box := view.NewPublisher()
+	publisher := view.NewPublisher()
 	state := agreed.New()
 	state.Groups["log"] = agreed.Group{Service: "log", Term: 4, Primary: "a", Phase: agreed.PhaseActive}
 	state.Endpoints["a"] = agreed.Endpoint{ID: "a", Addr: "127.0.0.1:1"}
-	box.Publish(view.View{State: state})
+	publisher.Publish(view.View{State: state})
 	var sender recorder
-	w := post(NewHandler(box, &sender), validBody)
+	w := post(NewHandler(publisher, &sender), validBody)
 	want := `{"term":4,"phase":"active","primary":"a","primary_addr":"127.0.0.1:1","member":false}`
 	if w.Code != http.StatusOK || strings.TrimSpace(w.Body.String()) != want {
-		t.Fatalf("%d %s", w.Code, w.Body)
+		t.Fatalf("response %d %s, want 200 with the agreed primary", w.Code, w.Body)
 	}
 	if len(sender.got) != 1 || sender.got[0].LSN != 1<<32|0xa0 || sender.got[0].Timeline != 3 || sender.got[0].Primary {
-		t.Fatalf("forwarded %+v", sender.got)
+		t.Fatalf("forwarded %+v, want one announcement of a replica at 1/A0 on timeline 3", sender.got)
 	}
 }
 
 func TestHandlerRejectsMalformedAnnouncements(t *testing.T) {
 	malformed := []string{
-		``, `{`, validBody + validBody, strings.Repeat(" ", maxBytes) + validBody,
+		``, `{`, validBody + validBody, strings.Repeat(" ", maxBodyBytes) + validBody,
 		strings.Replace(validBody, `"log"`, `""`, 1),
 		strings.Replace(validBody, `"b"`, `"`+strings.Repeat("b", 64)+`"`, 1),
 		strings.Replace(validBody, `127.0.0.1:5432`, `localhost:5432`, 1),
@@ -55,7 +55,7 @@
 		var sender recorder
 		w := post(NewHandler(view.NewPublisher(), &sender), body)
 		if w.Code != http.StatusBadRequest || len(sender.got) != 0 || !strings.Contains(w.Body.String(), `"code":3001`) {
-			t.Errorf("%.60q: %d %s", body, w.Code, w.Body)
+			t.Errorf("%.60q: response %d %s, want 400 with code 3001 and nothing forwarded", body, w.Code, w.Body)
 		}
 	}
 }
--- a/internal/control/announce.go
+++ b/internal/control/announce.go
@@ -96,8 +96,8 @@
 // update its address and failure domain if it is a member. It returns the
 // announcement with the time of the proposal or the reason of a refusal.
 func (h *Host) proposeMember(now time.Time, a announcedEndpoint) announcedEndpoint {
-	known, member := h.state.Endpoints[a.Endpoint.ID]
-	if member && known == a.Endpoint {
+	current, member := h.state.Endpoints[a.Endpoint.ID]
+	if member && current == a.Endpoint {
 		a.refusal = ""
 		return a
 	}
@@ -139,7 +139,7 @@
 
 // removeSilentMember proposes to remove one member, other than the primary, that
 // has sent no announcement for endpointRetention. A leader confirmed more recently
-// than that removes none, since it cannot know who was silent.
+// than that removes none, since the announcements it received do not cover that time.
 func (h *Host) removeSilentMember(now time.Time, g agreed.Group) {
 	if g.Phase != agreed.PhaseActive || now.Sub(h.confirmedAt) < endpointRetention {
 		return
--- a/internal/control/failover_driver.go
+++ b/internal/control/failover_driver.go
@@ -27,26 +27,27 @@
 	Promote(ctx context.Context, o failover.Order) (failover.OrderOutcome, error)
 }
 
-// failoverDriver feeds package failover with events and carries out its effects
-// on a confirmed leader. There is a new driver for each leadership; results for a
-// former driver are dropped. A host that is not the leader has a nil driver, on which
-// the methods called for every host do nothing.
+// failoverDriver sends events to the failover state machines and carries out their
+// effects on a confirmed leader. Each leadership has its own driver; results for a former
+// driver are dropped. A host that is not the leader has a nil driver. On a nil driver
+// stop, stateChanged, commandDone, applyPending, tick and reason do nothing.
 type failoverDriver struct {
 	host       *Host
-	fleet      *failover.MachineSet
+	machines   *failover.MachineSet
 	ctx        context.Context
 	cancel     context.CancelFunc
 	lastTick   time.Time
 	stateDirty bool
-	leaving    map[string]bool
+	// leavingEndpoints are the endpoints that request to be taken out of use.
+	leavingEndpoints map[string]bool
 	// probing holds the endpoints with a probe in flight.
 	probing map[string]bool
 	// results are the outcomes of commands, kept for applyPending.
 	results []commandResult
 }
 
-// commandResult is the outcome of a command proposed by the driver. It is
-// committed only if it was also accepted, that is with result code zero.
+// commandResult is the outcome of a command proposed by the driver. committed is set
+// only if the command was also accepted, with result code zero.
 type commandResult struct {
 	service   string
 	committed bool
@@ -55,10 +56,10 @@
 func newFailoverDriver(h *Host) *failoverDriver {
 	ctx, cancel := context.WithCancel(context.Background())
 	cfg := failover.DefaultConfig()
-	cfg.Fenced, cfg.Chooser = h.opts.Fenced, h.term
+	cfg.Fenced, cfg.ChooserTerm = h.opts.Fenced, h.term
 	return &failoverDriver{
 		host:       h,
-		fleet:      failover.NewMachineSet(cfg),
+		machines:   failover.NewMachineSet(cfg),
 		ctx:        ctx,
 		cancel:     cancel,
 		stateDirty: true,
@@ -96,12 +97,12 @@
 	}
 	if d.stateDirty {
 		d.stateDirty = false
-		d.run(now, d.fleet.SetState(now, d.host.state, d.leaving))
+		d.run(now, d.machines.SetState(now, d.host.state, d.leavingEndpoints))
 	}
 	results := d.results
 	d.results = nil
 	for _, r := range results {
-		d.run(now, d.fleet.Step(now, r.service, failover.CommandResult{Committed: r.committed}))
+		d.run(now, d.machines.Step(now, r.service, failover.CommandResult{Committed: r.committed}))
 	}
 }
 
@@ -111,15 +112,15 @@
 		return
 	}
 	d.lastTick = now
-	if leaving := d.host.leavingEndpoints(now); !maps.Equal(leaving, d.leaving) {
-		d.leaving, d.stateDirty = leaving, true
+	if leaving := d.host.leavingEndpoints(now); !maps.Equal(leaving, d.leavingEndpoints) {
+		d.leavingEndpoints, d.stateDirty = leaving, true
 	}
-	d.run(now, d.fleet.StepAll(now, failover.Tick{}))
+	d.run(now, d.machines.StepAll(now, failover.Tick{}))
 }
 
-// settled reports a new settled revision to the failover state machines.
+// settled sends a new settled revision to the failover state machines.
 func (d *failoverDriver) settled(now time.Time, revision uint64) {
-	d.run(now, d.fleet.StepAll(now, failover.Settled{Revision: revision}))
+	d.run(now, d.machines.StepAll(now, failover.Settled{Revision: revision}))
 }
 
 // reason returns why a group is not active or what it waits for.
@@ -127,7 +128,7 @@
 	if d == nil {
 		return ""
 	}
-	return d.fleet.Reason(service)
+	return d.machines.Reason(service)
 }
 
 // run carries out effects of the failover state machines.
@@ -138,7 +139,7 @@
 			d.propose(now, e.Service, agreed.Command{SealGroup: &agreed.SealGroup{Service: e.Service, Term: e.Term, Reason: e.Reason}})
 		case failover.Choose:
 			d.propose(now, e.Service, agreed.Command{ChooseCandidate: &agreed.ChooseCandidate{
-				Service: e.Service, Term: e.Term, Candidate: e.Candidate, ChooserTerm: e.Chooser, Attempt: e.Attempt,
+				Service: e.Service, Term: e.Term, Candidate: e.Candidate, ChooserTerm: e.ChooserTerm, Attempt: e.Attempt,
 			}})
 		case failover.Activate:
 			d.propose(now, e.Service, agreed.Command{ActivateGroup: &agreed.ActivateGroup{Service: e.Service, Term: e.Term, Primary: e.Primary, Timeline: e.Timeline}})
@@ -152,19 +153,19 @@
 	}
 }
 
-// propose appends a command of a service's state machine. Its outcome, also a
-// failure to append, reaches commandDone.
+// propose appends a command of a service's state machine to the log. The outcome, also
+// of a failed append, is passed to commandDone.
 func (d *failoverDriver) propose(now time.Time, service string, c agreed.Command) {
 	index, err := d.host.appendCommand(c)
 	if err != nil {
 		d.commandDone(service, false)
 		return
 	}
-	d.host.proposals[index] = pendingProposal{term: d.host.term, until: now.Add(proposalTimeout), service: service}
+	d.host.proposals[index] = pendingProposal{term: d.host.term, deadline: now.Add(proposalTimeout), service: service}
 }
 
 func (d *failoverDriver) endpointClient() endpointClient {
-	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.Databases, state: d.host.state, fenced: d.host.opts.Fenced}
+	return endpointClient{node: d.host.opts.Peer, endpoints: d.host.opts.EndpointManager, state: d.host.state, fenced: d.host.opts.Fenced}
 }
 
 // startProbes starts probes of endpoints, at most one at a time for each endpoint.
@@ -179,8 +180,8 @@
 		go func() {
 			ctx, cancel := context.WithTimeout(d.ctx, probeTimeout)
 			defer cancel()
-			seen := client.probe(ctx, endpoint)
-			d.deliver(probeEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: seen}})
+			condition := client.probe(ctx, endpoint)
+			d.deliver(probeEvent{driver: d, service: e.Service, answer: failover.Answer{Term: e.Term, Endpoint: id, Condition: condition}})
 		}()
 	}
 }
@@ -227,7 +228,7 @@
 		return
 	}
 	delete(e.driver.probing, e.answer.Endpoint)
-	e.driver.run(now, e.driver.fleet.Step(now, e.service, e.answer))
+	e.driver.run(now, e.driver.machines.Step(now, e.service, e.answer))
 }
 
 // promotionEvent is the result of a promotion.
@@ -241,7 +242,7 @@
 	if e.driver != h.failover {
 		return
 	}
-	e.driver.run(now, e.driver.fleet.Step(now, e.service, e.result))
+	e.driver.run(now, e.driver.machines.Step(now, e.service, e.result))
 }
 
 // observationEvent is an observation by a watcher.
@@ -258,7 +259,7 @@
 		return
 	}
 	o := e.observation
-	h.failover.run(now, h.failover.fleet.Step(now, o.Service, failover.Observation{
+	h.failover.run(now, h.failover.machines.Step(now, o.Service, failover.Observation{
 		Watcher: o.Watcher, Domain: o.Domain, Endpoint: o.Endpoint, Condition: o.Condition,
 	}))
 }
--- a/internal/control/registry.go
+++ b/internal/control/registry.go
@@ -22,10 +22,10 @@
 	return &Registry{host: host, view: src}
 }
 
-// PutDocument puts a document in force unless one with an equal or higher number
-// is. An invalid document returns result code NoteInvalid with all its errors. On
-// NoQuorum or NotLeader the outcome is unknown and the same document may be sent
-// again.
+// PutDocument puts a document in force. It changes nothing if a document with the same or
+// a higher number is in force. An invalid document returns result code NoteInvalid with
+// all its errors. On NoQuorum or NotLeader the outcome is unknown and the same document
+// may be sent again.
 func (r *Registry) PutDocument(ctx context.Context, d note.Document, source []byte) error {
 	catalog, problems := d.Catalog()
 	if note.HasErrors(problems) {
@@ -60,7 +60,7 @@
 	if state.HasEndpoint(e) || state.CheckStale(e).Code != 0 {
 		return nil
 	}
-	if _, known := state.Catalog.Services[e.Service]; !known && state.Catalog.Stamp.Number == 0 {
+	if _, exists := state.Catalog.Services[e.Service]; !exists && state.Catalog.Stamp.Number == 0 {
 		return nil // a later announcement is accepted once there is a catalog
 	}
 	out, err := r.host.Propose(ctx, agreed.Command{PutEndpoint: &agreed.PutEndpoint{Endpoint: e}})
--- a/internal/control/subscriber.go
+++ b/internal/control/subscriber.go
@@ -43,13 +43,13 @@
 	Entry    bool
 	Control  bool
 	Controls []config.ControlHost
-	// Open adds the control hosts of the agreed state to Controls, which are then
-	// seeds.
-	Open     bool
-	Peer     *peer.Node
-	Lease    lease.Config
-	Logger   *log.Logger
-	Registry prometheus.Registerer
+	// OpenMembership adds the control hosts of the agreed state to Controls, which
+	// are then seeds.
+	OpenMembership bool
+	Peer           *peer.Node
+	Lease          lease.Config
+	Logger         *log.Logger
+	Registry       prometheus.Registerer
 	// View receives the agreed state and the end of the lease.
 	View *view.Publisher
 }
@@ -63,9 +63,9 @@
 
 	metrics *subscriberMetrics
 
-	// current is the upstream, the control host that the subscriber uses. Other
-	// goroutines read it.
-	current atomic.Pointer[config.ControlHost]
+	// currentUpstream is the control host that the subscriber uses. Other goroutines
+	// read it.
+	currentUpstream atomic.Pointer[config.ControlHost]
 
 	state  *agreed.State
 	holder *lease.Holder
@@ -78,7 +78,8 @@
 	lastRenew    time.Time
 	lastRegister time.Time // when registration was last attempted
 	leaving      bool
-	leased       bool // as last logged
+	// leased is whether the view was valid at the last check; changes are logged.
+	leased bool
 }
 
 // subscriberEvent is a message to the goroutine of a Subscriber.
@@ -149,10 +150,10 @@
 }
 
 // upstream returns the control host in use.
-func (s *Subscriber) upstream() config.ControlHost { return *s.current.Load() }
+func (s *Subscriber) upstream() config.ControlHost { return *s.currentUpstream.Load() }
 
 // setUpstream stores the upstream for all goroutines.
-func (s *Subscriber) setUpstream(c config.ControlHost) { s.current.Store(&c) }
+func (s *Subscriber) setUpstream(c config.ControlHost) { s.currentUpstream.Store(&c) }
 
 // runDueTasks switches the upstream after a timeout, renews the lease and registers
 // the host, each when it is due.
@@ -161,15 +162,15 @@
 	if s.leased {
 		s.logLeaseChange(s.isRegistered())
 	}
-	silence, interval := s.opts.Lease.Duration/silenceDivisor, s.opts.Lease.RenewInterval
+	silenceTimeout, renewInterval := s.opts.Lease.Duration/silenceDivisor, s.opts.Lease.RenewInterval
 	if !s.leased {
-		silence, interval = min(silence, initialSilenceTimeout), min(interval, initialRenewInterval)
+		silenceTimeout, renewInterval = min(silenceTimeout, initialSilenceTimeout), min(renewInterval, initialRenewInterval)
 	}
-	if now.Sub(s.lastGrant) > silence {
+	if now.Sub(s.lastGrant) > silenceTimeout {
 		s.switchUpstream(now, s.nextUpstream())
 		s.log.Info("control_host_silent", "next", s.upstream().Host)
 	}
-	if now.Sub(s.lastRenew) >= interval {
+	if now.Sub(s.lastRenew) >= renewInterval {
 		s.renew(now)
 	}
 	if !s.isRegistered() && now.Sub(s.lastRegister) >= registerInterval {
@@ -179,9 +180,9 @@
 }
 
 // switchUpstream makes another control host the upstream and releases the lease
-// requests in flight at the former one. Otherwise they would count there with the
-// revision that the host has applied now, and hold back the settled revision. A
-// valid lease is kept.
+// requests in flight at the former one. Otherwise these would count there with the
+// revision that the host has applied by now, and delay the settling of later revisions.
+// A valid lease is kept.
 func (s *Subscriber) switchUpstream(now time.Time, next config.ControlHost) {
 	former := s.upstream()
 	s.setUpstream(next)
--- a/internal/failover/active.go
+++ b/internal/failover/active.go
@@ -7,9 +7,10 @@
 	"github.com/galenabridge/galenabridge/internal/note"
 )
 
-// advanceActive seals the term of an active group when its primary is lost or must
-// be replaced by a planned switchover. A lost primary is sealed at once; a planned
-// switchover waits for a successor, SwitchoverRetry and DrainTime.
+// advanceActive seals the term of an active group when its primary is lost or must be
+// replaced by a planned switchover. The term of a lost primary is sealed at once. A
+// planned switchover waits for a successor, for SwitchoverInterval and, except under
+// note.AckReplicas, for DrainTime.
 func (m *Machine) advanceActive(now time.Time) {
 	g := m.view.Group
 	if m.view.Leaving {
@@ -33,7 +34,7 @@
 		m.setStatus(cause + "; no other member in use is reachable")
 		return
 	}
-	if !m.lastSwitchoverAt.IsZero() && now.Sub(m.lastSwitchoverAt) < m.cfg.SwitchoverRetry {
+	if !m.lastSwitchoverAt.IsZero() && now.Sub(m.lastSwitchoverAt) < m.cfg.SwitchoverInterval {
 		m.setStatus(cause + "; waiting before the next switchover")
 		return
 	}
@@ -118,7 +119,7 @@
 		m.setStatus("forming: more than one endpoint is out of recovery on the highest timeline")
 	case primary == "":
 		m.setStatus("forming: no endpoint is out of recovery")
-	case answered < m.view.Size && now.Sub(m.majorityAt) < m.cfg.FormGrace:
+	case answered < m.view.Size && now.Sub(m.majorityAt) < m.cfg.FormingGrace:
 		m.setStatus("forming: waiting for the remaining endpoints")
 	default:
 		m.setStatus("")
--- a/internal/failover/fence_test.go
+++ b/internal/failover/fence_test.go
@@ -33,7 +33,7 @@
 	highestFence uint64 // of the executed orders
 	pending      []delayedOrder
 	fences       map[uint64]string // leader and endpoint of each used fence
-	chooser      uint64
+	chooserTerm  uint64
 	// active is the primary that hosts write to, empty while the group is sealed.
 	active string
 }
@@ -53,9 +53,9 @@
 
 // startLeader starts a new control leader, which has only the agreed state.
 func (p *delayingPlatform) startLeader() {
-	p.chooser++
+	p.chooserTerm++
 	cfg := DefaultConfig()
-	cfg.Fenced, cfg.Chooser = true, p.chooser
+	cfg.Fenced, cfg.ChooserTerm = true, p.chooserTerm
 	p.m = New(cfg)
 	p.step(Settled{Revision: p.group.Changed})
 	p.sendView()
@@ -90,7 +90,7 @@
 			p.step(Answer{Term: e.Term, Endpoint: id, Condition: c})
 		}
 	case Choose:
-		p.commit(func(g *agreed.Group) { g.Candidate, g.ChooserTerm, g.Attempt = e.Candidate, e.Chooser, e.Attempt })
+		p.commit(func(g *agreed.Group) { g.Candidate, g.ChooserTerm, g.Attempt = e.Candidate, e.ChooserTerm, e.Attempt })
 	case Activate:
 		p.commit(func(g *agreed.Group) { g.Phase, g.Primary = agreed.PhaseActive, e.Primary })
 		p.active = e.Primary
@@ -109,7 +109,7 @@
 // order executes an order at once and answers it, or executes it later without an
 // answer, or drops it.
 func (p *delayingPlatform) order(e Promote) {
-	owner := fmt.Sprint(p.chooser, e.Endpoint)
+	owner := fmt.Sprint(p.chooserTerm, e.Endpoint)
 	if former, used := p.fences[e.Fence]; used {
 		p.t.Fatalf("fence %d used by %s and again by %s", e.Fence, former, owner)
 	}
@@ -183,17 +183,17 @@
 	h.answer("b", replica(100))
 	expectNone[Choose](h) // another member may hold more
 	h.answer("c", replica(120))
-	h.advance(DefaultConfig().BestGrace)
+	h.advance(DefaultConfig().PositionGrace)
 	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
-func TestChooseSingleReplicaAfterBestGrace(t *testing.T) {
+func TestChooseSingleReplicaAfterPositionGrace(t *testing.T) {
 	h := newHarness(t, threeDomains)
 	h.view.Ack = note.AckReplicas
 	h.seal()
 	h.send(Settled{Revision: 11})
 	h.answer("b", replica(100))
-	h.advance(DefaultConfig().BestGrace)
+	h.advance(DefaultConfig().PositionGrace)
 	expect(h, Choose{Service: "s", Term: 2, Candidate: "b", Attempt: 1})
 }
 
@@ -211,7 +211,7 @@
 	expectNone[Choose](h) // c may hold an acknowledged commit that b lacks
 	h.answer("b", replica(100))
 	h.answer("c", replica(120))
-	h.advance(DefaultConfig().BestGrace)
+	h.advance(DefaultConfig().PositionGrace)
 	expect(h, Choose{Service: "s", Term: 2, Candidate: "c", Attempt: 1})
 }
 
--- a/internal/failover/model_test.go
+++ b/internal/failover/model_test.go
@@ -61,9 +61,9 @@
 }
 
 type delayed struct {
-	due   time.Time
-	event Event
-	term  uint64 // the leader that it is delivered to
+	at     time.Time
+	event  Event
+	leader uint64 // the number of the leader that it is for
 }
 
 type fault int
@@ -86,21 +86,21 @@
 	revision        uint64
 	group           agreed.Group
 	machine         *Machine
-	leader          uint64
-	elected         time.Time
+	leader          uint64 // number of the control leader
+	electedAt       time.Time
 	hosts           []*modelHost
 	endpoints       []*modelEndpoint
 	events          []delayed
 	commands        []Effect
-	promotes        []string
+	promotions      []string // endpoints whose promotion has not been executed yet
 	pending         []*pendingWrite
 	acked           map[int]bool
-	primaries       map[uint64]string
-	answered        map[string]bool
-	sealedAt        uint64
+	primaries       map[uint64]string // by term
+	answered        map[string]bool   // endpoints that answered in the current term
+	sealRevision    uint64            // of the last seal
 	nextID          int
 	faultsEnded     bool
-	out             map[string]bool // failure domains
+	domainsOut      map[string]bool // failure domains out of use
 	checked         [2]uint64       // revision and acknowledged writes at the last check
 	failure         string
 }
@@ -108,7 +108,7 @@
 func newModel(pick func(int) int, size int, f fault) *model {
 	m := &model{
 		pick: pick, fault: f, now: time.Unix(1000, 0), revision: 1,
-		acked: map[int]bool{}, primaries: map[uint64]string{}, out: map[string]bool{}, answered: map[string]bool{},
+		acked: map[int]bool{}, primaries: map[uint64]string{}, domainsOut: map[string]bool{}, answered: map[string]bool{},
 	}
 	for i := range size {
 		e := &modelEndpoint{id: fmt.Sprintf("e%d", i), alive: true, inRecovery: i > 0, upstream: "e0", unreachableFrom: map[string]bool{}}
@@ -142,7 +142,7 @@
 
 // setDomainOut takes a failure domain out of use, or puts it back into use.
 func (m *model) setDomainOut(domain string, out bool) {
-	m.out[domain] = out
+	m.domainsOut[domain] = out
 	m.revision++
 	m.step(m.view())
 }
@@ -172,7 +172,7 @@
 func (m *model) replaceLeader() {
 	m.machine = New(DefaultConfig())
 	m.leader++
-	m.elected = m.now
+	m.electedAt = m.now
 	m.answered = map[string]bool{}
 	m.commands = nil
 	for _, h := range m.hosts {
@@ -185,7 +185,7 @@
 	v := View{Group: m.group, Size: len(m.endpoints), Electorate: m.electorate}
 	for i, e := range m.endpoints {
 		domain := fmt.Sprintf("d%d", i%3)
-		v.Members = append(v.Members, Member{Endpoint: e.id, Domain: domain, DomainOut: m.out[domain]})
+		v.Members = append(v.Members, Member{Endpoint: e.id, Domain: domain, DomainOut: m.domainsOut[domain]})
 	}
 	return v
 }
@@ -215,7 +215,7 @@
 		if m.group.Phase != agreed.PhaseSealed || m.group.Candidate != ef.Endpoint {
 			m.failf("promoting %s, which is not the recorded candidate", ef.Endpoint)
 		}
-		m.promotes = append(m.promotes, ef.Endpoint)
+		m.promotions = append(m.promotions, ef.Endpoint)
 	case Status:
 	}
 }
@@ -234,7 +234,7 @@
 		m.failf("candidate chosen from %d answers", len(m.answered))
 	}
 	for _, h := range m.hosts {
-		if m.now.Before(h.leaseEnd) && h.revision < m.sealedAt {
+		if m.now.Before(h.leaseEnd) && h.revision < m.sealRevision {
 			m.failf("candidate chosen while host %s may act in the former term", h.id)
 		}
 	}
@@ -253,7 +253,7 @@
 	if m.pick(20) == 0 {
 		wait = time.Duration(m.pick(40)) * modelStep
 	}
-	m.events = append(m.events, delayed{due: m.now.Add(wait), event: ev, term: m.leader})
+	m.events = append(m.events, delayed{at: m.now.Add(wait), event: ev, leader: m.leader})
 }
 
 // commit applies a command to the agreed group when its conditions hold.
@@ -266,12 +266,12 @@
 		}
 		g.Term, g.Phase, g.Candidate = g.Term+1, agreed.PhaseSealed, ""
 		m.answered = map[string]bool{}
-		m.sealedAt = m.revision + 1
+		m.sealRevision = m.revision + 1
 	case Choose:
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term {
 			return
 		}
-		g.Candidate, g.ChooserTerm, g.Attempt = c.Candidate, c.Chooser, c.Attempt
+		g.Candidate, g.ChooserTerm, g.Attempt = c.Candidate, c.ChooserTerm, c.Attempt
 	case Activate:
 		if g.Phase != agreed.PhaseSealed || c.Term != g.Term || c.Primary != g.Candidate {
 			return
--- a/internal/failover/modelrun_test.go
+++ b/internal/failover/modelrun_test.go
@@ -42,7 +42,7 @@
 	for _, h := range m.hosts {
 		h.isolated = false
 	}
-	for domain := range m.out {
+	for domain := range m.domainsOut {
 		m.setDomainOut(domain, false)
 	}
 }
@@ -78,7 +78,7 @@
 		m.isolatePrimary()
 	case 14:
 		domain := m.primaryDomain()
-		m.setDomainOut(domain, !m.out[domain])
+		m.setDomainOut(domain, !m.domainsOut[domain])
 	}
 }
 
@@ -121,11 +121,11 @@
 	due := m.events
 	m.events = nil
 	for _, d := range due {
-		if d.due.After(m.now) {
+		if d.at.After(m.now) {
 			rest = append(rest, d)
 			continue
 		}
-		if d.term == m.leader {
+		if d.leader == m.leader {
 			m.step(d.event)
 		}
 	}
@@ -143,7 +143,7 @@
 
 func (m *model) executePromotions() {
 	var rest []string
-	for _, id := range m.promotes {
+	for _, id := range m.promotions {
 		e := m.endpoint(id)
 		switch {
 		case m.pick(4) == 0:
@@ -154,7 +154,7 @@
 			e.log = append(e.log, record{id: m.nextID, timeline: e.timeline() + 1})
 		}
 	}
-	m.promotes = rest
+	m.promotions = rest
 }
 
 func (m *model) renew() {
@@ -176,7 +176,7 @@
 		switch {
 		case h.renewed && m.now.Before(h.grantEnd):
 			least = min(least, h.revision)
-		case !h.renewed && m.now.Before(m.elected.Add(grantLease)):
+		case !h.renewed && m.now.Before(m.electedAt.Add(grantLease)):
 			return 0
 		}
 	}
@@ -282,11 +282,11 @@
 
 // check verifies that an active primary holds every acknowledged record.
 func (m *model) check() {
-	seen := [2]uint64{m.revision, uint64(len(m.acked))}
-	if m.group.Phase != agreed.PhaseActive || seen == m.checked {
+	current := [2]uint64{m.revision, uint64(len(m.acked))}
+	if m.group.Phase != agreed.PhaseActive || current == m.checked {
 		return
 	}
-	m.checked = seen
+	m.checked = current
 	p := m.endpoint(m.group.Primary)
 	present := make(map[int]bool, len(p.log))
 	for _, r := range p.log {
