--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -63,14 +63,14 @@
 	return &Server{opts: Options{Token: token, Control: f, View: f.views, Accepting: func() bool { return accepting }, Logger: discardLogger()}}
 }
 
-// TestPostNoteRepeatIsAcceptedOnce posts the same note twice, as an operator does after a
+// TestPostNoteMarksRepeatedNote posts the same note twice, as an operator does after a
 // lost response. The second response must be marked as repeated.
-func TestPostNoteRepeatIsAcceptedOnce(t *testing.T) {
+func TestPostNoteMarksRepeatedNote(t *testing.T) {
 	s := newServer(t)
 	for _, repeated := range []bool{false, true} {
 		code, body := serve(s, "POST", "/v1/notes", firstNote, token)
-		var a NoteResponse
-		if err := json.Unmarshal([]byte(body), &a); code != http.StatusOK || err != nil || a.Repeated != repeated || a.Stamp.Number != 1 {
+		var resp NoteResponse
+		if err := json.Unmarshal([]byte(body), &resp); code != http.StatusOK || err != nil || resp.Repeated != repeated || resp.Stamp.Number != 1 {
 			t.Fatalf("%d %s", code, body)
 		}
 	}
@@ -111,7 +111,7 @@
 	}
 }
 
-func TestWithoutTokenServesLoopbackOnly(t *testing.T) {
+func TestServerWithoutTokenServesLoopbackOnly(t *testing.T) {
 	s := newServer(t)
 	s.opts.Token = ""
 	if status, body := serve(s, "GET", "/v1/notes", "", ""); status != http.StatusForbidden {
@@ -142,9 +142,9 @@
 // TestDecodeNoteReportsFieldAndReferenceErrors decodes a note with an invalid field that
 // also withdraws a key that does not exist. Both problems must be reported at once.
 func TestDecodeNoteReportsFieldAndReferenceErrors(t *testing.T) {
-	box := view.NewPublisher()
-	box.Publish(view.View{State: agreed.New()})
-	s := &Server{opts: Options{View: box}}
+	publisher := view.NewPublisher()
+	publisher.Publish(view.View{State: agreed.New()})
+	s := &Server{opts: Options{View: publisher}}
 	_, problems := s.decodeNote([]byte(`{"number":1,"added":{"domains":[{"name":""}]},"withdrawn":{"keys":["x"]}}`))
 	paths := make(map[string]bool)
 	for _, p := range problems {
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -54,16 +54,16 @@
 	parser.ShortDescription = "database proxy with session consistency"
 	commands, err := register(parser)
 	if err != nil {
-		return a.exitCode(err)
+		return a.reportError(err)
 	}
 	rest, err := parser.ParseArgs(args)
 	if err != nil {
-		return a.exitCode(err)
+		return a.reportError(err)
 	}
 	if len(rest) > 0 {
-		return a.exitCode(exitWith(ExitUsage, errors.Errorf("unexpected argument %q", rest[0])))
+		return a.reportError(exitWith(ExitUsage, errors.Errorf("unexpected argument %q", rest[0])))
 	}
-	return a.exitCode(commands[activeLeaf(parser)].run(a))
+	return a.reportError(commands[activeLeaf(parser)].run(a))
 }
 
 // activeLeaf returns the innermost command that the parsed arguments select.
@@ -76,7 +76,7 @@
 }
 
 // exitCode writes an error, or the requested help, and returns the exit code.
-func (a *App) exitCode(err error) int {
+func (a *App) reportError(err error) int {
 	if err == nil {
 		return ExitOK
 	}
@@ -109,7 +109,7 @@
 	commands    []commandSpec
 }
 
-func topLevel() []commandSpec {
+func topLevelCommands() []commandSpec {
 	return []commandSpec{
 		{"serve", "run a host", "Run a host with the roles in its settings.", &serveCommand{}},
 		{"dev", "run a complete development system", "Run a control host, two entry hosts and one database group of three stand-in endpoints on loopback.", &devCommand{}},
@@ -120,7 +120,7 @@
 	}
 }
 
-func groups() []commandGroup {
+func commandGroups() []commandGroup {
 	return []commandGroup{
 		{"note", "work with release notes", []commandSpec{
 			{"check", "check a release note", "Check a release note; with --admin also against the catalog in force.", &noteCheckCommand{}},
@@ -146,25 +146,25 @@
 // register adds all commands to parser and returns those that can be run.
 func register(parser *flags.Parser) (map[*flags.Command]command, error) {
 	leaves := make(map[*flags.Command]command)
-	add := func(parent *flags.Command, e commandSpec) error {
-		c, err := parent.AddCommand(e.name, e.short, e.long, e.cmd)
+	add := func(parent *flags.Command, spec commandSpec) error {
+		c, err := parent.AddCommand(spec.name, spec.short, spec.long, spec.cmd)
 		if err == nil {
-			leaves[c] = e.cmd
+			leaves[c] = spec.cmd
 		}
 		return err
 	}
-	for _, e := range topLevel() {
-		if err := add(parser.Command, e); err != nil {
+	for _, spec := range topLevelCommands() {
+		if err := add(parser.Command, spec); err != nil {
 			return nil, err
 		}
 	}
-	for _, g := range groups() {
+	for _, g := range commandGroups() {
 		parent, err := parser.AddCommand(g.name, g.short, g.short, &struct{}{})
 		if err != nil {
 			return nil, err
 		}
-		for _, e := range g.commands {
-			if err := add(parent, e); err != nil {
+		for _, spec := range g.commands {
+			if err := add(parent, spec); err != nil {
 				return nil, err
 			}
 		}
--- a/internal/cli/note.go
+++ b/internal/cli/note.go
@@ -49,15 +49,15 @@
 // reportProblems prints the problems to stderr. It returns an error with ExitRefused if any
 // of them is not a warning.
 func reportProblems(app *App, problems []note.Problem) error {
-	count := 0
+	errorCount := 0
 	for _, p := range problems {
 		fmt.Fprintln(app.Stderr, p)
 		if !p.Warning {
-			count++
+			errorCount++
 		}
 	}
-	if count > 0 {
-		return exitWith(ExitRefused, errors.Errorf("the release note has %d errors; nothing was applied", count))
+	if errorCount > 0 {
+		return exitWith(ExitRefused, errors.Errorf("the release note has %d errors; nothing was applied", errorCount))
 	}
 	return nil
 }
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -177,7 +177,7 @@
 }
 
 // pollInterval is the time between attempts while the system starts.
-const pollInterval = 50 * time.Millisecond
+const retryInterval = 50 * time.Millisecond
 
 // waitForQuery waits until a query through url succeeds or ctx ends.
 func waitForQuery(ctx context.Context, url string) error {
@@ -189,7 +189,7 @@
 		select {
 		case <-ctx.Done():
 			return errors.Wrap(err, "query not answered in time")
-		case <-time.After(pollInterval):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -90,7 +90,7 @@
 		select {
 		case <-ctx.Done():
 			return err
-		case <-time.After(pollInterval):
+		case <-time.After(retryInterval):
 		}
 	}
 }
--- a/internal/entry/bench_test.go
+++ b/internal/entry/bench_test.go
@@ -166,7 +166,7 @@
 	}
 	defer member.pool.Release(conn, true)
 	known := map[string]*statement{"s": newStatement(benchRead, nil)}
-	conn.Session.Add(known["s"].name)
+	conn.Session.AddStatement(known["s"].name)
 	b.ReportAllocs()
 	for b.Loop() {
 		u := newExtendedUnit()
--- a/internal/entry/cancel.go
+++ b/internal/entry/cancel.go
@@ -24,7 +24,7 @@
 
 // Cancel cancels the request in progress of a session of this host. It reports whether the
 // key matches a session.
-func (s *Server) Cancel(c pgfront.Cancel) bool {
+func (s *Server) Cancel(c pgfront.CancelKey) bool {
 	s.mu.Lock()
 	session := s.sessions[c.ProcessID&sessionMask]
 	s.mu.Unlock()
@@ -40,7 +40,7 @@
 
 // routeCancel handles a caller's cancel request. It is forwarded unless the key belongs to
 // a session of this host; the host number alone does not decide, since hosts may share one.
-func (s *Server) routeCancel(c pgfront.Cancel) {
+func (s *Server) routeCancel(c pgfront.CancelKey) {
 	host := c.ProcessID >> sessionBits
 	if host == s.number && s.Cancel(c) || s.opts.CancelForwarder == nil {
 		return
--- a/internal/entry/login.go
+++ b/internal/entry/login.go
@@ -98,7 +98,7 @@
 	if s.draining.Load() {
 		ses.drain()
 	}
-	if err := conn.Ready(reportedParams, pgfront.Cancel{ProcessID: ses.pid, Secret: ses.key}); err != nil {
+	if err := conn.Ready(reportedParams, pgfront.CancelKey{ProcessID: ses.pid, Secret: ses.key}); err != nil {
 		s.unregisterSession(ses)
 		return nil, err
 	}
--- a/internal/entry/options.go
+++ b/internal/entry/options.go
@@ -33,7 +33,7 @@
 
 // CancelForwarder passes a cancel request to the host that serves the session.
 type CancelForwarder interface {
-	Forward(ctx context.Context, host uint32, cancel pgfront.Cancel) error
+	Forward(ctx context.Context, host uint32, cancel pgfront.CancelKey) error
 }
 
 // Observer receives the status of endpoints from their monitors.
--- a/internal/entry/peers.go
+++ b/internal/entry/peers.go
@@ -52,7 +52,7 @@
 }
 
 // Forward implements CancelForwarder.
-func (l *PeerLink) Forward(ctx context.Context, number uint32, c pgfront.Cancel) error {
+func (l *PeerLink) Forward(ctx context.Context, number uint32, c pgfront.CancelKey) error {
 	state := l.view.Current().State
 	if state == nil {
 		return errors.New("no agreed state")
@@ -82,7 +82,7 @@
 		return answer, err
 	})
 	peer.OnCall(node, peer.KindCancel, func(_ context.Context, _ peer.Identity, msg cancelMessage) (struct{}, error) {
-		s.Cancel(pgfront.Cancel{ProcessID: msg.ProcessID, Secret: msg.Secret})
+		s.Cancel(pgfront.CancelKey{ProcessID: msg.ProcessID, Secret: msg.Secret})
 		return struct{}{}, nil
 	})
 }
--- a/internal/entry/relay.go
+++ b/internal/entry/relay.go
@@ -143,7 +143,7 @@
 	}
 	a := r.plan.parses[0]
 	r.plan.parses = r.plan.parses[1:]
-	r.co.conn.Session.Add(a.name)
+	r.co.conn.Session.AddStatement(a.name)
 	if a.injected {
 		return nil
 	}
--- a/internal/entry/unit.go
+++ b/internal/entry/unit.go
@@ -221,7 +221,7 @@
 
 // has reports whether the statement is prepared when the next message is processed.
 func (b *planBuilder) has(name string) bool {
-	return b.known[name] || b.state.Has(name)
+	return b.known[name] || b.state.HasStatement(name)
 }
 
 // add appends a message. A Parse of a statement that is already prepared is preceded by its
@@ -276,7 +276,7 @@
 		return result.New(result.MalformedMessage, "%v", err)
 	}
 	b.plan.encoded = encoded
-	b.state.Remove(name)
+	b.state.RemoveStatement(name)
 	b.plan.closes = append(b.plan.closes, expectedAnswer{injected: true, name: name})
 	b.plan.pending++
 	return nil
--- a/internal/note/document.go
+++ b/internal/note/document.go
@@ -42,19 +42,19 @@
 
 // indexByName returns items keyed by name. An empty or repeated name is a problem.
 func indexByName[T any](items []T, kind string, id func(T) string, problems *[]Problem) map[string]T {
-	all := make(map[string]T, len(items))
+	byName := make(map[string]T, len(items))
 	for i, item := range items {
 		name := id(item)
 		path := fmt.Sprintf("%s[%d]", kind, i)
 		if name == "" {
 			*problems = append(*problems, Problem{Path: path, Reason: "has no name"})
 		}
-		if _, ok := all[name]; ok {
+		if _, ok := byName[name]; ok {
 			*problems = append(*problems, Problem{Path: path, Value: name, Reason: "appears twice"})
 		}
-		all[name] = item
+		byName[name] = item
 	}
-	return all
+	return byName
 }
 
 var readPolicies = []ReadPolicy{ReadPrimary, ReadBounded, ReadOwnWrites}
--- a/internal/note/note_test.go
+++ b/internal/note/note_test.go
@@ -67,7 +67,7 @@
 	}
 }
 
-func TestParseRefusesUnknownFieldsAndTrailingText(t *testing.T) {
+func TestParseRefusesInvalidNotes(t *testing.T) {
 	for _, text := range []string{
 		`{"number":1,"surprise":true}`,
 		`{"number":1,"withdrawn":{"keys":["a"]}} {}`,
--- a/internal/pgback/lsn.go
+++ b/internal/pgback/lsn.go
@@ -13,13 +13,13 @@
 	if !ok {
 		return 0, errors.Errorf("WAL position %q has no slash", text)
 	}
-	segment, err := strconv.ParseUint(high, 16, 32)
+	highBits, err := strconv.ParseUint(high, 16, 32)
 	if err != nil {
 		return 0, errors.Wrap(err, "parse WAL position")
 	}
-	offset, err := strconv.ParseUint(low, 16, 32)
+	lowBits, err := strconv.ParseUint(low, 16, 32)
 	if err != nil {
 		return 0, errors.Wrap(err, "parse WAL position")
 	}
-	return segment<<32 | offset, nil
+	return highBits<<32 | lowBits, nil
 }
--- a/internal/pgback/monitor.go
+++ b/internal/pgback/monitor.go
@@ -154,11 +154,11 @@
 
 // read runs a status query. On failure it closes the connection and returns a status with
 // Err set.
-func (m *Monitor) read(ctx context.Context, from func(context.Context, *Conn) (Status, error)) Status {
+func (m *Monitor) read(ctx context.Context, query func(context.Context, *Conn) (Status, error)) Status {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	asked := time.Now()
-	s, err := m.readOn(ctx, from)
+	s, err := m.readOn(ctx, query)
 	if err != nil {
 		m.closeConn()
 		return Status{Endpoint: m.target.Endpoint, Asked: asked, Err: err}
@@ -166,7 +166,7 @@
 	return s
 }
 
-func (m *Monitor) readOn(ctx context.Context, from func(context.Context, *Conn) (Status, error)) (Status, error) {
+func (m *Monitor) readOn(ctx context.Context, query func(context.Context, *Conn) (Status, error)) (Status, error) {
 	if m.conn == nil {
 		conn, err := Dial(ctx, m.target)
 		if err != nil {
@@ -174,7 +174,7 @@
 		}
 		m.conn = conn
 	}
-	return from(ctx, m.conn)
+	return query(ctx, m.conn)
 }
 
 func (m *Monitor) closeConn() {
--- a/internal/pgback/query.go
+++ b/internal/pgback/query.go
@@ -18,7 +18,7 @@
 }
 
 // Error implements error.
-func (r *ServerError) Error() string { return "endpoint error " + r.Code + ": " + r.Message }
+func (e *ServerError) Error() string { return "endpoint error " + e.Code + ": " + e.Message }
 
 // Query runs one or more SQL statements in one round trip with the simple query protocol
 // and returns the rows of each. After an error other than a ServerError the connection must
@@ -40,7 +40,7 @@
 func (c *Conn) collect() ([]Rows, error) {
 	var results []Rows
 	var rows Rows
-	var failure error
+	var serverErr error
 	for {
 		msg, err := c.Receive()
 		if err != nil {
@@ -53,11 +53,11 @@
 			results = append(results, rows)
 			rows = nil
 		case *pgproto3.ErrorResponse:
-			if failure == nil {
-				failure = &ServerError{Code: msg.Code, Message: msg.Message}
+			if serverErr == nil {
+				serverErr = &ServerError{Code: msg.Code, Message: msg.Message}
 			}
 		case *pgproto3.ReadyForQuery:
-			return results, failure
+			return results, serverErr
 		}
 	}
 }
--- a/internal/pgback/session_state.go
+++ b/internal/pgback/session_state.go
@@ -29,7 +29,7 @@
 }
 
 // Has reports whether the statement is prepared, and marks it as most recently used.
-func (s *SessionState) Has(name string) bool {
+func (s *SessionState) HasStatement(name string) bool {
 	element, ok := s.prepared[name]
 	if ok {
 		s.lru.MoveToFront(element)
@@ -38,14 +38,14 @@
 }
 
 // Add records that a statement was prepared.
-func (s *SessionState) Add(name string) {
-	if !s.Has(name) {
+func (s *SessionState) AddStatement(name string) {
+	if !s.HasStatement(name) {
 		s.prepared[name] = s.lru.PushFront(name)
 	}
 }
 
 // Remove records that a statement was closed.
-func (s *SessionState) Remove(name string) {
+func (s *SessionState) RemoveStatement(name string) {
 	if element, ok := s.prepared[name]; ok {
 		s.lru.Remove(element)
 		delete(s.prepared, name)
--- a/internal/pgback/status.go
+++ b/internal/pgback/status.go
@@ -43,11 +43,11 @@
 	if err != nil {
 		return s, err
 	}
-	role, err := cell(results, 0, 0)
+	inRecovery, err := cell(results, 0, 0)
 	if err != nil {
 		return s, err
 	}
-	s.InRecovery = role == "t" || role == "1"
+	s.InRecovery = inRecovery == "t" || inRecovery == "1"
 	text, err := cell(results, 1, 0)
 	if err != nil {
 		return s, err
--- a/internal/pgfront/login.go
+++ b/internal/pgfront/login.go
@@ -80,7 +80,7 @@
 
 // Ready completes the login. It sends the parameters, the key for cancel
 // requests and ReadyForQuery, and removes the login timeout.
-func (c *Conn) Ready(parameters []Parameter, key Cancel) error {
+func (c *Conn) Ready(parameters []Parameter, key CancelKey) error {
 	messages := []pgproto3.BackendMessage{&pgproto3.AuthenticationOk{}}
 	for _, p := range parameters {
 		messages = append(messages, &pgproto3.ParameterStatus{Name: p.Name, Value: p.Value})
--- a/internal/pgfront/startup.go
+++ b/internal/pgfront/startup.go
@@ -21,11 +21,11 @@
 	Service   string // the database; defaults to Workspace
 	// Parameters are the run-time parameters in the startup message.
 	Parameters map[string]string
-	Cancel     *Cancel
+	Cancel     *CancelKey
 }
 
 // Cancel identifies the connection whose request is to be cancelled.
-type Cancel struct {
+type CancelKey struct {
 	ProcessID uint32
 	Secret    []byte
 }
@@ -62,7 +62,7 @@
 				return nil, err
 			}
 		case *pgproto3.CancelRequest:
-			return &Startup{Cancel: &Cancel{ProcessID: msg.ProcessID, Secret: msg.SecretKey}}, nil
+			return &Startup{Cancel: &CancelKey{ProcessID: msg.ProcessID, Secret: msg.SecretKey}}, nil
 		case *pgproto3.StartupMessage:
 			return c.readStartup(msg)
 		}
--- a/internal/scramauth/conversation.go
+++ b/internal/scramauth/conversation.go
@@ -61,8 +61,8 @@
 // First returns the response to the client's first message.
 func (c *Conversation) First(message string) (string, error) {
 	var reply string
-	for _, r := range c.exchanges {
-		text, err := r.conv.Step(message)
+	for _, ex := range c.exchanges {
+		text, err := ex.conv.Step(message)
 		if err != nil {
 			return "", errors.Wrap(err, "first message")
 		}
@@ -75,10 +75,10 @@
 // the ID of the key that matches, or ErrNoKeyMatches. It verifies against every key also
 // after a match.
 func (c *Conversation) Final(message string) (reply, keyID string, err error) {
-	for _, r := range c.exchanges {
-		text, stepErr := r.conv.Step(message)
-		if stepErr == nil && r.conv.Valid() && keyID == "" {
-			reply, keyID = text, r.keyID
+	for _, ex := range c.exchanges {
+		text, stepErr := ex.conv.Step(message)
+		if stepErr == nil && ex.conv.Valid() && keyID == "" {
+			reply, keyID = text, ex.keyID
 		}
 	}
 	if keyID == "" {
--- a/internal/scramauth/scramauth_test.go
+++ b/internal/scramauth/scramauth_test.go
@@ -65,25 +65,25 @@
 func TestConversationUnknownWorkspaceGetsSameSalt(t *testing.T) {
 	const first = "n,,n=,r=abcdefghijkl"
 	known := NewConversation("osan-crew", []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}})
-	a, err := known.First(first)
+	knownReply, err := known.First(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := NewConversation("osan-crew", nil).First(first)
+	unknownReply, err := NewConversation("osan-crew", nil).First(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a[len(a)-30:] != b[len(b)-30:] {
-		t.Errorf("salt and iterations differ: %q, %q", a, b)
+	if knownReply[len(knownReply)-30:] != unknownReply[len(unknownReply)-30:] {
+		t.Errorf("salt and iterations differ: %q, %q", knownReply, unknownReply)
 	}
 }
 
 func TestParseVerifierRejectsMalformedText(t *testing.T) {
-	good := Verifier("w", "k")
-	if _, err := ParseVerifier(good); err != nil {
+	valid := Verifier("w", "k")
+	if _, err := ParseVerifier(valid); err != nil {
 		t.Fatal(err)
 	}
-	for _, text := range []string{"", "md5abc", good[:len(good)-4], "SCRAM-SHA-256$1:c2FsdA==$a:b", good + "$"} {
+	for _, text := range []string{"", "md5abc", valid[:len(valid)-4], "SCRAM-SHA-256$1:c2FsdA==$a:b", valid + "$"} {
 		if _, err := ParseVerifier(text); err == nil {
 			t.Errorf("%q was accepted", text)
 		}
