--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -32,7 +32,7 @@
 	"github.com/galenabridge/galenabridge/internal/view"
 )
 
-// Timeouts of a request.
+// Timeouts of connections and requests.
 const (
 	headerTimeout = 5 * time.Second
 	readTimeout   = 30 * time.Second
@@ -103,7 +103,8 @@
 	return errors.Wrap(err, "serve operators")
 }
 
-// Handler returns the handler of all routes. Other routes are UnsupportedFeature errors.
+// Handler returns the handler of the whole interface. It responds to a request for any
+// other path or method with UnsupportedFeature.
 func (s *Server) Handler() http.Handler {
 	mux := http.NewServeMux()
 	mux.Handle("POST /v1/notes", s.operatorsOnly(s.postNote))
@@ -123,7 +124,7 @@
 	return mux
 }
 
-// operatorsOnly passes authenticated requests to next.
+// operatorsOnly passes authenticated requests to next and responds to others with an error.
 func (s *Server) operatorsOnly(next http.HandlerFunc) http.Handler {
 	return http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if err := s.authenticate(r); err != nil {
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -71,16 +71,16 @@
 		code, body := serve(s, "POST", "/v1/notes", firstNote, token)
 		var resp NoteResponse
 		if err := json.Unmarshal([]byte(body), &resp); code != http.StatusOK || err != nil || resp.Repeated != repeated || resp.Stamp.Number != 1 {
-			t.Fatalf("%d %s", code, body)
+			t.Fatalf("status %d, want 200 and note 1 with repeated=%t: %s", code, repeated, body)
 		}
 	}
 	code, body := serve(s, "GET", "/v1/notes", "", token)
 	if code != http.StatusOK || !strings.Contains(body, `"title":"first"`) {
-		t.Errorf("history: %d %s", code, body)
+		t.Errorf("history: status %d, want 200 and the title first: %s", code, body)
 	}
 	code, body = serve(s, "GET", "/v1/notes/current", "", token)
 	if code != http.StatusOK || !strings.Contains(body, `"w":{`) {
-		t.Errorf("current: %d %s", code, body)
+		t.Errorf("current catalog: status %d, want 200 and workspace w: %s", code, body)
 	}
 }
 
@@ -106,7 +106,7 @@
 		status, body := serve(s, test.method, test.path, test.body, test.token)
 		var r ErrorResponse
 		if err := json.Unmarshal([]byte(body), &r); err != nil || status != test.status || r.Code != test.code || r.Name == "" {
-			t.Errorf("%s %s: %d %s", test.method, test.path, status, body)
+			t.Errorf("%s %s: status %d, want %d with code %d: %s", test.method, test.path, status, test.status, test.code, body)
 		}
 	}
 }
@@ -115,25 +115,25 @@
 	s := newServer(t)
 	s.opts.Token = ""
 	if status, body := serve(s, "GET", "/v1/notes", "", ""); status != http.StatusForbidden {
-		t.Errorf("from another host: %d %s", status, body)
+		t.Errorf("from another host: status %d, want 403: %s", status, body)
 	}
 	r := httptest.NewRequest("GET", "/v1/notes", nil)
 	r.RemoteAddr = "127.0.0.1:99"
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, r)
 	if w.Code != http.StatusOK {
-		t.Errorf("from loopback: %d %s", w.Code, w.Body)
+		t.Errorf("from loopback: status %d, want 200: %s", w.Code, w.Body)
 	}
 }
 
 func TestHealthReportsAccepting(t *testing.T) {
 	s := newServer(t)
 	if status, _ := serve(s, "GET", "/healthz", "", ""); status != http.StatusOK {
-		t.Errorf("accepting: %d", status)
+		t.Errorf("accepting: status %d, want 200", status)
 	}
 	s.opts.Accepting = func() bool { return false }
 	if status, _ := serve(s, "GET", "/healthz", "", ""); status != http.StatusServiceUnavailable {
-		t.Errorf("not accepting: %d", status)
+		t.Errorf("not accepting: status %d, want 503", status)
 	}
 }
 
--- a/internal/cli/cli.go
+++ b/internal/cli/cli.go
@@ -75,7 +75,8 @@
 	return leaf
 }
 
-// exitCode writes an error, or the requested help, and returns the exit code.
+// reportError writes an error, or the requested help, and returns the exit code. A nil error
+// is success.
 func (a *App) reportError(err error) int {
 	if err == nil {
 		return ExitOK
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -88,7 +88,7 @@
 	defer host.Close()
 	code, _, stderr := invoke("note", "apply", "--admin", host.URL, writeFile(t, validNote))
 	if code != ExitRefused || !strings.Contains(stderr, "GB4001") || !strings.Contains(stderr, result.Lookup(result.NoteConflict).Name) {
-		t.Errorf("exit code %d: %s", code, stderr)
+		t.Errorf("exit code %d, want %d and GB4001 with its name: %s", code, ExitRefused, stderr)
 	}
 }
 
@@ -101,7 +101,7 @@
 	defer host.Close()
 	code, stdout, stderr := invoke("note", "apply", "--admin", "http://127.0.0.1:1", "--admin", host.URL, writeFile(t, validNote))
 	if code != ExitOK || !strings.Contains(stdout, "revision=9") {
-		t.Errorf("exit code %d: %s%s", code, stdout, stderr)
+		t.Errorf("exit code %d, want 0 and revision=9: %s%s", code, stdout, stderr)
 	}
 }
 
@@ -120,7 +120,7 @@
 	} {
 		code, stdout, stderr := invoke(c.args...)
 		if code != c.want || !strings.Contains(stdout, c.text) {
-			t.Errorf("%v: exit code %d, %q, %s", c.args, code, stdout, stderr)
+			t.Errorf("%v: exit code %d, want %d and output with %q: %q, %s", c.args, code, c.want, c.text, stdout, stderr)
 		}
 	}
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -96,7 +96,7 @@
 type ControlHost struct {
 	Host string `json:"host" validate:"required,max=63"`
 	Addr string `json:"addr" validate:"required,ipport"`
-	// Voter reports whether the host votes; the others are relays only.
+	// Voter is set for a host that votes in the consensus; the others are relays only.
 	Voter bool `json:"voter"`
 }
 
@@ -234,8 +234,8 @@
 	return errors.Errorf("settings: %s", strings.Join(problems, "; "))
 }
 
-// checkRoles checks that the host has a role and the fleet a voting control host. With
-// seeds, the list of control hosts is not checked.
+// checkRoles checks that the host has a role. Without seeds, it also checks that Controls
+// contains a voter and, if this is a control host, this host. It includes checkTLS.
 func (s *Settings) checkRoles() []string {
 	var problems []string
 	if s.Entry == nil && s.Control == nil {
@@ -261,7 +261,7 @@
 	return append(problems, s.checkTLS()...)
 }
 
-// checkTLS checks the certificates that other settings require.
+// checkTLS checks that a certificate is set if callers must use TLS, and a CA if peers use it.
 func (s *Settings) checkTLS() []string {
 	var problems []string
 	if s.Entry != nil && s.Entry.RequireTLS && s.Entry.TLS == nil {
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -8,7 +8,7 @@
 	"github.com/go-playground/validator/v10"
 )
 
-// jsonName makes the validator report fields by their JSON names.
+// jsonName returns the JSON name of a field, by which the validator reports it.
 func jsonName(field reflect.StructField) string {
 	name, _, _ := strings.Cut(field.Tag.Get("json"), ",")
 	if name == "-" {
--- a/internal/dev/dev.go
+++ b/internal/dev/dev.go
@@ -133,8 +133,8 @@
 	}, func(error) { stopHosts() })
 }
 
-// runHosts runs the hosts until ctx ends. The last one is stopped after the others have
-// returned.
+// runHosts runs the hosts until ctx ends or one of them, other than the last, returns. The
+// last one, the control host, is stopped only after the others have returned.
 func runHosts(ctx context.Context, hosts []*bridge.Host) error {
 	last := len(hosts) - 1
 	lastCtx, stopLast := context.WithCancel(context.WithoutCancel(ctx))
@@ -176,7 +176,7 @@
 	return fmt.Sprintf("postgres://%s:%s@%s/%s?sslmode=disable", Workspace, s.key, h.CallerAddr(), Service)
 }
 
-// pollInterval is the time between attempts while the system starts.
+// retryInterval is the time between attempts while the system starts.
 const retryInterval = 50 * time.Millisecond
 
 // waitForQuery waits until a query through url succeeds or ctx ends.
--- a/internal/dev/settings.go
+++ b/internal/dev/settings.go
@@ -24,6 +24,7 @@
 
 var domains = []string{"osan", "pohang", "heuksan"}
 
+// settings returns the settings that the control host and the entry hosts have in common.
 func (s *system) settings(host, domain string) *config.Settings {
 	return &config.Settings{
 		Host: host, Fleet: fleet, Domain: domain, FleetSecret: fleetSecret,
--- a/internal/note/apply.go
+++ b/internal/note/apply.go
@@ -73,10 +73,11 @@
 	}
 }
 
-// putItems writes the added and changed items of one kind into next. An added item
-// must not be in next, where the withdrawn items are already deleted. A changed item
-// must be in the catalog before the note and must not be withdrawn by it. No item may
-// appear twice in the note.
+// putItems writes the added and changed items of one kind into next, from which the
+// withdrawn items are already deleted. An added item must not be in next, so that a note
+// can replace an item by withdrawing and adding it. A changed item must be in the catalog
+// before the note and must not be withdrawn by it. Added and changed together must not
+// contain an item twice.
 func putItems[T any](
 	next, before map[string]T, added, changed []T, kind string, id func(T) string, problems *[]Problem,
 ) {
@@ -115,8 +116,9 @@
 	}
 }
 
-// checkReferences checks what spans several entries: references to workspaces and
-// services, the salts of the keys of a workspace, and connections against slots.
+// checkReferences checks the rules that involve several fields or entries: the workspaces
+// and services that are referred to exist, the keys of a workspace share one salt, and
+// each service has a connection for each slot.
 func (c Catalog) checkReferences() []Problem {
 	var problems []Problem
 	for _, id := range sortedNames(c.Keys) {
--- a/internal/note/check.go
+++ b/internal/note/check.go
@@ -150,7 +150,7 @@
 	return v, nil
 }
 
-// fieldProblem converts a validation error and omits the value of a secret.
+// fieldProblem converts a validation error to a Problem without the value of a secret.
 func fieldProblem(f validator.FieldError) Problem {
 	_, path, _ := strings.Cut(f.Namespace(), ".")
 	p := Problem{Path: path, Value: fmt.Sprint(f.Value()), Reason: fieldReason(f)}
@@ -178,7 +178,7 @@
 	return "must satisfy " + f.Tag()
 }
 
-// decodeProblem converts an error of the JSON decoder.
+// decodeProblem converts an error of the JSON decoder to a Problem.
 func decodeProblem(err error) Problem {
 	var typeErr *json.UnmarshalTypeError
 	if errors.As(err, &typeErr) {
--- a/internal/note/document.go
+++ b/internal/note/document.go
@@ -40,7 +40,8 @@
 	return c, problems
 }
 
-// indexByName returns items keyed by name. An empty or repeated name is a problem.
+// indexByName returns items keyed by id, which is the name except for keys. It reports an
+// empty or repeated id as a problem.
 func indexByName[T any](items []T, kind string, id func(T) string, problems *[]Problem) map[string]T {
 	byName := make(map[string]T, len(items))
 	for i, item := range items {
--- a/internal/note/document_test.go
+++ b/internal/note/document_test.go
@@ -21,7 +21,7 @@
 		t.Fatal(problems)
 	}
 	if c.Routes["launch"].Service != "logs" || len(c.Keys) != 2 {
-		t.Errorf("catalog %+v", c)
+		t.Errorf("catalog %+v, want the route of launch to service logs and 2 keys", c)
 	}
 }
 
@@ -33,13 +33,13 @@
 		"same database and path": func(d *Document) {
 			d.Routes = append(d.Routes, Route{Name: "s", Database: "launch", Service: "logs", Path: "/", Policy: ReadPrimary, Timeout: 1})
 		},
-		"no timeout":       func(d *Document) { d.Routes[0].Timeout = 0 },
-		"unknown policy":   func(d *Document) { d.Routes[0].Policy = "any" },
-		"no database":      func(d *Document) { d.Routes[0].Database = "" },
-		"shared key":       func(d *Document) { d.Keys[1].ID = "k1" },
-		"unknown tenant":   func(d *Document) { d.Keys[0].Workspace = "nobody" },
-		"service twice":    func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
-		"nameless service": func(d *Document) { d.Services = append(d.Services, Service{}) },
+		"no timeout":        func(d *Document) { d.Routes[0].Timeout = 0 },
+		"unknown policy":    func(d *Document) { d.Routes[0].Policy = "any" },
+		"no database":       func(d *Document) { d.Routes[0].Database = "" },
+		"key twice":         func(d *Document) { d.Keys[1].ID = "k1" },
+		"unknown workspace": func(d *Document) { d.Keys[0].Workspace = "nobody" },
+		"service twice":     func(d *Document) { d.Services = append(d.Services, d.Services[0]) },
+		"nameless service":  func(d *Document) { d.Services = append(d.Services, Service{}) },
 	}
 	for name, invalidate := range cases {
 		t.Run(name, func(t *testing.T) {
--- a/internal/note/types.go
+++ b/internal/note/types.go
@@ -22,13 +22,14 @@
 	Rate float64 `json:"rate" cbor:"2,keyasint" validate:"gt=0"`
 	// Burst is the capacity of the token bucket in statements.
 	Burst float64 `json:"burst" cbor:"3,keyasint" validate:"gte=1"`
-	// Weight is the relative share in weighted fair queueing.
+	// Weight is the relative share in weighted fair queueing; zero means 1.
 	Weight float64 `json:"weight,omitempty" cbor:"4,keyasint,omitempty" validate:"gte=0"`
 	// Class is the default class and the highest that callers may request.
 	Class Class `json:"class" cbor:"5,keyasint" validate:"oneof=interactive correction bulk"`
 	// Services are the names of the services it may use; empty means all.
 	Services []string `json:"services,omitempty" cbor:"6,keyasint,omitempty"`
-	// Open lets callers connect as this workspace without a key, for reads only.
+	// Open lets callers connect as this workspace without a key, for reads only. It has no
+	// effect while the workspace has keys.
 	Open bool `json:"open,omitempty" cbor:"7,keyasint,omitempty"`
 }
 
@@ -51,7 +52,7 @@
 	// Connections is the maximum number of connections to one endpoint from all hosts
 	// of the fleet together.
 	Connections int `json:"connections" cbor:"4,keyasint" validate:"gte=1"`
-	// Database, User and Password are what galenabridge connects to endpoints with.
+	// Database, User and Password are used to connect to the endpoints.
 	Database string `json:"database" cbor:"5,keyasint" validate:"required"`
 	User     string `json:"user" cbor:"6,keyasint" validate:"required"`
 	Password string `json:"password" cbor:"7,keyasint"`
@@ -79,7 +80,8 @@
 )
 
 // UnlimitedEndpoints is the value of Service.Endpoints for a group that accepts every
-// endpoint that announces itself.
+// endpoint that announces itself. Only a Document can set it; in a release note it is
+// invalid.
 const UnlimitedEndpoints = 0
 
 // ReadPolicy is the consistency of reads on a route: the commits that a read must see.
--- a/internal/pgback/conn.go
+++ b/internal/pgback/conn.go
@@ -16,7 +16,7 @@
 	"github.com/pkg/errors"
 )
 
-// cancelTimeout bounds connecting for a cancel request, and again sending it.
+// cancelTimeout limits the connect for a cancel request and, separately, its exchange.
 const cancelTimeout = 2 * time.Second
 
 // Target is the address of an endpoint and the credentials for it.
@@ -98,8 +98,8 @@
 	return cfg, nil
 }
 
-// Write sends encoded messages and returns the number of bytes written. When it is zero,
-// certainly no data was sent to the endpoint.
+// Write sends encoded messages and returns the number of bytes written. If it is zero, no
+// data was sent to the endpoint.
 func (c *Conn) Write(encoded []byte) (int, error) {
 	n, err := c.net.Write(encoded)
 	return n, errors.Wrap(err, "write to endpoint")
@@ -122,9 +122,9 @@
 // in progress.
 func (c *Conn) Close() { _ = c.net.Close() }
 
-// MarkCancelled makes the pool close the connection instead of reusing it,
-// because a late cancel request could hit the next user's statement. It must be called
-// before Cancel.
+// MarkCancelled makes the pool close the connection instead of reusing it, because the
+// endpoint could handle the cancel request late and cancel a statement of the next user. It
+// must be called before Cancel.
 func (c *Conn) MarkCancelled() { c.cancelled.Store(true) }
 
 // Cancel sends a cancel request for the statement in progress over a separate connection.
--- a/internal/pgback/monitor.go
+++ b/internal/pgback/monitor.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// queryTimeout bounds one status query, including a connect when needed.
+	// queryTimeout limits one status query, including a connect if needed.
 	queryTimeout = 2 * time.Second
 )
 
 // Monitor queries the status of one endpoint, periodically and on demand, over a
-// connection of its own. Requests that arrive while a query is running
-// share the next query.
+// connection of its own. Requests that arrive while a query is running share the next
+// query. Only Run uses the connection; the other methods are safe for concurrent use.
 type Monitor struct {
 	target   Target
 	requests chan positionRequest
 	publish  func(Status)
 	last     atomic.Pointer[Status]
 	conn     *Conn
-	// pollRequests holds a token when a poll is requested before the next tick.
+	// pollRequests has a capacity of one and is full while an early poll is requested.
 	pollRequests chan struct{}
 	// roleQueriedAt is when role and timeline were last queried.
 	roleQueriedAt time.Time
@@ -47,7 +47,7 @@
 	return &Monitor{target: target, requests: make(chan positionRequest), publish: publish, pollRequests: make(chan struct{}, 1)}
 }
 
-// Last returns the status of the last poll, or nil when there was none yet.
+// Last returns the status of the last poll, or nil before the first one.
 func (m *Monitor) Last() *Status { return m.last.Load() }
 
 // Positions returns a status of a primary whose positions were read after the call began.
@@ -129,8 +129,9 @@
 	}
 }
 
-// poll queries what is due: role, timeline and position, or the position alone. Half a tick
-// of tolerance keeps a slightly early tick from skipping an interval.
+// poll queries role, timeline and position if RolePollInterval has passed or the last poll
+// failed, otherwise the position if it is due. Half a tick of tolerance keeps a slightly
+// early tick from skipping an interval.
 func (m *Monitor) poll(ctx context.Context) {
 	now := time.Now()
 	last := m.last.Load()
--- a/internal/pgback/session_state.go
+++ b/internal/pgback/session_state.go
@@ -9,13 +9,14 @@
 // transactions: prepared statements and run-time settings. Clear must be called before
 // use.
 type SessionState struct {
-	// Settings identifies the current run-time settings; empty means the
+	// Settings is the SQL script that set the current run-time settings; empty means the
 	// endpoint's defaults.
 	Settings string
 	// Dirty is set when a request may have changed the state in a way that is
 	// not tracked here, so that the connection must be reset before reuse.
 	Dirty bool
 
+	// prepared and lru hold the same statement names; lru has the most recently used first.
 	prepared map[string]*list.Element // elements of lru, by statement name
 	lru      *list.List
 }
@@ -28,7 +29,7 @@
 	s.lru = list.New()
 }
 
-// Has reports whether the statement is prepared, and marks it as most recently used.
+// HasStatement reports whether the statement is prepared, and marks it as most recently used.
 func (s *SessionState) HasStatement(name string) bool {
 	element, ok := s.prepared[name]
 	if ok {
@@ -37,14 +38,14 @@
 	return ok
 }
 
-// Add records that a statement was prepared.
+// AddStatement records that a statement was prepared.
 func (s *SessionState) AddStatement(name string) {
 	if !s.HasStatement(name) {
 		s.prepared[name] = s.lru.PushFront(name)
 	}
 }
 
-// Remove records that a statement was closed.
+// RemoveStatement records that a statement was closed.
 func (s *SessionState) RemoveStatement(name string) {
 	if element, ok := s.prepared[name]; ok {
 		s.lru.Remove(element)
--- a/internal/pgback/status.go
+++ b/internal/pgback/status.go
@@ -22,8 +22,8 @@
 	Endpoint string
 	// Asked is when the query was started; the reported state is at least as recent.
 	Asked time.Time
-	// Err is the reason why the query failed. When it is set, only Endpoint and Asked
-	// are valid besides it.
+	// Err is the reason why the query failed. If it is set, no other field except Endpoint
+	// and Asked is valid.
 	Err        error
 	InRecovery bool
 	// Timeline is the database timeline.
@@ -31,8 +31,8 @@
 	// LSN is the current WAL position of a primary or the replay position of
 	// a replica.
 	LSN uint64
-	// Flushed holds, on a primary, the position that each connected replica
-	// has flushed to disk, by the application_name of the replica.
+	// Flushed is set for a primary: the position that each connected replica has flushed to
+	// disk, keyed by the application_name of the replica.
 	Flushed map[string]uint64
 }
 
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// setLSN sets LSN from the first cell. LSN keeps its value when the cell is NULL.
+// setLSN sets LSN from the first cell. If the cell is NULL, LSN keeps its value.
 func (s *Status) setLSN(results []Rows) error {
 	text, err := cell(results, 0, 0)
 	if err != nil || text == "" {
--- a/internal/pgfront/conn.go
+++ b/internal/pgfront/conn.go
@@ -19,10 +19,10 @@
 
 const (
 	// maxIdleBuffer is the maximum capacity, in bytes, of an empty output buffer that a
-	// connection keeps. It bounds the memory of idle connections.
+	// connection keeps. It limits the memory of idle connections.
 	maxIdleBuffer = 4 << 10
-	// lingerTimeout bounds how long a connection being closed waits for the caller
-	// to read the last message.
+	// lingerTimeout limits how long a connection being closed waits for the caller to close
+	// its side.
 	lingerTimeout = 2 * time.Second
 )
 
@@ -34,9 +34,9 @@
 	RequireTLS bool
 	// MaxMessage is the maximum size of a message body, in bytes.
 	MaxMessage int
-	// LoginTimeout bounds the startup and the authentication together.
+	// LoginTimeout limits the startup and the authentication together.
 	LoginTimeout time.Duration
-	// WriteTimeout bounds one flush to a caller that does not read.
+	// WriteTimeout limits one flush to a caller that does not read.
 	WriteTimeout time.Duration
 }
 
@@ -46,7 +46,7 @@
 	net     net.Conn
 	backend *pgproto3.Backend
 	cfg     Config
-	out     []byte
+	out     []byte // encoded messages that are not flushed yet
 }
 
 func newConn(nc net.Conn, cfg Config) *Conn {
--- a/internal/pgfront/options.go
+++ b/internal/pgfront/options.go
@@ -6,8 +6,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// parseOptions adds the run-time parameters in the "options" field of a startup message
-// to into. It accepts the forms "-c name=value", "-cname=value" and "--name=value". A
+// parseOptions parses the "options" field of a startup message and adds its run-time
+// parameters to into. It accepts the forms "-c name=value", "-cname=value" and "--name=value". A
 // backslash escapes the next character.
 func parseOptions(text string, into map[string]string) error {
 	words := splitOptions(text)
--- a/internal/pgfront/startup.go
+++ b/internal/pgfront/startup.go
@@ -10,8 +10,8 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// maxNegotiations is the maximum number of messages before and including the startup
-// message. It bounds the encryption requests of a caller.
+// maxNegotiations is the maximum number of messages up to and including the startup
+// message. It limits the number of encryption requests of a caller.
 const maxNegotiations = 3
 
 // Startup is the content of a startup message or a cancel request. Exactly one of
@@ -24,14 +24,15 @@
 	Cancel     *CancelKey
 }
 
-// Cancel identifies the connection whose request is to be cancelled.
+// CancelKey identifies the connection whose request is to be cancelled.
 type CancelKey struct {
 	ProcessID uint32
 	Secret    []byte
 }
 
-// Accept negotiates encryption and reads the startup message. The login
-// timeout starts here and ends with Ready. Accept closes the connection on error.
+// Accept negotiates encryption and reads the startup message. The login timeout starts here
+// and ends with Ready. On error, Accept closes the connection, after it has sent the error
+// to the caller if it is a result.Error.
 func Accept(nc net.Conn, cfg Config) (*Conn, *Startup, error) {
 	c := newConn(nc, cfg)
 	c.SetReadTimeout(cfg.LoginTimeout)
--- a/internal/scramauth/conversation.go
+++ b/internal/scramauth/conversation.go
@@ -33,8 +33,8 @@
 
 // NewConversation starts an exchange with the given candidates. Candidates whose
 // verifier is malformed, or whose salt or iteration count differs from that of the first
-// valid one, are ignored. Without candidates the exchange uses random credentials, so that
-// the messages do not reveal whether the workspace exists.
+// valid one, are ignored. If none is left, the exchange uses random credentials, so that the
+// messages do not reveal whether the workspace exists.
 func NewConversation(workspace string, candidates []Candidate) *Conversation {
 	nonce := newNonce()
 	c := &Conversation{}
@@ -71,9 +71,8 @@
 	return reply, nil
 }
 
-// Final verifies the client's proof. It returns the server's final message and
-// the ID of the key that matches, or ErrNoKeyMatches. It verifies against every key also
-// after a match.
+// Final verifies the client's proof against every key, also after a match. It returns the
+// server's final message and the ID of the first key that matches, or ErrNoKeyMatches.
 func (c *Conversation) Final(message string) (reply, keyID string, err error) {
 	for _, ex := range c.exchanges {
 		text, stepErr := ex.conv.Step(message)
@@ -95,8 +94,8 @@
 }
 
 func newNonce() string {
-	raw := make([]byte, 18)
-	_, _ = rand.Read(raw) // crypto/rand.Read never fails
+	raw := make([]byte, 18) // 24 base64 characters without padding
+	_, _ = rand.Read(raw)   // crypto/rand.Read never fails
 	return base64.StdEncoding.EncodeToString(raw)
 }
 
--- a/internal/scramauth/scramauth_test.go
+++ b/internal/scramauth/scramauth_test.go
@@ -46,7 +46,7 @@
 	for i, key := range keys {
 		got, err := login(t, key, candidates)
 		if err != nil || got != candidates[i].KeyID {
-			t.Errorf("key %d: matched %q, %v", i, got, err)
+			t.Errorf("key %d: matched %q, want %q: %v", i, got, candidates[i].KeyID, err)
 		}
 	}
 }
@@ -54,14 +54,15 @@
 func TestConversationRefusesWrongKeyAndUnknownWorkspace(t *testing.T) {
 	candidates := []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}}
 	if _, err := login(t, NewKey(), candidates); err != ErrNoKeyMatches {
-		t.Errorf("wrong key: %v", err)
+		t.Errorf("wrong key: got error %v, want ErrNoKeyMatches", err)
 	}
 	if _, err := login(t, NewKey(), nil); err != ErrNoKeyMatches {
-		t.Errorf("unknown workspace: %v", err)
+		t.Errorf("unknown workspace: got error %v, want ErrNoKeyMatches", err)
 	}
 }
 
-// A different salt or iteration count would reveal whether a workspace exists.
+// TestConversationUnknownWorkspaceGetsSameSalt compares the ends of two first replies, which
+// hold the salt and iteration count. A difference would reveal whether a workspace exists.
 func TestConversationUnknownWorkspaceGetsSameSalt(t *testing.T) {
 	const first = "n,,n=,r=abcdefghijkl"
 	known := NewConversation("osan-crew", []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}})
--- a/internal/scramauth/verifier.go
+++ b/internal/scramauth/verifier.go
@@ -19,6 +19,8 @@
 // Mechanism is the SASL name of the mechanism.
 const Mechanism = "SCRAM-SHA-256"
 
+// The salt and iteration count of verifiers must not change: a release note that adds a key
+// whose values differ from those of another key of the workspace is invalid.
 const (
 	iterations = 4096
 	keyBytes   = 32
@@ -33,9 +35,9 @@
 	return base64.RawURLEncoding.EncodeToString(raw)
 }
 
-// Verifier returns the verifier of a key in PostgreSQL's form
-// SCRAM-SHA-256$ITERATIONS:SALT$STORED:SERVER. The salt depends only on the
-// workspace, so that all keys of a workspace share it.
+// Verifier returns the verifier of a key in PostgreSQL's format
+// SCRAM-SHA-256$ITERATIONS:SALT$STORED:SERVER. The salt depends only on the workspace, so
+// that all keys of a workspace share it.
 func Verifier(workspace, key string) string {
 	client, err := scram.SHA256.NewClient("", key, "")
 	if err != nil {
@@ -47,7 +49,7 @@
 	return format(stored)
 }
 
-// ParseVerifier parses a verifier in the form that Verifier returns.
+// ParseVerifier parses a verifier in the format that Verifier returns.
 func ParseVerifier(text string) (scram.StoredCredentials, error) {
 	v, err := note.ParseVerifier(text)
 	if err != nil {
