--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -71,7 +71,7 @@
 		code, body := serve(s, "POST", "/v1/notes", firstNote, token)
 		var resp NoteResponse
 		if err := json.Unmarshal([]byte(body), &resp); code != http.StatusOK || err != nil || resp.Repeated != repeated || resp.Stamp.Number != 1 {
-			t.Fatalf("status %d, want 200 and note 1 with repeated=%t: %s", code, repeated, body)
+			t.Fatalf("status %d, want 200 and note 1, marked as repeated the second time only: %s", code, body)
 		}
 	}
 	code, body := serve(s, "GET", "/v1/notes", "", token)
@@ -106,7 +106,7 @@
 		status, body := serve(s, test.method, test.path, test.body, test.token)
 		var r ErrorResponse
 		if err := json.Unmarshal([]byte(body), &r); err != nil || status != test.status || r.Code != test.code || r.Name == "" {
-			t.Errorf("%s %s: status %d, want %d with code %d: %s", test.method, test.path, status, test.status, test.code, body)
+			t.Errorf("%s %s: unexpected status %d or result code: %s", test.method, test.path, status, body)
 		}
 	}
 }
--- a/internal/cli/cli_test.go
+++ b/internal/cli/cli_test.go
@@ -88,7 +88,7 @@
 	defer host.Close()
 	code, _, stderr := invoke("note", "apply", "--admin", host.URL, writeFile(t, validNote))
 	if code != ExitRefused || !strings.Contains(stderr, "GB4001") || !strings.Contains(stderr, result.Lookup(result.NoteConflict).Name) {
-		t.Errorf("exit code %d, want %d and GB4001 with its name: %s", code, ExitRefused, stderr)
+		t.Errorf("exit code %d, want 3 and GB4001 with its name: %s", code, stderr)
 	}
 }
 
@@ -120,7 +120,7 @@
 	} {
 		code, stdout, stderr := invoke(c.args...)
 		if code != c.want || !strings.Contains(stdout, c.text) {
-			t.Errorf("%v: exit code %d, want %d and output with %q: %q, %s", c.args, code, c.want, c.text, stdout, stderr)
+			t.Errorf("%v: unexpected exit code %d or output %q, %s", c.args, code, stdout, stderr)
 		}
 	}
 }
--- a/internal/dev/dev_test.go
+++ b/internal/dev/dev_test.go
@@ -92,6 +92,6 @@
 		t.Fatalf("record %s: %v", id, err)
 	}
 	if body != "body "+id {
-		t.Errorf("record %s has body %q, want %q", id, body, "body "+id)
+		t.Errorf("record %s has body %q, not the one written", id, body)
 	}
 }
--- a/internal/scramauth/scramauth_test.go
+++ b/internal/scramauth/scramauth_test.go
@@ -46,7 +46,7 @@
 	for i, key := range keys {
 		got, err := login(t, key, candidates)
 		if err != nil || got != candidates[i].KeyID {
-			t.Errorf("key %d: matched %q, want %q: %v", i, got, candidates[i].KeyID, err)
+			t.Errorf("key %d: matched %q instead of its own ID: %v", i, got, err)
 		}
 	}
 }
