--- a/internal/peer/serve.go
+++ b/internal/peer/serve.go
@@ -14,7 +14,7 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// urlPath is the URL path of the WebSocket endpoint for peers.
+// urlPath is the URL path at which peers open a WebSocket.
 const urlPath = "/peer"
 
 // Listen binds the listener, so that Addr is valid before Run. Further calls have no effect.
@@ -137,7 +137,7 @@
 	if err != nil {
 		var certErr *tls.CertificateVerificationError
 		if errors.As(err, &certErr) {
-			n.metrics.refuse(result.PeerAuth)
+			n.metrics.countRefusal(result.PeerAuth)
 		}
 		return nil, err
 	}
