--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -63,24 +63,24 @@
 	return &Server{opts: Options{Token: token, Control: f, View: f.views, Accepting: func() bool { return accepting }, Logger: discardLogger()}}
 }
 
-// TestPostNoteRepeatIsAcceptedOnce posts the same note twice, as an operator does after a
+// TestPostNoteMarksRepeatedNote posts the same note twice, as an operator does after a
 // lost response. The second response must be marked as repeated.
-func TestPostNoteRepeatIsAcceptedOnce(t *testing.T) {
+func TestPostNoteMarksRepeatedNote(t *testing.T) {
 	s := newServer(t)
 	for _, repeated := range []bool{false, true} {
 		code, body := serve(s, "POST", "/v1/notes", firstNote, token)
-		var a NoteResponse
-		if err := json.Unmarshal([]byte(body), &a); code != http.StatusOK || err != nil || a.Repeated != repeated || a.Stamp.Number != 1 {
-			t.Fatalf("%d %s", code, body)
+		var resp NoteResponse
+		if err := json.Unmarshal([]byte(body), &resp); code != http.StatusOK || err != nil || resp.Repeated != repeated || resp.Stamp.Number != 1 {
+			t.Fatalf("status %d, want 200 and note 1, marked as repeated the second time only: %s", code, body)
 		}
 	}
 	code, body := serve(s, "GET", "/v1/notes", "", token)
 	if code != http.StatusOK || !strings.Contains(body, `"title":"first"`) {
-		t.Errorf("history: %d %s", code, body)
+		t.Errorf("history: status %d, want 200 and the title first: %s", code, body)
 	}
 	code, body = serve(s, "GET", "/v1/notes/current", "", token)
 	if code != http.StatusOK || !strings.Contains(body, `"w":{`) {
-		t.Errorf("current: %d %s", code, body)
+		t.Errorf("current catalog: status %d, want 200 and workspace w: %s", code, body)
 	}
 }
 
@@ -106,34 +106,34 @@
 		status, body := serve(s, test.method, test.path, test.body, test.token)
 		var r ErrorResponse
 		if err := json.Unmarshal([]byte(body), &r); err != nil || status != test.status || r.Code != test.code || r.Name == "" {
-			t.Errorf("%s %s: %d %s", test.method, test.path, status, body)
+			t.Errorf("%s %s: unexpected status %d or result code: %s", test.method, test.path, status, body)
 		}
 	}
 }
 
-func TestWithoutTokenServesLoopbackOnly(t *testing.T) {
+func TestServerWithoutTokenServesLoopbackOnly(t *testing.T) {
 	s := newServer(t)
 	s.opts.Token = ""
 	if status, body := serve(s, "GET", "/v1/notes", "", ""); status != http.StatusForbidden {
-		t.Errorf("from another host: %d %s", status, body)
+		t.Errorf("from another host: status %d, want 403: %s", status, body)
 	}
 	r := httptest.NewRequest("GET", "/v1/notes", nil)
 	r.RemoteAddr = "127.0.0.1:99"
 	w := httptest.NewRecorder()
 	s.Handler().ServeHTTP(w, r)
 	if w.Code != http.StatusOK {
-		t.Errorf("from loopback: %d %s", w.Code, w.Body)
+		t.Errorf("from loopback: status %d, want 200: %s", w.Code, w.Body)
 	}
 }
 
 func TestHealthReportsAccepting(t *testing.T) {
 	s := newServer(t)
 	if status, _ := serve(s, "GET", "/healthz", "", ""); status != http.StatusOK {
-		t.Errorf("accepting: %d", status)
+		t.Errorf("accepting: status %d, want 200", status)
 	}
 	s.opts.Accepting = func() bool { return false }
 	if status, _ := serve(s, "GET", "/healthz", "", ""); status != http.StatusServiceUnavailable {
-		t.Errorf("not accepting: %d", status)
+		t.Errorf("not accepting: status %d, want 503", status)
 	}
 }
 
@@ -142,9 +142,9 @@
 // TestDecodeNoteReportsFieldAndReferenceErrors decodes a note with an invalid field that
 // also withdraws a key that does not exist. Both problems must be reported at once.
 func TestDecodeNoteReportsFieldAndReferenceErrors(t *testing.T) {
-	box := view.NewPublisher()
-	box.Publish(view.View{State: agreed.New()})
-	s := &Server{opts: Options{View: box}}
+	publisher := view.NewPublisher()
+	publisher.Publish(view.View{State: agreed.New()})
+	s := &Server{opts: Options{View: publisher}}
 	_, problems := s.decodeNote([]byte(`{"number":1,"added":{"domains":[{"name":""}]},"withdrawn":{"keys":["x"]}}`))
 	paths := make(map[string]bool)
 	for _, p := range problems {
--- a/internal/pgback/monitor.go
+++ b/internal/pgback/monitor.go
@@ -16,20 +16,20 @@
 )
 
 const (
-	// queryTimeout bounds one status query, including a connect when needed.
+	// queryTimeout limits one status query, including a connect if needed.
 	queryTimeout = 2 * time.Second
 )
 
 // Monitor queries the status of one endpoint, periodically and on demand, over a
-// connection of its own. Requests that arrive while a query is running
-// share the next query.
+// connection of its own. Requests that arrive while a query is running share the next
+// query. Only Run uses the connection; the other methods are safe for concurrent use.
 type Monitor struct {
 	target   Target
 	requests chan positionRequest
 	publish  func(Status)
 	last     atomic.Pointer[Status]
 	conn     *Conn
-	// pollRequests holds a token when a poll is requested before the next tick.
+	// pollRequests has a capacity of one and is full while an early poll is requested.
 	pollRequests chan struct{}
 	// roleQueriedAt is when role and timeline were last queried.
 	roleQueriedAt time.Time
@@ -47,7 +47,7 @@
 	return &Monitor{target: target, requests: make(chan positionRequest), publish: publish, pollRequests: make(chan struct{}, 1)}
 }
 
-// Last returns the status of the last poll, or nil when there was none yet.
+// Last returns the status of the last poll, or nil before the first one.
 func (m *Monitor) Last() *Status { return m.last.Load() }
 
 // Positions returns a status of a primary whose positions were read after the call began.
@@ -129,8 +129,9 @@
 	}
 }
 
-// poll queries what is due: role, timeline and position, or the position alone. Half a tick
-// of tolerance keeps a slightly early tick from skipping an interval.
+// poll queries role, timeline and position if RolePollInterval has passed or the last poll
+// failed, otherwise the position if it is due. Half a tick of tolerance keeps a slightly
+// early tick from skipping an interval.
 func (m *Monitor) poll(ctx context.Context) {
 	now := time.Now()
 	last := m.last.Load()
@@ -154,11 +155,11 @@
 
 // read runs a status query. On failure it closes the connection and returns a status with
 // Err set.
-func (m *Monitor) read(ctx context.Context, from func(context.Context, *Conn) (Status, error)) Status {
+func (m *Monitor) read(ctx context.Context, query func(context.Context, *Conn) (Status, error)) Status {
 	ctx, cancel := context.WithTimeout(ctx, queryTimeout)
 	defer cancel()
 	queriedAt := time.Now()
-	s, err := m.readOn(ctx, from)
+	s, err := m.readOn(ctx, query)
 	if err != nil {
 		m.closeConn()
 		return Status{Endpoint: m.target.Endpoint, QueriedAt: queriedAt, Err: err}
@@ -166,7 +167,7 @@
 	return s
 }
 
-func (m *Monitor) readOn(ctx context.Context, from func(context.Context, *Conn) (Status, error)) (Status, error) {
+func (m *Monitor) readOn(ctx context.Context, query func(context.Context, *Conn) (Status, error)) (Status, error) {
 	if m.conn == nil {
 		conn, err := Dial(ctx, m.target)
 		if err != nil {
@@ -174,7 +175,7 @@
 		}
 		m.conn = conn
 	}
-	return from(ctx, m.conn)
+	return query(ctx, m.conn)
 }
 
 func (m *Monitor) closeConn() {
--- a/internal/pgback/status.go
+++ b/internal/pgback/status.go
@@ -22,8 +22,8 @@
 	Endpoint string
 	// QueriedAt is when the query was started; the reported state is at least as recent.
 	QueriedAt time.Time
-	// Err is the reason why the query failed. When it is set, only Endpoint and QueriedAt
-	// are valid besides it.
+	// Err is the reason why the query failed. If it is set, no other field except Endpoint
+	// and QueriedAt is valid.
 	Err        error
 	InRecovery bool
 	// Timeline is the database timeline.
@@ -31,8 +31,8 @@
 	// LSN is the current WAL position of a primary or the replay position of
 	// a replica.
 	LSN uint64
-	// Flushed holds, on a primary, the position that each connected replica
-	// has flushed to disk, by the application_name of the replica.
+	// Flushed is set for a primary: the position that each connected replica has flushed to
+	// disk, keyed by the application_name of the replica.
 	Flushed map[string]uint64
 }
 
@@ -43,11 +43,11 @@
 	if err != nil {
 		return s, err
 	}
-	role, err := cell(results, 0, 0)
+	inRecovery, err := cell(results, 0, 0)
 	if err != nil {
 		return s, err
 	}
-	s.InRecovery = role == "t" || role == "1"
+	s.InRecovery = inRecovery == "t" || inRecovery == "1"
 	text, err := cell(results, 1, 0)
 	if err != nil {
 		return s, err
@@ -117,7 +117,7 @@
 	return nil
 }
 
-// setLSN sets LSN from the first cell. LSN keeps its value when the cell is NULL.
+// setLSN sets LSN from the first cell. If the cell is NULL, LSN keeps its value.
 func (s *Status) setLSN(results []Rows) error {
 	text, err := cell(results, 0, 0)
 	if err != nil || text == "" {
--- a/internal/scramauth/scramauth_test.go
+++ b/internal/scramauth/scramauth_test.go
@@ -46,7 +46,7 @@
 	for i, key := range keys {
 		got, err := login(t, key, candidates)
 		if err != nil || got != candidates[i].KeyID {
-			t.Errorf("key %d: matched %q, %v", i, got, err)
+			t.Errorf("key %d: matched %q instead of its own ID: %v", i, got, err)
 		}
 	}
 }
@@ -54,36 +54,37 @@
 func TestConversationRefusesWrongKeyAndUnknownWorkspace(t *testing.T) {
 	candidates := []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}}
 	if _, err := login(t, NewKey(), candidates); err != ErrNoKeyMatches {
-		t.Errorf("wrong key: %v", err)
+		t.Errorf("wrong key: got error %v, want ErrNoKeyMatches", err)
 	}
 	if _, err := login(t, NewKey(), nil); err != ErrNoKeyMatches {
-		t.Errorf("unknown workspace: %v", err)
+		t.Errorf("unknown workspace: got error %v, want ErrNoKeyMatches", err)
 	}
 }
 
-// A different salt or iteration count would reveal whether a workspace exists.
+// TestConversationUnknownWorkspaceGetsSameSalt compares the ends of two first replies, which
+// hold the salt and iteration count. A difference would reveal whether a workspace exists.
 func TestConversationUnknownWorkspaceGetsSameSalt(t *testing.T) {
 	const first = "n,,n=,r=abcdefghijkl"
 	known := NewConversation("osan-crew", []Candidate{{KeyID: "a", Verifier: Verifier("osan-crew", NewKey())}})
-	a, err := known.First(first)
+	knownReply, err := known.First(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	b, err := NewConversation("osan-crew", nil).First(first)
+	unknownReply, err := NewConversation("osan-crew", nil).First(first)
 	if err != nil {
 		t.Fatal(err)
 	}
-	if a[len(a)-30:] != b[len(b)-30:] {
-		t.Errorf("salt and iterations differ: %q, %q", a, b)
+	if knownReply[len(knownReply)-30:] != unknownReply[len(unknownReply)-30:] {
+		t.Errorf("salt and iterations differ: %q, %q", knownReply, unknownReply)
 	}
 }
 
 func TestParseVerifierRejectsMalformedText(t *testing.T) {
-	good := Verifier("w", "k")
-	if _, err := ParseVerifier(good); err != nil {
+	valid := Verifier("w", "k")
+	if _, err := ParseVerifier(valid); err != nil {
 		t.Fatal(err)
 	}
-	for _, text := range []string{"", "md5abc", good[:len(good)-4], "SCRAM-SHA-256$1:c2FsdA==$a:b", good + "$"} {
+	for _, text := range []string{"", "md5abc", valid[:len(valid)-4], "SCRAM-SHA-256$1:c2FsdA==$a:b", valid + "$"} {
 		if _, err := ParseVerifier(text); err == nil {
 			t.Errorf("%q was accepted", text)
 		}
