--- a/internal/bench/bench_test.go
+++ b/internal/bench/bench_test.go
@@ -17,7 +17,7 @@
 	t.Helper()
 	paths, err := filepath.Glob("../../profiles/*.json")
 	if err != nil || len(paths) < 2 {
-		t.Fatalf("profiles %v: %v", paths, err)
+		t.Fatalf("found profiles %v (error %v), want at least 2", paths, err)
 	}
 	var out []*Profile
 	for _, path := range paths {
@@ -39,7 +39,7 @@
 		  "workspaces":[{"name":"w","class":"bulk","rate":1,"burst":1,"callers":1,"mix":{"nothing":1}}]}`,
 	} {
 		if _, err := ParseProfile([]byte(bad)); err == nil {
-			t.Errorf("accepted %s", bad)
+			t.Errorf("accepted an invalid profile: %s", bad)
 		}
 	}
 }
@@ -61,11 +61,12 @@
 		t.Fatal(err)
 	}
 	if !res.Checked || res.Violations.Total() != 0 || len(res.Workspaces) != len(p.Workspaces) {
-		t.Errorf("checked %v, violations %+v, %d workspaces", res.Checked, res.Violations, len(res.Workspaces))
+		t.Errorf("checked %v, violations %+v, %d workspaces; want a completed check, no violations and all workspaces",
+			res.Checked, res.Violations, len(res.Workspaces))
 	}
 	for class, f := range res.Classes {
 		if f.Served == 0 || f.P50 <= 0 {
-			t.Errorf("class %s: %+v", class, f)
+			t.Errorf("class %s: %+v, want served requests and a positive p50", class, f)
 		}
 	}
 	dir := t.TempDir()
@@ -74,7 +75,7 @@
 	}
 	for _, name := range []string{"latency.png", "share.png", "replicas.png", "refusals.png"} {
 		if info, err := os.Stat(filepath.Join(dir, name)); err != nil || info.Size() == 0 {
-			t.Errorf("%s: %v", name, err)
+			t.Errorf("plot %s is missing or empty: %v", name, err)
 		}
 	}
 }
--- a/internal/bench/caller.go
+++ b/internal/bench/caller.go
@@ -74,7 +74,8 @@
 	})
 }
 
-// execute performs a request. It reports whether a replica answered.
+// execute performs a request and reports whether a replica answered. An OpCheck
+// request without a write reads a random acknowledged record.
 func (c *caller) execute(ctx context.Context, req *request) (bool, error) {
 	conn, err := c.connection(ctx, req.service)
 	if err != nil {
@@ -112,7 +113,7 @@
 	return conn, nil
 }
 
-// removeClosed forgets the connection to a service if it is closed.
+// removeClosed removes the connection to a service from conns if it is closed.
 func (c *caller) removeClosed(service string) {
 	if conn := c.conns[service]; conn != nil && conn.IsClosed() {
 		delete(c.conns, service)
@@ -126,8 +127,8 @@
 	return &sentWrite{id: id, body: "body of " + id, service: service, workspace: c.workspace.Name}
 }
 
-// recordUnsent records a write that failed before it was sent, so that the final
-// check finds it if it is stored nonetheless.
+// recordUnsent records a write that failed before it was sent. Its id is never used,
+// so that the final check reports a violation if a row with this id is stored.
 func (c *caller) recordUnsent(req *request, err error) {
 	if req.op != OpFile && req.op != OpCorrect {
 		return
@@ -161,9 +162,10 @@
 	c.runner.enqueueAt(at, c.queue, request{op: OpCheck, service: w.service, intended: at, written: w})
 }
 
-// readBack reads an acknowledged write and counts a violation if its body is
-// missing or differs. Without a write (nil) it expects no row. The query returns a
-// nonce, which detects an answer that belongs to another request.
+// readBack reads an acknowledged record and counts a violation if its body is
+// missing or differs. If w is nil, it reads an id that is never written and expects
+// no body. Each query returns its own nonce, which detects an answer that belongs to
+// another request.
 func (c *caller) readBack(ctx context.Context, conn *pgx.Conn, w *sentWrite) (bool, error) {
 	id, want := "none", ""
 	if w != nil {
--- a/internal/bench/check.go
+++ b/internal/bench/check.go
@@ -19,8 +19,9 @@
 	return h.Sum64()
 }
 
-// checkAll compares the writes that were sent with the stored rows and adds
-// violations to res. It sets res.Checked once it has read all rows.
+// checkAll compares the writes that were sent with the stored rows and adds the
+// violations to res. It sets res.Checked only if it has compared every workspace and
+// service.
 func (r *runner) checkAll(ctx context.Context, res *Result) error {
 	ctx, cancel := context.WithTimeout(ctx, checkTimeout)
 	defer cancel()
--- a/internal/bench/classify.go
+++ b/internal/bench/classify.go
@@ -11,12 +11,13 @@
 	"github.com/galenabridge/galenabridge/internal/result"
 )
 
-// Causes of failure other than the names of result codes.
+// Causes of failure other than the names of result codes and "sqlstate_" followed by
+// the SQLSTATE of any other database error.
 const (
-	causeConnect    = "connect_failed"
-	causeConnection = "connection_lost"
-	causeWrong      = "wrong_answer"
-	causeDropped    = "generator_overrun"
+	causeConnectFailed    = "connect_failed"
+	causeConnectionLost   = "connection_lost"
+	causeWrongAnswer      = "wrong_answer"
+	causeGeneratorOverrun = "generator_overrun"
 )
 
 // resultCode finds the code of a result in an error message of the proxy.
@@ -31,11 +32,11 @@
 	}
 	var connectErr connectError
 	if errors.As(err, &connectErr) {
-		return history.NotRun, causeConnect
+		return history.NotRun, causeConnectFailed
 	}
 	var pg *pgconn.PgError
 	if !errors.As(err, &pg) {
-		return history.Unknown, causeConnection
+		return history.Unknown, causeConnectionLost
 	}
 	match := resultCode.FindStringSubmatch(pg.Message)
 	if match == nil {
--- a/internal/bench/compare.go
+++ b/internal/bench/compare.go
@@ -40,15 +40,15 @@
 	return b, errors.Wrap(dec.Decode(&b), "bounds")
 }
 
-// comparison writes a line for each compared value and counts exceeded bounds.
+// comparison writes a line for each compared value to w and counts exceeded bounds.
 type comparison struct {
 	w        io.Writer
 	exceeded int
 }
 
 // Compare writes the values of two results side by side and returns the number of
-// bounds that the newer one exceeds. Violations, or a final check that did not run,
-// count as one exceeded bound.
+// bounds that the newer one exceeds. Classes that only one result has are skipped.
+// Violations, or a final check that did not complete, count as one exceeded bound.
 func Compare(w io.Writer, older, newer *Result, b Bounds) int {
 	c := &comparison{w: w}
 	for _, class := range []string{"interactive", "correction", "bulk"} {
--- a/internal/bench/fault.go
+++ b/internal/bench/fault.go
@@ -15,7 +15,8 @@
 // Action identifies a kind of fault or its end.
 type Action string
 
-// Actions. Fault.Target names the service, host, domain or workspace.
+// Actions. Fault.Target names the service, host, domain or workspace to which the
+// action applies.
 const (
 	// IsolatePrimary cuts the connections of a service's primary to callers and
 	// replicas and suppresses its announcements. HealEndpoints clears all faults
@@ -78,8 +79,8 @@
 	return s
 }
 
-// set starts or ends the surge of a workspace. It reports whether the action
-// concerns a surge at all; such an action for an unknown workspace is ignored.
+// set starts or ends the surge of a workspace. It reports whether the action is
+// SurgeOn or SurgeOff; such an action on an unknown workspace has no effect.
 func (s surges) set(action Action, target string) bool {
 	if action != SurgeOn && action != SurgeOff {
 		return false
--- a/internal/bench/generator.go
+++ b/internal/bench/generator.go
@@ -35,8 +35,9 @@
 	onDropped func(request)
 }
 
-// run queues requests from start to end. A change of the load factor applies from
-// the next arrival. A workspace without offered load gets no requests.
+// run queues requests from start to end. The time of the next request is drawn in
+// advance, so that a change of the load factor takes effect after it. A workspace
+// without offered load gets no requests.
 func (g *generator) run(ctx context.Context, start, end time.Time) {
 	next := start
 	for {
--- a/internal/bench/plot.go
+++ b/internal/bench/plot.go
@@ -52,8 +52,8 @@
 	for i, class := range classes {
 		var points plotter.XYs
 		for t, sec := range r.Seconds {
-			if f, ok := sec.Classes[class]; ok && f.Served > 0 {
-				points = append(points, plotter.XY{X: float64(t), Y: f.P99})
+			if stats, ok := sec.Classes[class]; ok && stats.Served > 0 {
+				points = append(points, plotter.XY{X: float64(t), Y: stats.P99})
 			}
 		}
 		if err := addLine(p, i, string(class), points); err != nil {
--- a/internal/bench/profile.go
+++ b/internal/bench/profile.go
@@ -38,7 +38,8 @@
 	OpHistory Operation = "history"
 )
 
-// operations lists all operations in the order in which the generator weighs them.
+// operations lists all operations. Their order is part of how a seed determines the
+// operations that are drawn.
 var operations = []Operation{OpFile, OpCorrect, OpCheck, OpHistory}
 
 // Profile describes a deployment and its load.
@@ -60,10 +61,14 @@
 
 // Service is a database served by a primary and its replicas.
 type Service struct {
-	Name        string `json:"name" validate:"required"`
-	Endpoints   int    `json:"endpoints" validate:"gte=1"`
-	Slots       int    `json:"slots" validate:"gte=1"`
-	Connections int    `json:"connections" validate:"gte=1"`
+	Name string `json:"name" validate:"required"`
+	// Endpoints is the number of endpoints: the primary and its replicas.
+	Endpoints int `json:"endpoints" validate:"gte=1"`
+	// Slots is the number of statements that one endpoint executes concurrently.
+	Slots int `json:"slots" validate:"gte=1"`
+	// Connections is the maximum number of connections to one endpoint from all
+	// hosts together.
+	Connections int `json:"connections" validate:"gte=1"`
 }
 
 // Workspace describes the limits and the load of one workspace.
@@ -83,7 +88,7 @@
 	// Callers is the number of concurrent callers, each with a connection to
 	// every service that it uses.
 	Callers int `json:"callers" validate:"gte=1"`
-	// Think is the think time between an acknowledged record and its read back.
+	// Think is the time from the acknowledgement of a record to its read back.
 	Think config.Duration `json:"think,omitempty"`
 	// HistoryTime is the time that a history read spends in the database.
 	HistoryTime config.Duration `json:"history_time,omitempty"`
--- a/internal/bench/recorder.go
+++ b/internal/bench/recorder.go
@@ -72,23 +72,26 @@
 	workspaces map[string]*counters
 	classes    map[note.Class]*counters
 	ops        map[Operation]*counters
-	seconds    []*secondCounters
-	reads      int
-	replicas   int
-	// lastWrite and gaps hold, by service, the last acknowledged write and the
+	// seconds holds the counters of each second since start.
+	seconds []*secondCounters
+	// reads counts the served reads, replicaReads those that a replica served.
+	reads        int
+	replicaReads int
+	// lastWrite and longestGaps hold, by service, the last acknowledged write and the
 	// longest time without one. The first gap starts with the run; the time after
-	// the last acknowledged write is not counted.
-	lastWrite  map[string]time.Time
-	gaps       map[string]time.Duration
-	violations Violations
-	faults     []FaultEvent
+	// the last acknowledged write is not counted, so that a service that never
+	// accepts a write again has no gap for it.
+	lastWrite   map[string]time.Time
+	longestGaps map[string]time.Duration
+	violations  Violations
+	faults      []FaultEvent
 }
 
 func newRecorder(start time.Time) *recorder {
 	return &recorder{
 		start: start, workspaces: make(map[string]*counters), classes: make(map[note.Class]*counters),
 		ops: make(map[Operation]*counters), lastWrite: make(map[string]time.Time),
-		gaps: make(map[string]time.Duration),
+		longestGaps: make(map[string]time.Duration),
 	}
 }
 
@@ -121,7 +124,7 @@
 	default:
 		r.reads++
 		if s.replica {
-			r.replicas++
+			r.replicaReads++
 		}
 	}
 }
@@ -132,7 +135,7 @@
 	if !ok {
 		last = r.start
 	}
-	r.gaps[s.service] = max(r.gaps[s.service], s.finished.Sub(last))
+	r.longestGaps[s.service] = max(r.longestGaps[s.service], s.finished.Sub(last))
 	r.lastWrite[s.service] = s.finished
 }
 
--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -95,18 +95,18 @@
 		WorstShare: 1,
 	}
 	for _, w := range p.Workspaces {
-		f, ok := res.Workspaces[w.Name]
+		stats, ok := res.Workspaces[w.Name]
 		if !ok {
 			continue
 		}
-		f.Share = share(w, f, duration)
-		res.Workspaces[w.Name] = f
-		res.WorstShare = min(res.WorstShare, f.Share)
+		stats.Share = share(w, stats, duration)
+		res.Workspaces[w.Name] = stats
+		res.WorstShare = min(res.WorstShare, stats.Share)
 	}
 	if r.reads > 0 {
-		res.ReplicaShare = float64(r.replicas) / float64(r.reads)
+		res.ReplicaShare = float64(r.replicaReads) / float64(r.reads)
 	}
-	for service, gap := range r.gaps {
+	for service, gap := range r.longestGaps {
 		res.LongestWriteGaps[service] = gap.Seconds()
 	}
 	for _, s := range r.seconds {
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -197,7 +197,7 @@
 func (r *runner) recordDropped(w Workspace, req request) {
 	r.recorder.recordRequest(sample{
 		workspace: w.Name, class: w.Class, op: req.op, service: req.service, intended: req.intended,
-		finished: time.Now(), outcome: history.NotRun, cause: causeDropped,
+		finished: time.Now(), outcome: history.NotRun, cause: causeGeneratorOverrun,
 	})
 }
 
--- a/internal/bench/summary.go
+++ b/internal/bench/summary.go
@@ -25,14 +25,14 @@
 	t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(t, "class\toffered\tserved\tp50 ms\tp99 ms\tmax ms\trefusals")
 	for _, class := range []note.Class{note.ClassInteractive, note.ClassCorrection, note.ClassBulk} {
-		if f, ok := r.Classes[class]; ok {
-			fmt.Fprintf(t, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%v\n", class, f.Offered, f.Served, f.P50, f.P99, f.Max, f.Refusals)
+		if stats, ok := r.Classes[class]; ok {
+			fmt.Fprintf(t, "%s\t%d\t%d\t%.2f\t%.2f\t%.2f\t%v\n", class, stats.Offered, stats.Served, stats.P50, stats.P99, stats.Max, stats.Refusals)
 		}
 	}
 	fmt.Fprintln(t, "\nworkspace\toffered\tserved\tshare\tp50 ms\tp99 ms\trefusals")
 	for _, name := range sortedKeys(r.Workspaces) {
-		f := r.Workspaces[name]
-		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.2f\t%.2f\t%v\n", name, f.Offered, f.Served, f.Share, f.P50, f.P99, f.Refusals)
+		stats := r.Workspaces[name]
+		fmt.Fprintf(t, "%s\t%d\t%d\t%.3f\t%.2f\t%.2f\t%v\n", name, stats.Offered, stats.Served, stats.Share, stats.P50, stats.P99, stats.Refusals)
 	}
 	t.Flush()
 	fmt.Fprintf(w, "\nreplica share %.3f, worst share %.3f, longest write gap %v s\n", r.ReplicaShare, r.WorstShare, r.LongestWriteGaps)
--- a/internal/bench/system.go
+++ b/internal/bench/system.go
@@ -12,7 +12,8 @@
 	"github.com/galenabridge/galenabridge/internal/standin"
 )
 
-// System is a local fleet of separate processes that is started for a run.
+// System is a local fleet of separate processes that serves as the target of a run.
+// Stop must be called after the run.
 type System struct {
 	fleet   *localfleet.Fleet
 	profile *Profile
@@ -24,7 +25,7 @@
 	Profile *Profile
 	// Program is the path of the built program.
 	Program string
-	// Policy is passed to the hosts; empty means the default.
+	// Policy is the value of the hosts' --policy flag; empty means the default policy.
 	Policy string
 	// ReplayLag is the replay lag of the replicas.
 	ReplayLag time.Duration
@@ -35,7 +36,8 @@
 	// fewer hosts.
 	systemControlHosts = 3
 	startTimeout       = 2 * time.Minute
-	faultTimeout       = 30 * time.Second
+	// faultTimeout bounds the injection of one fault and the search for a primary.
+	faultTimeout = 30 * time.Second
 )
 
 // StartSystem starts the fleet of a profile and waits until every host serves every
@@ -110,7 +112,8 @@
 	return s.fleet.Hosts[0]
 }
 
-// Inject implements FaultInjector.
+// Inject implements FaultInjector. It performs all actions except surges, which the
+// run itself performs.
 func (s *System) Inject(ctx context.Context, action Action, target string) error {
 	ctx, cancel := context.WithTimeout(ctx, faultTimeout)
 	defer cancel()
--- a/internal/bench/writelog.go
+++ b/internal/bench/writelog.go
@@ -66,8 +66,8 @@
 	// RanAnyway counts writes that are stored although their error reported that
 	// they did not run.
 	RanAnyway int `json:"ran_although_not_run"`
-	// Stale counts reads that did not return what they had to: an acknowledged
-	// record, or no row if there was none.
+	// Stale counts reads that did not return the body of an acknowledged record, and
+	// reads of an id that was never written that returned a body.
 	Stale int `json:"stale_reads"`
 	// Foreign counts answers to another request and records of another workspace.
 	Foreign int `json:"foreign_answers"`
@@ -89,8 +89,8 @@
 }
 
 // checkStored compares the sent writes with the number of stored rows of each id.
-// Doubled writes can only be found among corrections: the table of records has a
-// unique id, which prevents them.
+// It finds doubled writes only among corrections, since the ids in the table of
+// records are unique.
 func (v *Violations) checkStored(kind string, sent []*sentWrite, stored map[string]int) {
 	writes := make([]history.Write, len(sent))
 	for i, w := range sent {
--- a/internal/localfleet/plan.go
+++ b/internal/localfleet/plan.go
@@ -49,14 +49,15 @@
 	Workspaces []note.Workspace
 	// ReplayLag is the replay lag of the replicas.
 	ReplayLag time.Duration
-	// Policy is passed to the hosts; empty means the default.
+	// Policy is the value of the hosts' --policy flag; empty means the default policy.
 	Policy   string
 	LogLevel string
 	// AdvertiseAddr returns the address by which other processes reach a listen
 	// address of a node, such as that of a proxy that injects network faults. Nil
 	// means the listen address itself.
 	AdvertiseAddr func(node, addr string) string
-	// OnStart is called after the start of each process. Nil means no call.
+	// OnStart is called after each start of a process, including restarts. Nil means
+	// no call.
 	OnStart func(node string, p *Process)
 }
 
@@ -84,7 +85,8 @@
 	Proc *Process
 }
 
-// Fleet is a planned or running fleet.
+// Fleet is a planned or running fleet. Keys and LastNote are not locked: Start, NewKey and
+// Apply must not run concurrently with each other or with URL.
 type Fleet struct {
 	opts      Options
 	Hosts     []*Host
@@ -92,7 +94,8 @@
 	// Keys holds the secret of each API key by the key's id. The id of a
 	// workspace's first key is the workspace's name followed by "-1".
 	Keys map[string]string
-	// LastNote is the number of the last note that Start or Apply has applied.
+	// LastNote is the number of the last note that Start or Apply sent and a host
+	// accepted.
 	LastNote uint64
 }
 
@@ -191,12 +194,12 @@
 	maxPortAttempts = 1000
 )
 
-// ports records the ports that this process has assigned, since nothing may listen
-// on them yet.
+// ports records the ports that this process has assigned. Until their processes
+// listen on them, they would otherwise look free.
 var ports = struct {
 	sync.Mutex
-	taken map[int]bool
-}{taken: make(map[int]bool)}
+	assigned map[int]bool
+}{assigned: make(map[int]bool)}
 
 // freeAddrs returns n loopback addresses on which nothing listens and which were not
 // returned before.
@@ -207,10 +210,10 @@
 	for range maxPortAttempts {
 		port := firstPort + rand.IntN(portCount)
 		addr := fmt.Sprintf("127.0.0.1:%d", port)
-		if ports.taken[port] || !isPortFree(addr) {
+		if ports.assigned[port] || !isPortFree(addr) {
 			continue
 		}
-		ports.taken[port] = true
+		ports.assigned[port] = true
 		if addrs = append(addrs, addr); len(addrs) == n {
 			return addrs, nil
 		}
@@ -245,8 +248,8 @@
 	return n
 }
 
-// NewKey generates a key and adds its secret to Keys. The key is valid once a note
-// that adds it is applied.
+// NewKey generates a key, adds its secret to Keys and returns the entry for a note.
+// Hosts accept the key once a note that adds it is in force.
 func (f *Fleet) NewKey(id, workspace string) note.Key {
 	secret := scramauth.NewKey()
 	f.Keys[id] = secret
--- a/internal/localfleet/run.go
+++ b/internal/localfleet/run.go
@@ -202,13 +202,13 @@
 	if err != nil {
 		return NoteResponse{}, err
 	}
-	var answer NoteResponse
-	err = doJSON(ctx, http.MethodPost, "http://"+h.Settings.Admin.Listen+"/v1/notes", body, &answer)
-	return answer, err
+	var response NoteResponse
+	err = doJSON(ctx, http.MethodPost, "http://"+h.Settings.Admin.Listen+"/v1/notes", body, &response)
+	return response, err
 }
 
-// Apply sends the note after LastNote, filled in by change, to a host until it is
-// accepted or ctx ends.
+// Apply sends a note with the number LastNote+1 and the content that change fills in
+// to a host, until the note is accepted or ctx ends.
 func (f *Fleet) Apply(ctx context.Context, h *Host, change func(*note.Note)) error {
 	n := note.Note{Number: f.LastNote + 1}
 	change(&n)
@@ -269,8 +269,8 @@
 	return found
 }
 
-// doJSON sends an HTTP request and decodes the JSON response into out unless out is
-// nil or the response is empty.
+// doJSON sends an HTTP request and decodes the JSON response into out, unless out is
+// nil or the response is empty. A status of 400 or above returns a StatusError.
 func doJSON(ctx context.Context, method, url string, body []byte, out any) error {
 	req, err := http.NewRequestWithContext(ctx, method, url, bytes.NewReader(body))
 	if err != nil {
