--- a/internal/capacity/control.go
+++ b/internal/capacity/control.go
@@ -96,8 +96,9 @@
 	return nil
 }
 
-// applyNotes submits the planned number of release notes, each of which changes
-// the rate of one workspace, over 80% of the window.
+// applyNotes submits the planned number of release notes, each of which changes the
+// rate of one workspace. Its pauses add up to 80% of the window, which leaves time for
+// the requests themselves.
 func (r *run) applyNotes() error {
 	var current note.Catalog
 	if err := r.getJSON("/v1/notes/current", &current); err != nil {
@@ -119,7 +120,7 @@
 	return nil
 }
 
-// getJSON decodes the reply of the leader's admin endpoint at path into out.
+// getJSON decodes the response of the leader's admin API at path into out.
 func (r *run) getJSON(path string, out any) error {
 	resp, err := http.Get("http://" + r.system.LeaderAdmin + path)
 	if err != nil {
@@ -216,7 +217,7 @@
 	return cost, err
 }
 
-// paceInterval is the time between two batches of calls.
+// paceInterval is the time between two batches of calls of callAtRate.
 const paceInterval = 10 * time.Millisecond
 
 // callAtRate calls call rate times per second, with consecutive numbers from 0,
--- a/internal/capacity/entry.go
+++ b/internal/capacity/entry.go
@@ -57,12 +57,12 @@
 	return nil
 }
 
-// openConnections opens n connections to the entry host. On an error it returns
-// the connections that were opened, too.
+// openConnections opens n connections to the entry host. If some fail, it returns the
+// others and one of the errors.
 func (r *run) openConnections(n int) ([]*pgx.Conn, error) {
 	var mu sync.Mutex
 	var conns []*pgx.Conn
-	var failed error
+	var lastErr error
 	var tasks sync.WaitGroup
 	var remaining atomic.Int64
 	remaining.Store(int64(n))
@@ -72,7 +72,7 @@
 				c, err := pgx.Connect(context.Background(), r.system.CallerURL)
 				mu.Lock()
 				if err != nil {
-					failed = err
+					lastErr = err
 				} else {
 					conns = append(conns, c)
 				}
@@ -81,10 +81,11 @@
 		})
 	}
 	tasks.Wait()
-	return conns, failed
+	return conns, lastErr
 }
 
-// statementCallers is the number of connections that share the statements.
+// statementCallers is the number of connections over which measureStatements spreads
+// its statements.
 const statementCallers = 20
 
 // measureStatements measures the entry host at several rates of reads.
@@ -117,14 +118,14 @@
 	ctx, cancel := context.WithCancel(context.Background())
 	defer cancel()
 	statements := make(chan struct{}, 10*statementCallers)
-	var failed atomic.Pointer[error]
+	var lastErr atomic.Pointer[error]
 	var tasks sync.WaitGroup
 	for _, c := range conns {
 		tasks.Go(func() {
 			for range statements {
 				var n int
 				if err := c.QueryRow(ctx, "select count(*) from records where id = $1", "none").Scan(&n); err != nil && ctx.Err() == nil {
-					failed.Store(&err)
+					lastErr.Store(&err)
 				}
 			}
 		})
@@ -142,7 +143,7 @@
 	cost, err := measureRates(r.system.EntryAdmin, r.plan.Window)
 	close(stop)
 	tasks.Wait()
-	if statementErr := failed.Load(); statementErr != nil && err == nil {
+	if statementErr := lastErr.Load(); statementErr != nil && err == nil {
 		err = errors.Wrap(*statementErr, "statement")
 	}
 	return cost, err
@@ -202,13 +203,13 @@
 func (r *run) requestAtRate(addr string, rate int, send requestFunc) error {
 	stop := make(chan struct{})
 	time.AfterFunc(r.plan.Window, func() { close(stop) })
-	var failed error
+	var lastErr error
 	callAtRate(rate, stop, func(int) {
 		if err := send(addr); err != nil {
-			failed = err
+			lastErr = err
 		}
 	})
-	return failed
+	return lastErr
 }
 
 // probeService returns a service with the credentials of the stand-in endpoint.
--- a/internal/capacity/inprocess.go
+++ b/internal/capacity/inprocess.go
@@ -133,8 +133,8 @@
 	return size, nil
 }
 
-// verifier has the length of a verifier of a real key.
-const verifier = "SCRAM-SHA-256$4096:c2FsdHNhbHRzYWx0c2FsdA==$" +
+// sampleVerifier has the length of the verifier of a real key.
+const sampleVerifier = "SCRAM-SHA-256$4096:c2FsdHNhbHRzYWx0c2FsdA==$" +
 	"AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8=:AAECAwQFBgcICQoLDA0ODxAREhMUFRYXGBkaGxwdHh8="
 
 // workspaceState returns a state of n workspaces with two keys each.
@@ -148,7 +148,7 @@
 		state.Catalog.Workspaces[name] = note.Workspace{Name: name, Rate: 100, Burst: 50, Class: note.ClassInteractive}
 		for k := range 2 {
 			id := fmt.Sprintf("%s-key-%d", name, k)
-			state.Catalog.Keys[id] = note.Key{ID: id, Workspace: name, Verifier: fmt.Sprintf("%s%d", verifier, i)}
+			state.Catalog.Keys[id] = note.Key{ID: id, Workspace: name, Verifier: fmt.Sprintf("%s%d", sampleVerifier, i)}
 		}
 	}
 	return state
@@ -214,11 +214,11 @@
 	bytes         int           // encoded requests and replies
 }
 
-// measureQuota measures ten holders and one owner that exchange encoded messages
-// in this process.
+// measureQuota measures quotaHolders holders and one owner that exchange encoded
+// messages in this process. A pair is one key at one holder.
 func (r *run) measureQuota() error {
 	var holder, owner, bytes, memory []Point
-	for _, keys := range r.plan.QuotaPairs {
+	for _, keys := range r.plan.QuotaKeys {
 		before := heapBytes()
 		q := newQuotaFleet(keys)
 		if _, err := q.advance(quotaWarmUp); err != nil {
--- a/internal/capacity/measure.go
+++ b/internal/capacity/measure.go
@@ -43,14 +43,14 @@
 	EventRates []int
 	// ProbeRates are requests per second of role probes and of position polls.
 	ProbeRates []int
-	// Callers are numbers of idle connections.
+	// Callers are numbers of idle caller connections to the entry host.
 	Callers []int
-	// StatementRates are statements per second.
+	// StatementRates are statements per second at the entry host.
 	StatementRates []int
 	// Workspaces are numbers of workspaces in the agreed state.
 	Workspaces []int
-	// QuotaPairs are numbers of keys that each quota holder uses.
-	QuotaPairs []int
+	// QuotaKeys are numbers of quota keys; every holder uses all of them.
+	QuotaKeys []int
 }
 
 // DefaultPlan returns a plan that reaches the sizes of the target where one machine
@@ -65,7 +65,7 @@
 		Callers:        []int{0, 1000, 2000, 3300},
 		StatementRates: []int{0, 100, 340, 700},
 		Workspaces:     []int{1000, 5000, 20000},
-		QuotaPairs:     []int{100, 300, 1000},
+		QuotaKeys:      []int{100, 300, 1000},
 	}
 }
 
@@ -144,7 +144,8 @@
 	fmt.Fprintf(r.progress, "slope name=%s per_unit=%.4g base=%.4g r2=%.3f\n", name, s.PerUnit, s.Base, s.R2)
 }
 
-// series collects the points of the four slopes over one variable.
+// series collects the points of the slopes of CPU, bytes, messages and memory over one
+// variable.
 type series struct {
 	cpu, bytes, messages, memory []Point
 }
--- a/internal/capacity/model.go
+++ b/internal/capacity/model.go
@@ -20,7 +20,7 @@
 	Memory   float64 // bytes
 }
 
-// Role is the computed cost of one of the Count hosts of a role.
+// Role is the computed cost of one host of a role, of which the fleet has Count.
 type Role struct {
 	Name  string
 	Count int
@@ -107,8 +107,8 @@
 	return float64(c.target.ActiveWorkspaces) + 2*c.homeDatabases()*float64(c.target.EndpointsPerDatabase)
 }
 
-// entryRole returns the control work of an ordinary entry host, for which the
-// bounds hold.
+// entryRole returns the control work of an ordinary entry host, to which the bounds
+// apply.
 func (c *costModel) entryRole() Role {
 	t := c.target
 	renewals := 1 / lease.DefaultConfig().RenewInterval.Seconds()
@@ -260,9 +260,10 @@
 	}}
 }
 
-// modelRoles returns all roles. The entry host is the first.
+// modelRoles returns all roles; the first one is the entry host. It returns an error
+// if a slope that the model needs is missing.
 func modelRoles(t Target, m Measurements) ([]Role, error) {
 	model := &costModel{target: t, measurements: m}
-	all := []Role{model.entryRole(), model.relayRole(), model.leaderRole(), model.callersRole()}
-	return all, model.err
+	roles := []Role{model.entryRole(), model.relayRole(), model.leaderRole(), model.callersRole()}
+	return roles, model.err
 }
--- a/internal/capacity/page.go
+++ b/internal/capacity/page.go
@@ -45,12 +45,12 @@
 // Page renders the capacity page. It returns an error if a slope that the model
 // needs is missing.
 func Page(goal Goal, m Measurements) ([]byte, error) {
-	all, err := modelRoles(goal.Target, m)
+	roles, err := modelRoles(goal.Target, m)
 	if err != nil {
 		return nil, err
 	}
 	data := pageData{Goal: goal, Measured: m, Timing: timings(goal.Bounds), Storms: rareEvents(goal.Target, m)}
-	for i, r := range all {
+	for i, r := range roles {
 		d := roleData{Role: r, Sum: r.Total()}
 		if i == 0 {
 			d.Bound = &goal.Bounds
@@ -123,7 +123,7 @@
 	}
 }
 
-// size formats bytes with a decimal prefix.
+// formatBytes formats a number of bytes with a decimal prefix.
 func formatBytes(bytes float64) string {
 	switch {
 	case bytes >= 1e9:
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -41,7 +41,7 @@
 func TestFitCollinearPointsIsExact(t *testing.T) {
 	s := Fit("x", "n", "B", []Point{{0, 5}, {10, 25}, {20, 45}})
 	if s.PerUnit != 2 || s.Base != 5 || s.R2 != 1 {
-		t.Errorf("got %+v", s)
+		t.Errorf("got %+v, want a slope of 2, a base of 5 and an R2 of 1", s)
 	}
 }
 
@@ -50,6 +50,6 @@
 func TestPageMissingSlopeReturnsError(t *testing.T) {
 	goal := loadJSON[Goal](t, "../../docs/capacity/target.json")
 	if _, err := Page(goal, Measurements{}); err == nil || !strings.Contains(err.Error(), "no measurement") {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an error with \"no measurement\"", err)
 	}
 }
--- a/internal/capacity/scrape.go
+++ b/internal/capacity/scrape.go
@@ -70,12 +70,13 @@
 	return total
 }
 
-// rates are the averages per second of a process's metrics over a window.
+// rates holds the averages per second of a process's metrics over a window, and its
+// memory at the end.
 type rates struct {
 	cpu      float64 // share of one core
 	bytes    float64
 	messages float64
-	memory   float64 // resident bytes at the end of the window
+	memory   float64 // resident bytes
 }
 
 // measureRates scrapes a process before and after a window.
--- a/internal/capacity/subscribers.go
+++ b/internal/capacity/subscribers.go
@@ -29,7 +29,8 @@
 	hosts  []*simulatedHost
 }
 
-// simulatedHost is one of simulatedHosts.
+// simulatedHost is a host with its own peer node. publisher holds the view that
+// subscriber maintains.
 type simulatedHost struct {
 	subscriber *control.Subscriber
 	publisher  *view.Publisher
