--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -26,7 +26,7 @@
 // TestHealthyFleet tests the guarantees that can be tested without faults of processes or links.
 // Its parts share one fleet.
 func TestHealthyFleet(t *testing.T) {
-	f := startFleet(t, fleetOptions{lag: replayLag, capture: true, note: func(n *note.Note) {
+	f := startFleet(t, fleetOptions{lag: replayLag, capture: true, changeNote: func(n *note.Note) {
 		n.Added.Workspaces = append(n.Added.Workspaces,
 			note.Workspace{Name: "metered", Rate: meteredRate, Burst: meteredBurst, Class: note.ClassInteractive},
 			note.Workspace{Name: "visitors", Rate: 1000, Burst: 1000, Class: note.ClassBulk, Open: true},
@@ -90,8 +90,9 @@
 }
 
 // testTransactionsIsolated runs transactions of three rows from many callers over few endpoint
-// connections and rolls back every second one of a caller. Statements of two transactions on one
-// connection would leave a transaction with other than three rows, or a rolled back one with rows.
+// connections and rolls back every second one of each caller. If statements of two transactions
+// were mixed on one connection, a committed transaction would not have exactly three rows or a
+// rolled back one would have some.
 func testTransactionsIsolated(t *testing.T, f *fleet) {
 	const callers, rounds = 36, 5
 	service := services[1]
@@ -128,7 +129,7 @@
 		}
 		tokens++
 		if n != 3 || strings.HasSuffix(token, "-1") || strings.HasSuffix(token, "-3") {
-			t.Errorf("token %s has %d parts", token, n)
+			t.Errorf("token %s has %d parts, want 3 of a committed transaction", token, n)
 		}
 	}
 	if want := callers * 3; tokens != want {
@@ -187,20 +188,20 @@
 	}
 	open, err := pgx.Connect(f.context(), localfleet.CallerURL(h, "visitors", "", services[0]))
 	if err != nil {
-		t.Fatalf("open route: %v", err)
+		t.Fatalf("connect to the open workspace without a key: %v", err)
 	}
 	defer closeConn(open)
 	if _, err := open.Exec(f.context(), "select count(*) from records"); err != nil {
-		t.Errorf("read over an open route: %v", err)
+		t.Errorf("read in the open workspace: %v", err)
 	}
 	if _, err := open.Exec(f.context(), "insert into records (id) values ('by a visitor')"); err == nil {
-		t.Error("an open route took a write")
+		t.Error("a write in the open workspace succeeded without a key")
 	}
 }
 
 // testKeysNotSentToEndpoints searches all bytes sent to the endpoints for the callers' keys. It
-// also searches for the callers' statements: if none were captured, the search for keys shows
-// nothing.
+// also searches for the callers' statements, since without captured statements the search for keys
+// would prove nothing.
 func testKeysNotSentToEndpoints(t *testing.T, f *fleet) {
 	const mark = "mark of a caller"
 	for _, h := range f.Hosts {
@@ -326,7 +327,7 @@
 		if err != nil {
 			return err
 		}
-		r.answer(mark, got)
+		r.recordAnswer(mark, got)
 	}
 	return nil
 }
@@ -356,17 +357,17 @@
 			return last != nil
 		})
 		if code := codeOf(last); code != result.KeyWithdrawn {
-			t.Errorf("%s: code %d (%v)", f.Hosts[i].Name, code, last)
+			t.Errorf("%s: code %d (%v), want the code of a withdrawn key", f.Hosts[i].Name, code, last)
 		}
 		_, err := pgx.Connect(f.context(), localfleet.CallerURL(f.Hosts[i], crew, f.Keys[crew+"-2"], services[0]))
 		if codeOf(err) != result.BadKey {
-			t.Errorf("%s: new connection with the withdrawn key: %v", f.Hosts[i].Name, err)
+			t.Errorf("%s: new connection with the withdrawn key: %v, want a bad key", f.Hosts[i].Name, err)
 		}
 	}
 	t.Logf("withdrawn key refused everywhere after %s", time.Since(start))
 	for i, conn := range kept {
 		if _, err := conn.Exec(f.context(), "select 1"); err != nil {
-			t.Errorf("%s: the other key: %v", f.Hosts[i].Name, err)
+			t.Errorf("%s: statement with the key that stays valid: %v", f.Hosts[i].Name, err)
 		}
 	}
 }
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -27,7 +27,8 @@
 	})
 }
 
-// checkKey connects to a host with a key and returns the error of a refusal.
+// checkKey connects to a host with a key. It returns nil if the host accepts the key, or else the
+// error of the connection.
 func (f *fleet) checkKey(h *host, workspace, key string) error {
 	conn, err := pgx.Connect(f.context(), localfleet.CallerURL(h, workspace, f.Keys[key], services[0]))
 	if err != nil {
@@ -80,13 +81,13 @@
 		answer, err := f.PostNote(f.context(), f.Hosts[(i+1)%len(f.Hosts)], n)
 		if i == winner {
 			if err != nil || !answer.Repeated || answer.Stamp.Digest != first.Stamp.Digest {
-				f.t.Errorf("resent note: %+v, %v", answer, err)
+				f.t.Errorf("resent note: %+v, %v; want repeated with the first digest", answer, err)
 			}
 			continue
 		}
 		var refused *localfleet.StatusError
 		if !errors.As(err, &refused) || refused.Status != http.StatusConflict {
-			f.t.Errorf("resent note %d of an operator who lost: %v, want a conflict", n.Number, err)
+			f.t.Errorf("resent note %d that was not accepted: %v, want a conflict", n.Number, err)
 		}
 	}
 }
@@ -112,7 +113,7 @@
 		}
 		t.Logf("%s isolated: key withdrawn and refused everywhere after %s", isolated.Name, time.Since(cutAt))
 		if code := codeOf(f.checkKey(isolated, crew, id)); code != result.NoConfigLease {
-			t.Errorf("the isolated host answers code %d", code)
+			t.Errorf("the isolated host answers code %d, want that of a missing configuration lease", code)
 		}
 		for range 20 {
 			for _, h := range f.Hosts {
@@ -154,13 +155,14 @@
 		newest := fmt.Sprintf("change-%d", changes-1)
 		eventually(t, "newest key accepted at "+h.Name, func() bool { return f.checkKey(h, crew, newest) == nil })
 		if err := f.checkKey(h, crew, fmt.Sprintf("change-%d", changes-2)); codeOf(err) != result.BadKey {
-			t.Errorf("%s: key withdrawn by the last note: %v", h.Name, err)
+			t.Errorf("%s: key withdrawn by the last note: %v, want a bad key", h.Name, err)
 		}
 	}
 }
 
-// votingDataDir returns the id of the data folder with which a control host is an active voter in a
-// committed group of full size, as another host reports it. It is empty while the host is not one.
+// votingDataDir returns the id of the data folder with which a control host is an active voter, as
+// another host reports it. It is empty while the host is not an active voter or the reported group
+// is not of full size.
 func (f *fleet) votingDataDir(reporter, voter *host) string {
 	s, err := f.ControlStatus(f.context(), reporter)
 	if err != nil || len(s.Controls) != controlCount {
--- a/test/integration/failures_test.go
+++ b/test/integration/failures_test.go
@@ -37,11 +37,11 @@
 	})
 }
 
-// awaitCaughtUp waits until the endpoint is a replica with all that the primary of its service has
-// flushed. It needs a service without writes.
+// awaitCaughtUp waits until the endpoint is a replica that has flushed as much as the primary of its
+// service. Writes to the service must have stopped.
 func (f *fleet) awaitCaughtUp(e *endpoint) {
 	f.t.Helper()
-	eventually(f.t, e.ID+" follows", func() bool {
+	eventually(f.t, e.ID+" has caught up with the primary", func() bool {
 		s, err := e.Status(f.context())
 		if err != nil || s.Role != standin.RoleReplica {
 			return false
@@ -174,7 +174,7 @@
 	stored := f.storedIDs(service, "corrections")
 	for i := range rounds {
 		if n := stored[fmt.Sprintf("correction-%d", i)]; n != 1 {
-			t.Errorf("correction-%d is stored %d times", i, n)
+			t.Errorf("correction-%d is stored %d times, want once", i, n)
 		}
 	}
 }
@@ -217,7 +217,7 @@
 	}
 	stored := f.storedIDs(service, "records")
 	if stored["unfinished"] != 0 || stored["finished"] != 1 {
-		t.Errorf("stored %v", stored)
+		t.Errorf("stored %v, want only the finished transaction", stored)
 	}
 }
 
@@ -251,7 +251,7 @@
 	value := fmt.Sprintf("v%d", i)
 	invoke := time.Now()
 	_, err := writer.Exec(f.context(), "update records set body = $1 where id = 'r'", value)
-	r.op(history.Operation{Client: 1, Record: "r", Kind: history.OpWrite, Value: value}, invoke, err)
+	r.recordOperation(history.Operation{Client: 1, Record: "r", Kind: history.OpWrite, Value: value}, invoke, err)
 	for _, strong := range []bool{false, true} {
 		text, kind := "select body from records where id = 'r'", history.OpRead
 		if strong {
@@ -260,14 +260,14 @@
 		var got string
 		invoke = time.Now()
 		err := reader.QueryRow(f.context(), text).Scan(&got)
-		r.op(history.Operation{Client: 2, Record: "r", Kind: kind, Value: got}, invoke, err)
+		r.recordOperation(history.Operation{Client: 2, Record: "r", Kind: kind, Value: got}, invoke, err)
 		if err != nil {
 			f.t.Errorf("read: %v", err)
 		}
 	}
 }
 
-// servedBy returns the endpoint that answers a plain read.
+// servedBy returns the id of the endpoint that answers a read.
 func servedBy(f *fleet, conn *pgx.Conn) (string, error) {
 	var id string
 	err := conn.QueryRow(f.context(), "select current_setting('cluster_name')").Scan(&id)
@@ -299,6 +299,7 @@
 	for i, h := range f.Hosts {
 		conns[i] = f.connect(h, crew, service)
 	}
+	// inDomain reports whether one of the reads is served in the domain or fails.
 	inDomain := func(reads int) bool {
 		for i := range reads {
 			id, err := servedBy(f, conns[i%len(conns)])
@@ -373,7 +374,7 @@
 			return last != nil
 		})
 		if outcomeOf(last) != history.NotRun {
-			t.Errorf("%s: %v", f.Hosts[i].Name, last)
+			t.Errorf("%s: %v, want a refusal as not run", f.Hosts[i].Name, last)
 		}
 		if _, err := f.connect(f.Hosts[i], crew, services[0]).Exec(f.context(), "select 1"); err != nil {
 			t.Errorf("%s: the other service: %v", f.Hosts[i].Name, err)
--- a/test/integration/fleet_test.go
+++ b/test/integration/fleet_test.go
@@ -53,8 +53,8 @@
 	lag time.Duration
 	// capture records all bytes sent to the endpoints.
 	capture bool
-	// note changes the first note before it is applied.
-	note func(*note.Note)
+	// changeNote modifies the first note before it is applied.
+	changeNote func(*note.Note)
 }
 
 // startFleet starts a group of endpoints for each service and the hosts, applies the first note and
@@ -81,7 +81,7 @@
 			f.net.capture(e.ID)
 		}
 	}
-	if err := f.Start(f.context(), opts.note); err != nil {
+	if err := f.Start(f.context(), opts.changeNote); err != nil {
 		t.Fatal(err)
 	}
 	return f
--- a/test/integration/network_self_test.go
+++ b/test/integration/network_self_test.go
@@ -48,7 +48,7 @@
 	}
 	send("a")
 	if got := echo(); got != "a" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("echo before the cut: %q, want a", got)
 	}
 	n.cut("caller", "server", true)
 	send("b")
@@ -56,13 +56,13 @@
 		t.Fatal(err)
 	}
 	if n, err := conn.Read(make([]byte, 1)); n != 0 || !os.IsTimeout(err) {
-		t.Fatalf("read %d bytes over a cut link: %v", n, err)
+		t.Fatalf("read over a cut link: %d bytes, %v; want a timeout", n, err)
 	}
 	if err := conn.SetReadDeadline(time.Time{}); err != nil {
 		t.Fatal(err)
 	}
 	n.heal()
 	if got := echo(); got != "b" {
-		t.Fatalf("got %q", got)
+		t.Fatalf("echo after the heal: %q, want b", got)
 	}
 }
--- a/test/integration/network_test.go
+++ b/test/integration/network_test.go
@@ -33,7 +33,7 @@
 
 	// mu guards the fields below and the captured bytes.
 	mu        sync.Mutex
-	pids      map[int]string
+	nodeByPID map[int]string
 	isolated  map[string]bool
 	cuts      map[[2]string]bool
 	links     map[linkKey]*link
@@ -57,7 +57,7 @@
 func newNetwork(t *testing.T) *network {
 	logger := zerolog.New(io.Discard)
 	n := &network{
-		t: t, api: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), logger), pids: make(map[int]string),
+		t: t, api: toxiproxy.NewServer(toxiproxy.NewMetricsContainer(nil), logger), nodeByPID: make(map[int]string),
 		isolated: make(map[string]bool), cuts: make(map[[2]string]bool), links: make(map[linkKey]*link),
 		captured: make(map[string]*strings.Builder),
 	}
@@ -76,11 +76,11 @@
 	}
 }
 
-// register sets the process of a node.
+// register records that the process pid belongs to a node.
 func (n *network) register(node string, pid int) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	n.pids[pid] = node
+	n.nodeByPID[pid] = node
 }
 
 // capture records all bytes that are sent to the node over connections opened from now on.
@@ -97,8 +97,8 @@
 	return n.captured[node].String()
 }
 
-// forward listens on a new loopback address, forwards its connections to the node's address backend
-// and returns it.
+// forward returns a new loopback address on which it listens. It forwards the connections to
+// backend, an address of the node.
 func (n *network) forward(node, backend string) string {
 	n.t.Helper()
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
@@ -137,8 +137,8 @@
 	<-done
 }
 
-// copy copies one direction of a connection and records it when node is captured. The end of either
-// direction ends the connection.
+// copy copies one direction of a connection until it ends, and then signals done. If node is
+// captured, the bytes are recorded as sent to it.
 func (n *network) copy(dst io.Writer, src io.Reader, node string, done chan<- struct{}) {
 	defer func() { done <- struct{}{} }()
 	n.mu.Lock()
@@ -178,7 +178,7 @@
 	return proxy.Listen, nil
 }
 
-// update holds or releases a link according to isolated and cuts. The caller holds mu.
+// update holds or releases a link according to isolated and cuts. The caller must hold mu.
 func (n *network) update(l *link) {
 	held := n.isolated[l.key.from] || n.isolated[l.key.to] || n.cuts[[2]string{l.key.from, l.key.to}]
 	if held == l.held {
@@ -200,7 +200,7 @@
 	}
 }
 
-// updateAll updates every link. The caller holds mu.
+// updateAll updates every link. The caller must hold mu.
 func (n *network) updateAll() {
 	for _, l := range n.links {
 		n.update(l)
--- a/test/integration/process_test.go
+++ b/test/integration/process_test.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// waitTimeout is the longest wait for any condition.
+// waitTimeout bounds the wait for any condition and each step of a test.
 const waitTimeout = 90 * time.Second
 
 // program is the path of the built galenabridge program.
@@ -56,13 +56,14 @@
 	return text
 }
 
-// eventually polls condition until it is true and fails the test after waitTimeout.
+// eventually polls condition until it is true and fails the test after waitTimeout. what describes
+// the condition in the failure message.
 func eventually(t *testing.T, what string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, waitTimeout)
+			t.Fatalf("%s: condition not met within %s", what, waitTimeout)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/test/integration/recorder_test.go
+++ b/test/integration/recorder_test.go
@@ -63,8 +63,8 @@
 	return &recorder{start: time.Now(), causes: make(map[string]int)}
 }
 
-// write records a write and returns its outcome.
-func (r *recorder) write(id, workspace string, err error) history.Outcome {
+// recordWrite records a write and returns its outcome.
+func (r *recorder) recordWrite(id, workspace string, err error) history.Outcome {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	outcome := outcomeOf(err)
@@ -87,15 +87,15 @@
 	return "connection"
 }
 
-// answer records the mark sent in a request and the one received in its answer.
-func (r *recorder) answer(sent, received string) {
+// recordAnswer records the mark sent in a request and the one received in its answer.
+func (r *recorder) recordAnswer(sent, received string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	r.answers = append(r.answers, history.Answer{Sent: sent, Received: received})
 }
 
-// op records an operation that began at invoke and has ended now.
-func (r *recorder) op(o history.Operation, invoke time.Time, err error) {
+// recordOperation records an operation that began at invoke and has ended now.
+func (r *recorder) recordOperation(o history.Operation, invoke time.Time, err error) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	o.Span = history.Span{Invoke: invoke.Sub(r.start), Return: time.Since(r.start)}
@@ -117,7 +117,7 @@
 }
 
 // check fails the test for each violation of the guarantees on writes, answers, operations and
-// reads, and prints at most 20. Stored counts the stored records by id.
+// reads, and prints at most 20. stored holds the number of stored rows by id.
 func (r *recorder) check(t *testing.T, stored map[string]int) {
 	t.Helper()
 	r.mu.Lock()
@@ -175,8 +175,8 @@
 // requestTimeout bounds one request of a writer.
 const requestTimeout = 20 * time.Second
 
-// startWriters starts count writers that insert one record after another, each through one host, so
-// that the writers are spread over all hosts.
+// startWriters starts count writers that insert one record after another. Each writer uses one host;
+// they are spread over all hosts.
 func (f *fleet) startWriters(r *recorder, count int, service string) *writers {
 	ctx, cancel := context.WithCancel(context.Background())
 	w := &writers{cancel: cancel}
@@ -206,7 +206,7 @@
 		reqCtx, cancel := context.WithTimeout(context.Background(), requestTimeout)
 		_, err := conn.Exec(reqCtx, "insert into records (id, workspace, body) values ($1, $2, $3)", id, crew, name)
 		cancel()
-		r.write(id, crew, err)
+		r.recordWrite(id, crew, err)
 		sleepContext(ctx, writerPause)
 	}
 	if conn != nil {
--- a/test/integration/schedule_test.go
+++ b/test/integration/schedule_test.go
@@ -16,6 +16,7 @@
 
 const (
 	faultIsolatePrimary fault = "isolate_primary"
+	// faultIsolateReplica isolates any endpoint, which may also be the primary.
 	faultIsolateReplica fault = "isolate_replica"
 	faultKillEndpoint   fault = "kill_endpoint"
 	faultStallPrimary   fault = "stall_primary"
@@ -87,8 +88,8 @@
 	return (low + time.Duration(rng.Int64N(int64(high-low)))).Round(100 * time.Millisecond)
 }
 
-// shrink removes steps from a failing schedule while the remaining steps still fail. It tries ever
-// shorter runs of adjacent steps, down to single ones.
+// shrink removes steps from a failing schedule as long as the remaining steps still fail. It tries
+// to remove half of the steps at once, then ever fewer adjacent steps, down to single ones.
 func shrink(steps []faultStep, fails func([]faultStep) bool) []faultStep {
 	for size := (len(steps) + 1) / 2; size > 0; size /= 2 {
 		for i := 0; i+size <= len(steps) && len(steps) > size; {
@@ -103,18 +104,20 @@
 	return steps
 }
 
-// A schedule that depended on anything but its seed could not be repeated after a failure.
+// Guards against a schedule that depends on more than its seed and length: a failing run could not
+// be repeated.
 func TestScheduleSameSeedGivesSameSteps(t *testing.T) {
 	a, b := drawSchedule(7, time.Minute), drawSchedule(7, time.Minute)
 	if len(a) == 0 || !reflect.DeepEqual(a, b) {
-		t.Errorf("seed 7 gives %v and %v", a, b)
+		t.Errorf("seed 7 gives %v and %v, want the same steps and at least one", a, b)
 	}
 	if reflect.DeepEqual(a, drawSchedule(8, time.Minute)) {
-		t.Error("seeds 7 and 8 give one schedule")
+		t.Error("seeds 7 and 8 give the same schedule")
 	}
 }
 
-// Two steps that fail only together must both remain, and nothing else.
+// Guards against a shrunk schedule that lacks a step needed for the failure or keeps one that is
+// not needed. The run in this test fails only with both of two steps.
 func TestShrinkKeepsFailingSteps(t *testing.T) {
 	steps := drawSchedule(3, 2*time.Minute)
 	first, second := steps[1], steps[len(steps)-2]
@@ -128,6 +131,6 @@
 		return found == 2
 	})
 	if !reflect.DeepEqual(got, []faultStep{first, second}) {
-		t.Errorf("shrunk to\n%s", describe(got))
+		t.Errorf("want just the two steps that fail together; shrunk to\n%s", describe(got))
 	}
 }
--- a/test/integration/soak_test.go
+++ b/test/integration/soak_test.go
@@ -58,10 +58,10 @@
 type soakRun struct {
 	*fleet
 	recorder *recorder
-	// notes serializes the notes that faults apply, and the creation of their keys.
-	notes sync.Mutex
-	// procs serializes stopping and starting processes.
-	procs sync.Mutex
+	// notesMu serializes the notes that faults apply, and the creation of their keys.
+	notesMu sync.Mutex
+	// procsMu serializes stopping and starting processes.
+	procsMu sync.Mutex
 }
 
 // createTables creates the tables of both services, and the record that all callers share.
@@ -125,7 +125,7 @@
 	default:
 		err = conn.QueryRow(ctx, "select body from records where id = 'shared'").Scan(&op.Value)
 	}
-	s.recorder.op(op, invoke, err)
+	s.recorder.recordOperation(op, invoke, err)
 }
 
 // insertCorrections sends corrections with request ids and retries each through the other hosts
@@ -143,7 +143,7 @@
 		if !done {
 			last = context.Canceled
 		}
-		s.recorder.write(id, editors, last)
+		s.recorder.recordWrite(id, editors, last)
 	}
 }
 
@@ -203,7 +203,8 @@
 	return s.setEndpointFault(st, s.primaryOrAny(service, st.Pick))
 }
 
-// setEndpointFault injects a fault with the fault settings of a stand-in endpoint.
+// setEndpointFault injects a fault that the stand-in endpoint e simulates itself, and returns the
+// function that clears it.
 func (s *soakRun) setEndpointFault(st faultStep, e *endpoint) func() {
 	on, drops, delayMS, lagMS := true, 1000, 300, 3000
 	request := standin.FaultRequest{}
@@ -253,12 +254,12 @@
 
 // killHost kills a host and returns the function that starts it again unless it runs already.
 func (s *soakRun) killHost(h *host) func() {
-	s.procs.Lock()
-	defer s.procs.Unlock()
+	s.procsMu.Lock()
+	defer s.procsMu.Unlock()
 	h.Proc.Kill()
 	return func() {
-		s.procs.Lock()
-		defer s.procs.Unlock()
+		s.procsMu.Lock()
+		defer s.procsMu.Unlock()
 		if !h.Proc.Alive() {
 			s.restartHost(h)
 		}
@@ -268,12 +269,12 @@
 // killEndpoint kills an endpoint and returns the function that starts it again unless it runs
 // already.
 func (s *soakRun) killEndpoint(e *endpoint) func() {
-	s.procs.Lock()
-	defer s.procs.Unlock()
+	s.procsMu.Lock()
+	defer s.procsMu.Unlock()
 	e.Proc.Kill()
 	return func() {
-		s.procs.Lock()
-		defer s.procs.Unlock()
+		s.procsMu.Lock()
+		defer s.procsMu.Unlock()
 		if !e.Proc.Alive() {
 			s.restartEndpoint(e)
 		}
@@ -283,8 +284,8 @@
 // applyNote applies a note through the control hosts in turn and retries until one accepts it,
 // since notes are refused while there is no quorum.
 func (s *soakRun) applyNote(change func(*note.Note)) {
-	s.notes.Lock()
-	defer s.notes.Unlock()
+	s.notesMu.Lock()
+	defer s.notesMu.Unlock()
 	deadline := time.Now().Add(waitTimeout)
 	for i := 0; time.Now().Before(deadline); i++ {
 		h := s.Hosts[i%controlCount]
@@ -302,7 +303,7 @@
 	s.t.Errorf("a note was not accepted within %s", waitTimeout)
 }
 
-// takeDomainOut takes a failure domain out of use and returns the function that takes it back.
+// takeDomainOut takes a failure domain out of use and returns the function that puts it back.
 func (s *soakRun) takeDomainOut(domain string) func() {
 	set := func(out bool) {
 		s.applyNote(func(n *note.Note) {
@@ -315,9 +316,9 @@
 
 // rotateKey adds a key and returns the function that withdraws it.
 func (s *soakRun) rotateKey(id string) func() {
-	s.notes.Lock()
+	s.notesMu.Lock()
 	key := s.NewKey(id, auditors)
-	s.notes.Unlock()
+	s.notesMu.Unlock()
 	s.applyNote(func(n *note.Note) { n.Added.Keys = []note.Key{key} })
 	return func() {
 		s.applyNote(func(n *note.Note) { n.Withdrawn.Keys = []string{id} })
--- a/test/integration/socket_owner_test.go
+++ b/test/integration/socket_owner_test.go
@@ -20,12 +20,12 @@
 	local := conn.LocalAddr().(*net.TCPAddr)
 	inode := socketInode(remote.Port, local.Port)
 	n.mu.Lock()
-	pids := make(map[int]string, len(n.pids))
-	for pid, node := range n.pids {
-		pids[pid] = node
+	nodeByPID := make(map[int]string, len(n.nodeByPID))
+	for pid, node := range n.nodeByPID {
+		nodeByPID[pid] = node
 	}
 	n.mu.Unlock()
-	for pid, node := range pids {
+	for pid, node := range nodeByPID {
 		if inode != "" && hasSocket(pid, inode) {
 			return node
 		}
