--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -12,8 +12,10 @@
 // Stats holds the counts and latencies of a group of requests. Offered includes
 // requests that the generator dropped.
 type Stats struct {
-	Offered  int            `json:"offered"`
-	Served   int            `json:"served"`
+	Offered int `json:"offered"`
+	Served  int `json:"served"`
+	// Refusals counts, by cause, all requests that were not served, including
+	// those whose outcome is unknown.
 	Refusals map[string]int `json:"refusals,omitempty"`
 	// P50, P99 and Max are latencies of the served requests in milliseconds,
 	// counted from the intended start.
@@ -27,8 +29,9 @@
 
 // SecondStats holds the measurements of one second of the run.
 type SecondStats struct {
-	Classes  map[note.Class]Stats `json:"classes"`
-	Refusals map[string]int       `json:"refusals,omitempty"`
+	Classes map[note.Class]Stats `json:"classes"`
+	// Refusals counts the requests of all classes that were not served, by cause.
+	Refusals map[string]int `json:"refusals,omitempty"`
 }
 
 // FaultEvent is an injected fault.
