--- a/test/integration/callers_test.go
+++ b/test/integration/callers_test.go
@@ -351,13 +351,13 @@
 	f.apply(f.Hosts[0], func(n *note.Note) { n.Withdrawn.Keys = []string{crew + "-2"} })
 	start := time.Now()
 	for i, conn := range withdrawn {
-		var last error
+		var lastErr error
 		eventually(t, "withdrawn key refused by "+f.Hosts[i].Name, func() bool {
-			_, last = conn.Exec(f.context(), "select 1")
-			return last != nil
+			_, lastErr = conn.Exec(f.context(), "select 1")
+			return lastErr != nil
 		})
-		if code := codeOf(last); code != result.KeyWithdrawn {
-			t.Errorf("%s: code %d (%v), want the code of a withdrawn key", f.Hosts[i].Name, code, last)
+		if code := codeOf(lastErr); code != result.KeyWithdrawn {
+			t.Errorf("%s: code %d (%v), want the code of a withdrawn key", f.Hosts[i].Name, code, lastErr)
 		}
 		_, err := pgx.Connect(f.context(), localfleet.CallerURL(f.Hosts[i], crew, f.Keys[crew+"-2"], services[0]))
 		if codeOf(err) != result.BadKey {
--- a/test/integration/control_test.go
+++ b/test/integration/control_test.go
@@ -185,10 +185,10 @@
 	f.apply(f.Hosts[1], func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey("before", crew)} })
 	repaired, lost := f.Hosts[0], f.Hosts[1]
 	survivor := f.Hosts[2]
-	var former string
+	var formerDir string
 	eventually(t, "the host votes", func() bool {
-		former = f.votingDataDir(survivor, repaired)
-		return former != ""
+		formerDir = f.votingDataDir(survivor, repaired)
+		return formerDir != ""
 	})
 	repaired.Proc.Kill()
 	if err := os.RemoveAll(repaired.Settings.Control.DataDir); err != nil {
@@ -196,8 +196,8 @@
 	}
 	f.restartHost(repaired)
 	eventually(t, "the host votes with its new data folder", func() bool {
-		disk := f.votingDataDir(survivor, repaired)
-		return disk != "" && disk != former
+		dir := f.votingDataDir(survivor, repaired)
+		return dir != "" && dir != formerDir
 	})
 	lost.Proc.Kill()
 	f.apply(survivor, func(n *note.Note) { n.Added.Keys = []note.Key{f.NewKey("after", crew)} })
--- a/test/integration/failures_test.go
+++ b/test/integration/failures_test.go
@@ -31,9 +31,9 @@
 // awaitAcks waits for n more acknowledged writes.
 func awaitAcks(t *testing.T, r *recorder, n int) {
 	t.Helper()
-	before := r.count(history.Acked)
+	before := r.countWrites(history.Acked)
 	eventually(t, fmt.Sprintf("%d acknowledged writes", n), func() bool {
-		return r.count(history.Acked) >= before+n
+		return r.countWrites(history.Acked) >= before+n
 	})
 }
 
@@ -141,7 +141,7 @@
 		awaitAcks(t, r, 50)
 	}
 	w.stop()
-	if r.count(history.Unknown) == 0 {
+	if r.countWrites(history.Unknown) == 0 {
 		t.Error("no request has an unknown outcome, so the test checks nothing")
 	}
 	r.check(t, f.storedIDs(service, "records"))
@@ -157,10 +157,10 @@
 		t.Fatal(err)
 	}
 	const rounds = 10
-	one := 1
+	drops := 1
 	for i := range rounds {
 		id := fmt.Sprintf("correction-%d", i)
-		f.setFaults(f.primary(service), standin.FaultRequest{DropAfterCommit: &one})
+		f.setFaults(f.primary(service), standin.FaultRequest{DropAfterCommit: &drops})
 		err := f.insertCorrection(f.Hosts[i%len(f.Hosts)], service, id)
 		for attempt := 1; err != nil && codeOf(err) != result.RequestAlreadyDone; attempt++ {
 			if attempt > 20 {
@@ -339,7 +339,7 @@
 	}
 	w.stop()
 	r.check(t, f.storedIDs(service, "records"))
-	if n := r.count(history.Unknown); n > 0 {
+	if n := r.countWrites(history.Unknown); n > 0 {
 		t.Errorf("%d requests have an unknown outcome", n)
 	}
 }
@@ -368,13 +368,13 @@
 		}}
 	})
 	for i, conn := range conns {
-		var last error
+		var lastErr error
 		eventually(t, f.Hosts[i].Name+" refuses requests for the leaving service", func() bool {
-			_, last = conn.Exec(f.context(), "insert into records (id) values (gen_random_uuid()::text)")
-			return last != nil
+			_, lastErr = conn.Exec(f.context(), "insert into records (id) values (gen_random_uuid()::text)")
+			return lastErr != nil
 		})
-		if outcomeOf(last) != history.NotRun {
-			t.Errorf("%s: %v, want a refusal as not run", f.Hosts[i].Name, last)
+		if outcomeOf(lastErr) != history.NotRun {
+			t.Errorf("%s: %v, want a refusal as not run", f.Hosts[i].Name, lastErr)
 		}
 		if _, err := f.connect(f.Hosts[i], crew, services[0]).Exec(f.context(), "select 1"); err != nil {
 			t.Errorf("%s: the other service: %v", f.Hosts[i].Name, err)
--- a/test/integration/recorder_test.go
+++ b/test/integration/recorder_test.go
@@ -103,8 +103,8 @@
 	r.ops = append(r.ops, o)
 }
 
-// count returns how many writes have the outcome.
-func (r *recorder) count(outcome history.Outcome) int {
+// countWrites returns how many writes have the outcome.
+func (r *recorder) countWrites(outcome history.Outcome) int {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	n := 0
--- a/test/integration/schedule_test.go
+++ b/test/integration/schedule_test.go
@@ -49,7 +49,7 @@
 	return fmt.Sprintf("%s +%s %s/%d", s.At, s.Length, s.Fault, s.Pick)
 }
 
-func describe(steps []faultStep) string {
+func describeSteps(steps []faultStep) string {
 	lines := make([]string, len(steps))
 	for i, s := range steps {
 		lines[i] = "  " + s.String()
@@ -131,6 +131,6 @@
 		return found == 2
 	})
 	if !reflect.DeepEqual(got, []faultStep{first, second}) {
-		t.Errorf("want just the two steps that fail together; shrunk to\n%s", describe(got))
+		t.Errorf("want just the two steps that fail together; shrunk to\n%s", describeSteps(got))
 	}
 }
--- a/test/integration/soak_test.go
+++ b/test/integration/soak_test.go
@@ -25,7 +25,7 @@
 		t.Skip("runs with -soak DURATION; see make soak")
 	}
 	steps := drawSchedule(*seed, *soak)
-	t.Logf("seed %d, schedule:\n%s", *seed, describe(steps))
+	t.Logf("seed %d, schedule:\n%s", *seed, describeSteps(steps))
 	if runSchedule(t, "all", steps) {
 		return
 	}
@@ -35,7 +35,7 @@
 		return !runSchedule(t, fmt.Sprintf("shrink-%d", runs), rest)
 	})
 	t.Errorf("a guarantee is violated; shortest failing schedule found:\n%s\nrepeat: make soak SEED=%d DURATION=%s",
-		describe(shortest), *seed, *soak)
+		describeSteps(shortest), *seed, *soak)
 }
 
 // runSchedule runs a fleet under load and the schedule, waits for its recovery and reports whether
