--- a/internal/bench/result.go
+++ b/internal/bench/result.go
@@ -12,8 +12,10 @@
 // Stats holds the counts and latencies of a group of requests. Offered includes
 // requests that the generator dropped.
 type Stats struct {
-	Offered  int            `json:"offered"`
-	Served   int            `json:"served"`
+	Offered int `json:"offered"`
+	Served  int `json:"served"`
+	// Refusals counts, by cause, all requests that were not served, including
+	// those whose outcome is unknown.
 	Refusals map[string]int `json:"refusals,omitempty"`
 	// P50, P99 and Max are latencies of the served requests in milliseconds,
 	// counted from the intended start.
@@ -27,8 +29,9 @@
 
 // SecondStats holds the measurements of one second of the run.
 type SecondStats struct {
-	Classes  map[note.Class]Stats `json:"classes"`
-	Refusals map[string]int       `json:"refusals,omitempty"`
+	Classes map[note.Class]Stats `json:"classes"`
+	// Refusals counts the requests of all classes that were not served, by cause.
+	Refusals map[string]int `json:"refusals,omitempty"`
 }
 
 // FaultEvent is an injected fault.
@@ -95,18 +98,18 @@
 		WorstShare: 1,
 	}
 	for _, w := range p.Workspaces {
-		f, ok := res.Workspaces[w.Name]
+		stats, ok := res.Workspaces[w.Name]
 		if !ok {
 			continue
 		}
-		f.Share = share(w, f, duration)
-		res.Workspaces[w.Name] = f
-		res.WorstShare = min(res.WorstShare, f.Share)
+		stats.Share = share(w, stats, duration)
+		res.Workspaces[w.Name] = stats
+		res.WorstShare = min(res.WorstShare, stats.Share)
 	}
 	if r.reads > 0 {
-		res.ReplicaShare = float64(r.replicas) / float64(r.reads)
+		res.ReplicaShare = float64(r.replicaReads) / float64(r.reads)
 	}
-	for service, gap := range r.gaps {
+	for service, gap := range r.longestGaps {
 		res.LongestWriteGaps[service] = gap.Seconds()
 	}
 	for _, s := range r.seconds {
