--- a/internal/standin/control.go
+++ b/internal/standin/control.go
@@ -100,6 +100,6 @@
 	w.Header().Set("Content-Type", "application/json")
 	_ = json.NewEncoder(w).Encode(Status{ // the client may have disconnected
 		ID: s.opts.ID, Addr: s.Addr(), Role: role, Timeline: timelineID,
-		Flushed: flushed.String(), Replayed: replayed.String(), Sleeping: s.sleeping.Load(),
+		Flushed: flushed.String(), Replayed: replayed.String(), Sleeping: s.sleepingCalls.Load(),
 	})
 }
--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -32,7 +32,7 @@
 		}
 	}
 	if len(tokens) > 0 && tokens[0].Is("(") {
-		end := sqltext.CloseParen(tokens, 0)
+		end := sqltext.ClosingParen(tokens, 0)
 		if end < 0 {
 			return spec, sqlErrorf(sqlStateSyntax, "syntax error in COPY")
 		}
@@ -149,7 +149,7 @@
 	if err := reader.run(ctx); err != nil {
 		return nil, err
 	}
-	return &rowSet{affected: reader.count}, nil
+	return &rowSet{affected: reader.rowCount}, nil
 }
 
 // insertText returns an INSERT with one numbered parameter per column.
--- a/internal/standin/copyreader.go
+++ b/internal/standin/copyreader.go
@@ -25,8 +25,8 @@
 
 	buf        []byte
 	headerRead bool
-	ended      bool
-	count      int64
+	endRead    bool
+	rowCount   int64
 }
 
 // run reads messages up to CopyDone. CopyFail and unexpected messages end it with
@@ -62,7 +62,7 @@
 	if c.binary {
 		return c.consumeBinary(ctx, final)
 	}
-	for !c.ended {
+	for !c.endRead {
 		end := bytes.IndexByte(c.buf, '\n')
 		if end < 0 && (!final || len(c.buf) == 0) {
 			return nil
@@ -82,12 +82,12 @@
 
 func (c *copyReader) insertTextLine(ctx context.Context, line string) error {
 	if line == `\.` {
-		c.ended = true
+		c.endRead = true
 		return nil
 	}
 	fields := strings.Split(line, "\t")
 	if len(fields) != len(c.columns) {
-		return sqlErrorf(sqlStateBadCopyFormat, "row %d has %d columns, expected %d", c.count+1, len(fields), len(c.columns))
+		return sqlErrorf(sqlStateBadCopyFormat, "row %d has %d columns, expected %d", c.rowCount+1, len(fields), len(c.columns))
 	}
 	args := make([]any, len(fields))
 	for i, field := range fields {
@@ -138,7 +138,7 @@
 		}
 		c.buf, c.headerRead = c.buf[copyHeaderBytes:], true
 	}
-	for !c.ended {
+	for !c.endRead {
 		args, size, err := c.decodeTuple()
 		if err != nil {
 			return err
@@ -147,7 +147,7 @@
 			return c.checkTruncated(final)
 		}
 		c.buf = c.buf[size:]
-		if c.ended {
+		if c.endRead {
 			return nil
 		}
 		if err := c.insertRow(ctx, args); err != nil {
@@ -173,7 +173,7 @@
 	fields := int(int16(binary.BigEndian.Uint16(c.buf)))
 	size = 2
 	if fields < 0 {
-		c.ended = true
+		c.endRead = true
 		return nil, size, nil
 	}
 	if fields != len(c.columns) {
@@ -206,6 +206,6 @@
 		return err
 	}
 	c.session.tx.changes = append(c.session.tx.changes, change{SQL: c.insert, Args: args})
-	c.count++
+	c.rowCount++
 	return nil
 }
--- a/internal/standin/extended.go
+++ b/internal/standin/extended.go
@@ -209,7 +209,7 @@
 // before it and, outside a transaction block, closes all portals.
 func (s *session) sync() error {
 	s.skipUntilSync = false
-	if !s.tx.block {
+	if !s.tx.inBlock {
 		if _, err := s.commit(); err != nil {
 			if err := s.reportError(err, false); err != nil {
 				return err
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -38,7 +38,7 @@
 
 // A query sent during a fault must neither complete nor fail before the fault is
 // cleared, and must succeed afterwards on the same connection.
-func TestStallAndPartitionDeliverHeldTrafficOnceCleared(t *testing.T) {
+func TestStallAndPartitionDeferQueryUntilCleared(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
 	faults := map[string]func(bool){
--- a/internal/standin/functions.go
+++ b/internal/standin/functions.go
@@ -113,8 +113,8 @@
 	if err != nil {
 		return "", true, sqlErrorf(sqlStateInvalidText, "pg_sleep: %v", err)
 	}
-	f.s.srv.sleeping.Add(1)
-	defer f.s.srv.sleeping.Add(-1)
+	f.s.srv.sleepingCalls.Add(1)
+	defer f.s.srv.sleepingCalls.Add(-1)
 	return "''", true, sleep(f.ctx, time.Duration(seconds*float64(time.Second)))
 }
 
@@ -205,12 +205,12 @@
 type describeEnv struct{ functionEnv }
 
 // Function implements sqltext.Resolver.
-func (p *describeEnv) Function(name string, args []string) (string, bool, error) {
+func (d *describeEnv) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep", "set_config", "current_setting", "pg_current_wal_lsn", "pg_wal_lsn_diff":
 		return "''", true, nil
 	case "pg_promote":
 		return boolLiteral(true), true, nil
 	}
-	return p.resolveReadOnly(name, args)
+	return d.resolveReadOnly(name, args)
 }
--- a/internal/standin/helpers_test.go
+++ b/internal/standin/helpers_test.go
@@ -18,13 +18,13 @@
 
 // startGroup runs a primary with two replicas until the test ends. change adjusts the
 // options, which have no connect and replication delays.
-func startGroup(t *testing.T, change func(*standin.Options)) *standin.Group {
+func startGroup(t *testing.T, adjust func(*standin.Options)) *standin.Group {
 	t.Helper()
 	opts := standin.Options{
 		Service: "ledger", Password: password, RecordsTable: true, ConnectDelay: -1, ReplicationDelay: -1,
 	}
-	if change != nil {
-		change(&opts)
+	if adjust != nil {
+		adjust(&opts)
 	}
 	group, err := standin.NewGroup(opts, 3, nil)
 	if err != nil {
@@ -80,12 +80,12 @@
 }
 
 // waitFor polls until condition holds and fails the test after waitTimeout.
-func waitFor(t *testing.T, what string, condition func() bool) {
+func waitFor(t *testing.T, description string, condition func() bool) {
 	t.Helper()
 	deadline := time.Now().Add(waitTimeout)
 	for !condition() {
 		if time.Now().After(deadline) {
-			t.Fatalf("%s: not within %s", what, waitTimeout)
+			t.Fatalf("%s: not within %s", description, waitTimeout)
 		}
 		time.Sleep(2 * time.Millisecond)
 	}
--- a/internal/standin/protocol_test.go
+++ b/internal/standin/protocol_test.go
@@ -151,7 +151,7 @@
 	}
 }
 
-func TestCopy(t *testing.T) {
+func TestCopyRoundTripAndFailedCopyRollback(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	in := "a\tw\tone\\ntwo\t\\N\nb\tw\tx\\ty\tz\n"
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -121,13 +121,13 @@
 	if err := s.reconcileLog(ctx, first); err != nil {
 		return err
 	}
-	acks := make(chan struct{})
+	statusDone := make(chan struct{})
 	go func() {
-		defer close(acks)
+		defer close(statusDone)
 		s.reportStatus(ctx, fe)
 	}()
 	err := s.receiveRecords(fe)
-	<-acks
+	<-statusDone
 	return err
 }
 
--- a/internal/standin/replication_test.go
+++ b/internal/standin/replication_test.go
@@ -78,8 +78,8 @@
 // promotion must keep the flushed ones, and the old primary must drop the others when
 // it becomes a replica of the new timeline.
 func TestPromotionKeepsFlushedDropsUnflushed(t *testing.T) {
-	var named atomic.Pointer[standin.Server]
-	admin := startAdmin(t, &named)
+	var namedPrimary atomic.Pointer[standin.Server]
+	admin := startAdmin(t, &namedPrimary)
 	group := startGroup(t, func(o *standin.Options) {
 		o.ReplayLag, o.Admins, o.AnnounceInterval = time.Hour, []string{admin}, 10*time.Millisecond
 	})
@@ -106,7 +106,7 @@
 	mustExec(t, promoted, "insert into records(id) values ('new')")
 
 	old.Faults().Clear()
-	named.Store(next)
+	namedPrimary.Store(next)
 	waitFor(t, "demotion", func() bool {
 		role, timelineID, _, _ := old.Position()
 		return role == standin.RoleReplica && timelineID == 2
@@ -123,7 +123,7 @@
 
 // startAdmin starts an admin endpoint that responds to announcements with the named
 // primary, if there is one, and returns its address.
-func startAdmin(t *testing.T, named *atomic.Pointer[standin.Server]) string {
+func startAdmin(t *testing.T, namedPrimary *atomic.Pointer[standin.Server]) string {
 	t.Helper()
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		var a standin.Announcement
@@ -131,7 +131,7 @@
 			t.Errorf("announcement %+v: %v", a, err)
 		}
 		response := map[string]any{"term": 1}
-		if s := named.Load(); s != nil {
+		if s := namedPrimary.Load(); s != nil {
 			response["primary"], response["primary_addr"] = s.ID(), s.Addr()
 		}
 		if err := json.NewEncoder(w).Encode(response); err != nil {
--- a/internal/standin/sender.go
+++ b/internal/standin/sender.go
@@ -40,7 +40,7 @@
 
 // standby is a replica that is streaming from this primary. Its status is guarded
 // by Server.mu.
-type standby struct {
+type connectedReplica struct {
 	id     string
 	status replicationStatus
 }
@@ -59,18 +59,18 @@
 	if err := s.receiveCopyData(&request); err != nil {
 		return errConnectionClosed
 	}
-	sb := &standby{id: request.ID}
-	s.srv.addStandby(sb)
-	defer s.srv.removeStandby(sb)
+	replica := &connectedReplica{id: request.ID}
+	s.srv.addReplica(replica)
+	defer s.srv.removeReplica(replica)
 	ctx, cancel := context.WithCancel(s.ctx)
 	go func() {
 		defer cancel()
-		s.receiveStatus(sb)
+		s.receiveStatus(replica)
 	}()
 	err := s.stream(ctx, request)
 	s.conn.Close()
 	<-ctx.Done()
-	s.srv.opts.Logger.Debug("standin_stream_ended", "id", s.srv.opts.ID, "replica", sb.id, "err", fmt.Sprint(err))
+	s.srv.opts.Logger.Debug("standin_stream_ended", "id", s.srv.opts.ID, "replica", replica.id, "err", fmt.Sprint(err))
 	return errConnectionClosed
 }
 
@@ -86,14 +86,14 @@
 	return cborDecoding.Unmarshal(data.Data, v)
 }
 
-func (s *session) receiveStatus(sb *standby) {
+func (s *session) receiveStatus(replica *connectedReplica) {
 	for {
 		var status replicationStatus
 		if err := s.receiveCopyData(&status); err != nil {
 			return
 		}
 		s.srv.mu.Lock()
-		sb.status = status
+		replica.status = status
 		s.srv.mu.Unlock()
 	}
 }
@@ -147,16 +147,16 @@
 	return s.be.Flush()
 }
 
-func (s *Server) addStandby(sb *standby) {
+func (s *Server) addReplica(replica *connectedReplica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.standbys[sb] = struct{}{}
+	s.replicas[replica] = struct{}{}
 }
 
-func (s *Server) removeStandby(sb *standby) {
+func (s *Server) removeReplica(replica *connectedReplica) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	delete(s.standbys, sb)
+	delete(s.replicas, replica)
 }
 
 // statReplication returns the view pg_stat_replication. Positions are NULL until
@@ -166,13 +166,13 @@
 		"application_name state sent_lsn write_lsn flush_lsn replay_lsn sync_state")}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for sb := range s.standbys {
+	for replica := range s.replicas {
 		flushed, replayed := nullLiteral, nullLiteral
-		if sb.status.Flushed > 0 {
-			flushed, replayed = lsnLiteral(sb.status.Flushed), lsnLiteral(sb.status.Replayed)
+		if replica.status.Flushed > 0 {
+			flushed, replayed = lsnLiteral(replica.status.Flushed), lsnLiteral(replica.status.Replayed)
 		}
 		rel.Rows = append(rel.Rows, []string{
-			sqltext.Quote(sb.id), "'streaming'", flushed, flushed, flushed, replayed, "'async'",
+			sqltext.Quote(replica.id), "'streaming'", flushed, flushed, flushed, replayed, "'async'",
 		})
 	}
 	return rel
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -22,11 +22,11 @@
 	replayLag        atomic.Int64 // in nanoseconds
 	replicationDelay atomic.Int64 // in nanoseconds
 	// sleeping counts the running calls of pg_sleep.
-	sleeping atomic.Int64
+	sleepingCalls atomic.Int64
 
-	ctx    context.Context
-	cancel context.CancelFunc
-	tasks  sync.WaitGroup
+	ctx         context.Context
+	cancel      context.CancelFunc
+	connections sync.WaitGroup
 
 	// roleMu serializes promotions and demotions.
 	roleMu sync.Mutex
@@ -39,7 +39,7 @@
 	sessions    map[uint32]*session
 	callerCount int
 	nextPID     uint32
-	standbys    map[*standby]struct{}
+	replicas    map[*connectedReplica]struct{}
 	roleChanged chan struct{}
 }
 
@@ -68,7 +68,7 @@
 	s := &Server{
 		opts: opts, ln: ln, faults: newFaults(), scram: scramServer, wal: wal, ctx: ctx, cancel: cancel,
 		role: wal.file.loadRole(opts.Role), upstream: opts.Upstream, eng: eng,
-		sessions: make(map[uint32]*session), standbys: make(map[*standby]struct{}),
+		sessions: make(map[uint32]*session), replicas: make(map[*connectedReplica]struct{}),
 		roleChanged: make(chan struct{}),
 	}
 	s.SetReplayLag(opts.ReplayLag)
@@ -149,7 +149,7 @@
 
 func (s *Server) close() {
 	s.Kill()
-	s.tasks.Wait()
+	s.connections.Wait()
 	s.engine().close()
 	s.wal.file.close()
 }
@@ -163,9 +163,9 @@
 			}
 			return errors.Wrap(err, "accept")
 		}
-		s.tasks.Add(1)
+		s.connections.Add(1)
 		go func() {
-			defer s.tasks.Done()
+			defer s.connections.Done()
 			s.serve(conn)
 		}()
 	}
@@ -188,7 +188,7 @@
 			return fatalErrorf(sqlStateTooManyConnections, "sorry, too many clients already")
 		}
 		s.callerCount++
-		session.counted = true
+		session.countedAsCaller = true
 	}
 	s.nextPID++
 	session.pid = s.nextPID
@@ -203,7 +203,7 @@
 		return
 	}
 	delete(s.sessions, session.pid)
-	if session.counted {
+	if session.countedAsCaller {
 		s.callerCount--
 	}
 }
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -27,9 +27,9 @@
 	cancel context.CancelFunc
 	pid    uint32
 	// counted is set if the session counts towards the connection limit.
-	counted bool
-	secret  []byte
-	types   *pgtype.Map
+	countedAsCaller bool
+	secret          []byte
+	types           *pgtype.Map
 
 	eng        *engine
 	db         *sql.Conn
@@ -41,9 +41,9 @@
 	// Sync are discarded.
 	skipUntilSync bool
 
-	stopMu sync.Mutex
+	runningMu sync.Mutex
 	// stop cancels the running statement, nil if there is none.
-	stop context.CancelFunc
+	cancelRunning context.CancelFunc
 }
 
 // errConnectionClosed ends a session without a message to the client.
@@ -264,13 +264,13 @@
 	if limit := statementTimeout(s.settings); limit > 0 {
 		ctx, cancel = context.WithTimeout(s.ctx, limit)
 	}
-	s.stopMu.Lock()
-	s.stop = cancel
-	s.stopMu.Unlock()
+	s.runningMu.Lock()
+	s.cancelRunning = cancel
+	s.runningMu.Unlock()
 	return ctx, func() {
-		s.stopMu.Lock()
-		s.stop = nil
-		s.stopMu.Unlock()
+		s.runningMu.Lock()
+		s.cancelRunning = nil
+		s.runningMu.Unlock()
 		cancel()
 	}
 }
@@ -281,10 +281,10 @@
 	if subtle.ConstantTimeCompare(secret, s.secret) != 1 {
 		return
 	}
-	s.stopMu.Lock()
-	defer s.stopMu.Unlock()
-	if s.stop != nil {
-		s.stop()
+	s.runningMu.Lock()
+	defer s.runningMu.Unlock()
+	if s.cancelRunning != nil {
+		s.cancelRunning()
 	}
 }
 
--- a/internal/standin/sessioncmd.go
+++ b/internal/standin/sessioncmd.go
@@ -56,8 +56,8 @@
 		return nil
 	}
 	if len(tokens) > 4 && tokens[1].Is("session") && tokens[2].Is("characteristics") {
-		mode := parseMode(tokens, txMode{readOnly: isOn(s.settings[settingReadOnly])})
-		s.assign(assignment{name: settingReadOnly, value: onOff(mode.readOnly)})
+		mode := parseMode(tokens, txMode{readOnly: isOn(s.settings[settingDefaultReadOnly])})
+		s.assign(assignment{name: settingDefaultReadOnly, value: onOff(mode.readOnly)})
 		return nil
 	}
 	a, err := parseSet(tokens)
@@ -142,7 +142,7 @@
 }
 
 func (s *session) discard() error {
-	if s.tx.block {
+	if s.tx.inBlock {
 		return sqlErrorf(sqlStateActiveTx, "DISCARD ALL cannot run inside a transaction block")
 	}
 	s.reset("all")
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -10,11 +10,11 @@
 
 // Names of session settings that the stand-in acts on.
 const (
-	settingReadOnly   = "default_transaction_read_only"
-	settingIsolation  = "default_transaction_isolation"
-	settingTimeout    = "statement_timeout"
-	settingAppName    = "application_name"
-	settingTxReadOnly = "transaction_read_only"
+	settingDefaultReadOnly  = "default_transaction_read_only"
+	settingDefaultIsolation = "default_transaction_isolation"
+	settingStatementTimeout = "statement_timeout"
+	settingAppName          = "application_name"
+	settingTxReadOnly       = "transaction_read_only"
 )
 
 var defaultSettings = map[string]string{
@@ -32,9 +32,9 @@
 	"lock_timeout":                "0",
 	"max_connections":             "100",
 	settingAppName:                "",
-	settingReadOnly:               "off",
-	settingIsolation:              "read committed",
-	settingTimeout:                "0",
+	settingDefaultReadOnly:        "off",
+	settingDefaultIsolation:       "read committed",
+	settingStatementTimeout:       "0",
 }
 
 // reportedSettings are the settings whose values are sent as ParameterStatus at the
@@ -42,7 +42,7 @@
 var reportedSettings = []struct{ key, name string }{
 	{"server_version", "server_version"}, {"server_encoding", "server_encoding"},
 	{"client_encoding", "client_encoding"}, {settingAppName, "application_name"},
-	{settingReadOnly, "default_transaction_read_only"}, {"datestyle", "DateStyle"},
+	{settingDefaultReadOnly, "default_transaction_read_only"}, {"datestyle", "DateStyle"},
 	{"intervalstyle", "IntervalStyle"}, {"timezone", "TimeZone"},
 	{"integer_datetimes", "integer_datetimes"}, {"is_superuser", "is_superuser"},
 	{"standard_conforming_strings", "standard_conforming_strings"},
@@ -67,7 +67,7 @@
 // statementTimeout returns the time limit of statements, or zero for none. Numbers
 // without a unit are milliseconds.
 func statementTimeout(settings map[string]string) time.Duration {
-	value := settings[settingTimeout]
+	value := settings[settingStatementTimeout]
 	if ms, err := strconv.Atoi(value); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
--- a/internal/standin/simple.go
+++ b/internal/standin/simple.go
@@ -61,7 +61,7 @@
 			return err
 		}
 	}
-	if last && !s.tx.block {
+	if last && !s.tx.inBlock {
 		if _, err := s.commit(); err != nil {
 			return err
 		}
@@ -140,14 +140,14 @@
 		set, err := s.copyOut(ctx, st)
 		return set, commandTag(st, set), err
 	case sqltext.Unsupported, sqltext.StartReplication:
-		return nil, "", unsupported(st)
+		return nil, "", unsupportedError(st)
 	}
 	return s.runSessionCommand(ctx, st)
 }
 
 // unsupported returns "feature not supported" for statements of PostgreSQL that the
 // stand-in lacks, and a syntax error for all others.
-func unsupported(st *sqltext.Statement) error {
+func unsupportedError(st *sqltext.Statement) error {
 	switch st.First() {
 	case "lock", "listen", "notify", "unlisten", "prepare", "execute", "declare", "fetch", "close", "grant",
 		"revoke", "vacuum", "analyze", "copy", "do", "call", "comment", "merge", "cluster", "reindex":
--- a/internal/standin/sqltext/expand.go
+++ b/internal/standin/sqltext/expand.go
@@ -87,11 +87,11 @@
 	if t.Kind != Word || i > 0 && tokens[i-1].Is(".") && !tokens[i-2].Is("pg_catalog") {
 		return nil, -1, nil
 	}
-	call := i+1 < len(tokens) && tokens[i+1].Is("(")
-	if inFrom(tokens, i) {
-		return expandRelation(tokens, i, call, env)
+	isCall := i+1 < len(tokens) && tokens[i+1].Is("(")
+	if followsFromOrJoin(tokens, i) {
+		return expandRelation(tokens, i, isCall, env)
 	}
-	if !call {
+	if !isCall {
 		literal, ok, err := bareFunction(t.Text, env)
 		if err != nil || !ok {
 			return nil, -1, err
@@ -101,7 +101,7 @@
 	if !volatileFunctions[t.Text] && !strings.HasPrefix(t.Text, "pg_") {
 		return nil, -1, nil
 	}
-	end := CloseParen(tokens, i+1)
+	end := ClosingParen(tokens, i+1)
 	if end < 0 {
 		return nil, -1, errors.New("syntax error: unbalanced parentheses")
 	}
@@ -158,7 +158,7 @@
 
 // inFrom reports whether tokens[i], with or without a schema, directly follows
 // FROM or JOIN. A relation after a comma in the FROM list is not recognized.
-func inFrom(tokens []Token, i int) bool {
+func followsFromOrJoin(tokens []Token, i int) bool {
 	if i > 1 && tokens[i-1].Is(".") {
 		i -= 2
 	}
@@ -170,14 +170,14 @@
 
 // expandRelation replaces a view or table function by a subquery. The subquery
 // gets the relation's name as its alias unless the statement gives another.
-func expandRelation(tokens []Token, i int, call bool, env Resolver) ([]Token, int, error) {
+func expandRelation(tokens []Token, i int, isCall bool, env Resolver) ([]Token, int, error) {
 	rel, ok := env.Relation(tokens[i].Text)
 	if !ok {
 		return nil, -1, nil
 	}
 	end := i
-	if call {
-		end = CloseParen(tokens, i+1)
+	if isCall {
+		end = ClosingParen(tokens, i+1)
 	}
 	out := []Token{{Op, "("}, {Word, rel.query()}, {Op, ")"}}
 	if end+1 >= len(tokens) || !tokens[end+1].Is("as") && !isAlias(tokens[end+1]) {
--- a/internal/standin/sqltext/infer.go
+++ b/internal/standin/sqltext/infer.go
@@ -170,13 +170,13 @@
 			return TypeOf(name)
 		}
 	}
-	if first.Kind == Word && expr[1].Is("(") && CloseParen(expr, 1) == len(expr)-1 {
+	if first.Kind == Word && expr[1].Is("(") && ClosingParen(expr, 1) == len(expr)-1 {
 		return functionTypes[first.Text]
 	}
 	if isComparison(expr) {
 		return Bool
 	}
-	if topOperator(expr, "||") {
+	if hasTopLevelOperator(expr, "||") {
 		return Text
 	}
 	return Unknown
@@ -184,7 +184,7 @@
 
 func hasOperator(expr []Token) bool {
 	for _, op := range []string{"+", "-", "*", "/", "||", "=", "<", ">"} {
-		if topOperator(expr, op) {
+		if hasTopLevelOperator(expr, op) {
 			return true
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 // topOperator reports whether expr has the operator outside parentheses.
-func topOperator(expr []Token, op string) bool {
+func hasTopLevelOperator(expr []Token, op string) bool {
 	depth := 0
 	for _, t := range expr {
 		switch {
@@ -212,7 +212,7 @@
 		return true
 	}
 	for _, op := range []string{"=", "<>", "!=", "<", ">", "<=", ">="} {
-		if topOperator(expr, op) {
+		if hasTopLevelOperator(expr, op) {
 			return expr[0].Text != "case"
 		}
 	}
--- a/internal/standin/sqltext/params.go
+++ b/internal/standin/sqltext/params.go
@@ -112,14 +112,14 @@
 		return
 	}
 	var names []string
-	if open := firstParen(s.Tokens[into:values]); open >= 0 {
+	if open := firstOpeningParen(s.Tokens[into:values]); open >= 0 {
 		open += into
-		for _, part := range splitCommas(s.Tokens[open+1 : CloseParen(s.Tokens, open)]) {
+		for _, part := range splitCommas(s.Tokens[open+1 : ClosingParen(s.Tokens, open)]) {
 			names = append(names, part[0].Name())
 		}
 	}
 	for open := values + 1; open < len(s.Tokens) && s.Tokens[open].Is("("); {
-		end := CloseParen(s.Tokens, open)
+		end := ClosingParen(s.Tokens, open)
 		if end < 0 {
 			return
 		}
@@ -153,7 +153,7 @@
 	}
 }
 
-func firstParen(tokens []Token) int {
+func firstOpeningParen(tokens []Token) int {
 	for i, t := range tokens {
 		if t.Is("(") {
 			return i
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -46,7 +46,7 @@
 	if len(tokens) > 0 && tokens[0].Is("explain") {
 		tokens = append([]Token{{Word, "explain"}, {Word, "query"}, {Word, "plan"}}, tokens[1:]...)
 	}
-	create := len(tokens) > 0 && tokens[0].Is("create")
+	isCreate := len(tokens) > 0 && tokens[0].Is("create")
 	out := make([]Token, 0, len(tokens)+8)
 	for i := 0; i < len(tokens); i++ {
 		t := tokens[i]
@@ -64,9 +64,9 @@
 			i++
 		case isLockingClause(tokens, i):
 			return out, nil
-		case create && (t.Is("serial") || t.Is("bigserial")):
+		case isCreate && (t.Is("serial") || t.Is("bigserial")):
 			out = append(out, Token{Word, "integer"})
-		case create && t.Is("default") && isTimeFunction(tokens, i+1):
+		case isCreate && t.Is("default") && isTimeFunction(tokens, i+1):
 			return nil, errors.New("a default that depends on the time is not supported")
 		default:
 			out = append(out, t)
@@ -157,7 +157,7 @@
 
 // CloseParen returns the index of the parenthesis that closes the one at
 // tokens[open], or -1.
-func CloseParen(tokens []Token, open int) int {
+func ClosingParen(tokens []Token, open int) int {
 	depth := 0
 	for i := open; i < len(tokens); i++ {
 		if tokens[i].Is("(") {
@@ -199,7 +199,7 @@
 		name = "varchar"
 	}
 	if next("(") {
-		if end := CloseParen(tokens, i+1); end > 0 {
+		if end := ClosingParen(tokens, i+1); end > 0 {
 			i = end
 		}
 	}
--- a/internal/standin/tx.go
+++ b/internal/standin/tx.go
@@ -21,7 +21,7 @@
 // and the write semaphore are acquired at the first write.
 type txState struct {
 	// block is set from BEGIN to the end of the transaction block.
-	block bool
+	inBlock bool
 	// implicit is set while the statements of one Query message, or the messages up
 	// to Sync, share a transaction without BEGIN.
 	implicit bool
@@ -36,7 +36,7 @@
 	rollbackSettings map[string]string
 	commitSettings   map[string]string
 	// wrote is set once the engine transaction has been committed with changes.
-	wrote bool
+	committedWrite bool
 }
 
 // savepoint is a savepoint with the number of changes made before it.
@@ -48,9 +48,9 @@
 // status returns the transaction status of ReadyForQuery.
 func (t *txState) status() byte {
 	switch {
-	case t.block && t.failed:
+	case t.inBlock && t.failed:
 		return 'E'
-	case t.block:
+	case t.inBlock:
 		return 'T'
 	}
 	return 'I'
@@ -58,24 +58,24 @@
 
 // begin opens a transaction block. Inside a block it does nothing.
 func (s *session) begin(st *sqltext.Statement) {
-	if s.tx.block {
+	if s.tx.inBlock {
 		return
 	}
 	s.openTx()
-	s.tx.block = true
+	s.tx.inBlock = true
 	s.tx.mode = parseMode(st.Tokens, s.tx.mode)
 }
 
 // openTx starts an implicit transaction unless a transaction is open.
 func (s *session) openTx() {
-	if s.tx.block || s.tx.implicit {
+	if s.tx.inBlock || s.tx.implicit {
 		return
 	}
-	isolation := s.settings[settingIsolation]
+	isolation := s.settings[settingDefaultIsolation]
 	s.tx = txState{
 		implicit: true,
 		mode: txMode{
-			readOnly: isOn(s.settings[settingReadOnly]),
+			readOnly: isOn(s.settings[settingDefaultReadOnly]),
 			snapshot: isolation == "repeatable read" || isolation == "serializable",
 		},
 		rollbackSettings: copySettings(s.settings),
@@ -85,7 +85,7 @@
 // ensureSnapshot opens a snapshot if the isolation level of a block requires one. On
 // a primary, a block that is not read-only opens a write transaction instead.
 func (s *session) ensureSnapshot(ctx context.Context) error {
-	if s.tx.engineTx != engineTxNone || !s.tx.mode.snapshot || !s.tx.block {
+	if s.tx.engineTx != engineTxNone || !s.tx.mode.snapshot || !s.tx.inBlock {
 		return nil
 	}
 	if !s.tx.mode.readOnly && s.srv.isPrimary() {
@@ -129,7 +129,7 @@
 		s.rollback()
 		return false, nil
 	}
-	err := s.commitEngine()
+	err := s.commitEngineTx()
 	if err != nil {
 		s.rollback()
 		return false, err
@@ -137,9 +137,9 @@
 	if s.tx.commitSettings != nil {
 		s.settings = s.tx.commitSettings
 	}
-	wrote := s.tx.wrote
+	committedWrite := s.tx.committedWrite
 	s.tx = txState{}
-	if wrote && s.srv.faults.consumeDrop() {
+	if committedWrite && s.srv.faults.consumeDrop() {
 		return false, errConnectionClosed
 	}
 	return true, nil
@@ -147,19 +147,19 @@
 
 // commitEngine ends the engine transaction. A write transaction without changes is
 // rolled back and leaves no record in the log.
-func (s *session) commitEngine() error {
+func (s *session) commitEngineTx() error {
 	switch s.tx.engineTx {
 	case engineTxSnapshot:
 		s.releaseSnapshot()
 	case engineTxWrite:
 		if len(s.tx.changes) == 0 {
-			s.releaseWrite()
+			s.rollbackWrite()
 			return nil
 		}
 		if err := s.srv.commit(s); err != nil {
 			return err
 		}
-		s.tx.wrote = true
+		s.tx.committedWrite = true
 		s.tx.engineTx = engineTxNone
 		s.eng.unlockWrite()
 	}
@@ -172,7 +172,7 @@
 	s.tx.engineTx = engineTxNone
 }
 
-func (s *session) releaseWrite() {
+func (s *session) rollbackWrite() {
 	_, _ = s.db.ExecContext(context.Background(), "rollback") // fails only if already rolled back
 	s.eng.invalidateColumns()
 	s.tx.engineTx = engineTxNone
@@ -181,19 +181,19 @@
 
 // rollback ends the transaction and undoes its changes, including settings.
 func (s *session) rollback() {
-	s.releaseEngine()
+	s.rollbackEngineTx()
 	if s.tx.rollbackSettings != nil {
 		s.settings = s.tx.rollbackSettings
 	}
 	s.tx = txState{}
 }
 
-func (s *session) releaseEngine() {
+func (s *session) rollbackEngineTx() {
 	switch s.tx.engineTx {
 	case engineTxSnapshot:
 		s.releaseSnapshot()
 	case engineTxWrite:
-		s.releaseWrite()
+		s.rollbackWrite()
 	}
 }
 
@@ -201,20 +201,20 @@
 // marks a block as failed. Without savepoints the engine transaction of the block
 // ends at once, otherwise ROLLBACK TO may still resume it.
 func (s *session) abort() {
-	if !s.tx.block {
+	if !s.tx.inBlock {
 		s.rollback()
 		return
 	}
 	s.tx.failed = true
 	if len(s.tx.savepoints) == 0 {
-		s.releaseEngine()
+		s.rollbackEngineTx()
 		s.tx.changes = nil
 	}
 }
 
 // setSavepoint runs SAVEPOINT. A block that may write opens its write transaction.
 func (s *session) setSavepoint(ctx context.Context, name string) error {
-	if !s.tx.block {
+	if !s.tx.inBlock {
 		return sqlErrorf(sqlStateNoActiveTx, "SAVEPOINT can only be used in transaction blocks")
 	}
 	if !s.tx.mode.readOnly && s.srv.isPrimary() {
@@ -239,9 +239,9 @@
 	if i < 0 {
 		return sqlErrorf(sqlStateInvalidSavepoint, "savepoint %q does not exist", name)
 	}
-	text, keep := "release ", i
+	text, remaining := "release ", i
 	if rollback {
-		text, keep = "rollback to ", i+1
+		text, remaining = "rollback to ", i+1
 	}
 	if s.tx.engineTx == engineTxWrite {
 		if _, err := s.db.ExecContext(ctx, text+quoteName(name)); err != nil {
@@ -253,7 +253,7 @@
 		s.tx.failed = false
 		s.eng.invalidateColumns()
 	}
-	s.tx.savepoints = s.tx.savepoints[:keep]
+	s.tx.savepoints = s.tx.savepoints[:remaining]
 	return nil
 }
 
--- a/internal/standin/wal.go
+++ b/internal/standin/wal.go
@@ -33,7 +33,7 @@
 }
 
 // recordOverhead is the size in bytes of a transaction besides its statements.
-const recordOverhead = 48
+const recordOverheadBytes = 48
 
 // wal is the endpoint's log: all flushed transactions, in ascending order of their
 // end positions, and the history of timelines. Methods are safe for concurrent use.
@@ -47,15 +47,15 @@
 	changed    chan struct{}
 	file       *walFile
 	// statements holds one copy of the text of recurring statements.
-	statements map[string]string
+	internedSQL map[string]string
 }
 
 func newWAL() *wal {
 	return &wal{
-		history:    []timeline{{Number: 1, Start: firstLSN, Origin: "initial"}},
-		replayed:   firstLSN,
-		changed:    make(chan struct{}),
-		statements: make(map[string]string),
+		history:     []timeline{{Number: 1, Start: firstLSN, Origin: "initial"}},
+		replayed:    firstLSN,
+		changed:     make(chan struct{}),
+		internedSQL: make(map[string]string),
 	}
 }
 
@@ -66,20 +66,20 @@
 // holds mu.
 func (w *wal) internStatements(changes []change) {
 	for i, c := range changes {
-		interned, ok := w.statements[c.SQL]
+		interned, ok := w.internedSQL[c.SQL]
 		if ok {
 			changes[i].SQL = interned
 			continue
 		}
-		if len(w.statements) < maxInternedStatements {
-			w.statements[c.SQL] = c.SQL
+		if len(w.internedSQL) < maxInternedStatements {
+			w.internedSQL[c.SQL] = c.SQL
 		}
 	}
 }
 
 // recordSize returns the log space of a transaction, rounded up to 8 bytes.
 func recordSize(changes []change) LSN {
-	size := recordOverhead
+	size := recordOverheadBytes
 	for _, c := range changes {
 		size += len(c.SQL) + 8*len(c.Args)
 		for _, arg := range c.Args {
