--- a/internal/standin/columns.go
+++ b/internal/standin/columns.go
@@ -53,14 +53,15 @@
 	return s.probeColumns(s.ctx, st, text)
 }
 
-// probeColumns returns the columns that the engine reports for a query. Where the
-// engine declares no type, the type is taken from the value in the first row.
+// probeColumns returns the columns that the engine reports for a query. For a column
+// of a read without a declared type, the type is taken from the value in the first row.
 func (s *session) probeColumns(ctx context.Context, st *sqltext.Statement, text string) ([]column, error) {
 	nulls := make([]any, st.Params)
 	set, err := s.queryEngine(ctx, "select * from ("+text+") limit 0", nulls)
 	if err != nil {
 		return nil, err
 	}
+	// SQLite appends a colon and a number to repeated column names of a subquery.
 	for i := range set.columns {
 		set.columns[i].name, _, _ = strings.Cut(set.columns[i].name, ":")
 	}
--- a/internal/standin/concurrency_test.go
+++ b/internal/standin/concurrency_test.go
@@ -45,7 +45,7 @@
 					return err
 				}
 				if err == nil && sum != 2000 {
-					return fmt.Errorf("sum of both accounts is %d", sum)
+					return fmt.Errorf("sum of both accounts is %d, want 2000", sum)
 				}
 			}
 			return nil
@@ -57,6 +57,6 @@
 	var amount int64
 	err := setup.QueryRow(testContext(t), "select amount from accounts where id = 2").Scan(&amount)
 	if err != nil || amount != 1000+writers*writesPerSession {
-		t.Errorf("amount %d: %v", amount, err)
+		t.Errorf("amount %d, want %d: %v", amount, 1000+writers*writesPerSession, err)
 	}
 }
--- a/internal/standin/copyreader.go
+++ b/internal/standin/copyreader.go
@@ -23,10 +23,12 @@
 	insert  string
 	binary  bool
 
+	// buf holds the data that is not decoded yet.
 	buf        []byte
 	headerRead bool
-	endRead    bool
-	rowCount   int64
+	// endRead is set once the end marker of the data has been read.
+	endRead  bool
+	rowCount int64
 }
 
 // run reads messages up to CopyDone. CopyFail and unexpected messages end it with
@@ -164,8 +166,9 @@
 	return nil
 }
 
-// decodeTuple decodes the binary row at the start of the buffer and returns its
-// length in bytes. A size of zero means that the row is incomplete.
+// decodeTuple decodes the binary row at the start of the buffer and returns its size
+// in bytes, or zero if the row is incomplete. At the trailer, which has a negative
+// number of fields, it sets endRead.
 func (c *copyReader) decodeTuple() (args []any, size int, err error) {
 	if len(c.buf) < 2 {
 		return nil, 0, nil
--- a/internal/standin/engine.go
+++ b/internal/standin/engine.go
@@ -19,9 +19,9 @@
 	"&_pragma=busy_timeout(30000)&_pragma=case_sensitive_like(1)&_pragma=temp_store(MEMORY)"
 
 // engine is an embedded SQLite database in a temporary folder. A transaction that
-// writes holds writeSem from its first write to its end. Reads outside a writing
-// transaction hold the read lock of commitMu and commits hold its write lock, so
-// that no commit takes place during a read.
+// writes holds writeSem from the start of its engine transaction to its end. Reads
+// outside a writing transaction hold the read lock of commitMu and commits hold its
+// write lock, so that no commit takes place during a read.
 type engine struct {
 	dir      string
 	db       *sql.DB
@@ -53,7 +53,7 @@
 	os.RemoveAll(e.dir)
 }
 
-// lockWrite waits for the write semaphore of the engine.
+// lockWrite acquires the write semaphore. It fails only if ctx ends first.
 func (e *engine) lockWrite(ctx context.Context) error {
 	select {
 	case e.writeSem <- struct{}{}:
--- a/internal/standin/fault.go
+++ b/internal/standin/fault.go
@@ -26,7 +26,8 @@
 	delay        time.Duration
 	pendingDrops int
 	partitioned  map[Link]bool
-	changed      chan struct{}
+	// changed is closed and replaced at each change of a switch.
+	changed chan struct{}
 }
 
 func newFaults() *Faults {
@@ -42,8 +43,8 @@
 	f.changed = make(chan struct{})
 }
 
-// Stall makes the endpoint accept connections and messages of callers without
-// answering until it is switched off.
+// Stall switches a stall on or off. During a stall the endpoint accepts connections and
+// messages of callers but does not respond.
 func (f *Faults) Stall(on bool) {
 	f.update(func() { f.stalled = on })
 }
@@ -112,7 +113,8 @@
 }
 
 // faultConn is a connection whose reads and writes block while its link is
-// partitioned. With an empty link, nothing blocks.
+// partitioned or, for LinkCallers, while the endpoint is stalled. With an empty link,
+// nothing blocks. ctx ends when the connection is closed, which ends blocked calls.
 type faultConn struct {
 	net.Conn
 	faults *Faults
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -18,7 +18,7 @@
 	conn := connect(t, primary)
 	primary.Faults().DropAfterCommit(1)
 	if _, err := conn.Exec(testContext(t), "insert into records(id) values ('a')"); err == nil {
-		t.Fatal("the client got a response to the commit")
+		t.Fatal("insert succeeded, want a dropped connection after the commit")
 	}
 	if n := countRecords(t, connect(t, primary)); n != 1 {
 		t.Errorf("%d records, want 1", n)
--- a/internal/standin/helpers_test.go
+++ b/internal/standin/helpers_test.go
@@ -16,8 +16,8 @@
 
 const password = "ledger secret"
 
-// startGroup runs a primary with two replicas until the test ends. change adjusts the
-// options, which have no connect and replication delays.
+// startGroup runs a primary with two replicas until the test ends. adjust, if not nil,
+// changes the options, which have no connect delay and no replication delay.
 func startGroup(t *testing.T, adjust func(*standin.Options)) *standin.Group {
 	t.Helper()
 	opts := standin.Options{
--- a/internal/standin/protocol_test.go
+++ b/internal/standin/protocol_test.go
@@ -98,11 +98,11 @@
 	mustExec(t, conn, "savepoint s")
 	mustExec(t, conn, "insert into records(id) values ('undone')")
 	if _, err := conn.Exec(testContext(t), "select * from missing"); sqlState(err) != "42P01" {
-		t.Fatal(err)
+		t.Fatalf("got %v, want SQLSTATE 42P01", err)
 	}
 	status('E')
 	if _, err := conn.Exec(testContext(t), "select 1"); sqlState(err) != "25P02" {
-		t.Fatal(err)
+		t.Fatalf("statement in a failed transaction: got %v, want SQLSTATE 25P02", err)
 	}
 	mustExec(t, conn, "rollback to savepoint s")
 	status('T')
@@ -115,11 +115,11 @@
 	_, err := conn.Exec(testContext(t), "insert into records(id) values ('x'); select * from missing",
 		pgx.QueryExecModeSimpleProtocol)
 	if sqlState(err) != "42P01" || countRecords(t, conn) != 1 {
-		t.Errorf("err %v, %d records", err, countRecords(t, conn))
+		t.Errorf("got %v and %d records, want SQLSTATE 42P01 and 1 record", err, countRecords(t, conn))
 	}
 	mustExec(t, conn, "start transaction read only")
 	if _, err := conn.Exec(testContext(t), "delete from records"); sqlState(err) != "25006" {
-		t.Error(err)
+		t.Errorf("delete in a read-only transaction: got %v, want SQLSTATE 25006", err)
 	}
 	mustExec(t, conn, "rollback")
 }
@@ -137,7 +137,7 @@
 			return err
 		}
 		if body != "bbb" {
-			t.Errorf("body %q", body)
+			t.Errorf("body %q, want \"bbb\"", body)
 		}
 		return nil
 	})
@@ -147,22 +147,24 @@
 	var got string
 	err := conn.QueryRow(testContext(t), "insert into records(id) values ($1) returning id", "d").Scan(&got)
 	if err != nil || got != "d" {
-		t.Fatalf("%q %v", got, err)
+		t.Fatalf("returned id %q, want \"d\": %v", got, err)
 	}
 }
 
+// Rows copied in as text and in binary format must come out unchanged, and a COPY that
+// fails at its second row must leave no row behind.
 func TestCopyRoundTripAndFailedCopyRollback(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	in := "a\tw\tone\\ntwo\t\\N\nb\tw\tx\\ty\tz\n"
 	tag, err := conn.PgConn().CopyFrom(testContext(t), strings.NewReader(in), "copy records from stdin")
 	if err != nil || tag.RowsAffected() != 2 {
-		t.Fatal(tag, err)
+		t.Fatalf("text COPY: tag %q, want 2 rows: %v", tag, err)
 	}
 	n, err := conn.CopyFrom(testContext(t), pgx.Identifier{"records"}, []string{"id", "body"},
 		pgx.CopyFromRows([][]any{{"c", "binary"}, {"d", nil}}))
 	if err != nil || n != 2 {
-		t.Fatal(n, err)
+		t.Fatalf("binary COPY: %d rows, want 2: %v", n, err)
 	}
 	var out bytes.Buffer
 	if _, err := conn.PgConn().CopyTo(testContext(t), &out, "copy (select * from records order by id) to stdout"); err != nil {
@@ -174,7 +176,7 @@
 	}
 	_, err = conn.PgConn().CopyFrom(testContext(t), strings.NewReader("e\tw\tx\ty\na\tw\tx\ty\n"), "copy records from stdin")
 	if sqlState(err) != "23505" || countRecords(t, conn) != 4 {
-		t.Errorf("a failed COPY left %d records: %v", countRecords(t, conn), err)
+		t.Errorf("failed COPY: got %v and %d records, want SQLSTATE 23505 and 4 records", err, countRecords(t, conn))
 	}
 }
 
@@ -193,7 +195,7 @@
 		select {
 		case err := <-done:
 			if sqlState(err) != "57014" {
-				t.Fatal(err)
+				t.Fatalf("got %v, want SQLSTATE 57014", err)
 			}
 			return
 		case <-time.After(10 * time.Millisecond):
@@ -206,12 +208,12 @@
 	conn := connect(t, group.Servers[0])
 	mustExec(t, conn, "set statement_timeout = 20")
 	if _, err := conn.Exec(testContext(t), "select pg_sleep(600)"); sqlState(err) != "57014" {
-		t.Fatal(err)
+		t.Fatalf("got %v, want SQLSTATE 57014", err)
 	}
 	mustExec(t, conn, "discard all")
 	var value string
 	if err := conn.QueryRow(testContext(t), "show statement_timeout").Scan(&value); err != nil || value != "0" {
-		t.Fatal(value, err)
+		t.Fatalf("statement_timeout is %q after DISCARD ALL, want 0: %v", value, err)
 	}
 }
 
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -67,8 +67,8 @@
 	return s.receive(ctx, hijacked.Frontend)
 }
 
-// dial connects to another endpoint of the group. Its traffic belongs to
-// LinkReplication.
+// dial connects to another endpoint of the group. The connection is part of
+// LinkReplication, also if it is not a replication connection.
 func (s *Server) dial(ctx context.Context, addr string, replication bool) (*pgconn.PgConn, error) {
 	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
--- a/internal/standin/replication_test.go
+++ b/internal/standin/replication_test.go
@@ -39,12 +39,12 @@
 			t.Errorf("replayed %q, want %q: %v", got, want, err)
 		}
 		if _, err := replica.Exec(testContext(t), "insert into records(id) values ('b')"); sqlState(err) != "25006" {
-			t.Error(err)
+			t.Errorf("insert on a replica: got %v, want SQLSTATE 25006", err)
 		}
 		var recovering bool
 		err := replica.QueryRow(testContext(t), "select pg_is_in_recovery()").Scan(&recovering)
 		if err != nil || !recovering {
-			t.Error(recovering, err)
+			t.Errorf("pg_is_in_recovery() is %t, want true: %v", recovering, err)
 		}
 	}
 	waitFor(t, "flush reported to the primary", func() bool {
@@ -100,7 +100,7 @@
 		t.Errorf("%d records after promotion, want 1", n)
 	}
 	if role, timelineID, _, _ := next.Position(); role != standin.RolePrimary || timelineID != 2 {
-		t.Errorf("role %s, timeline %d", role, timelineID)
+		t.Errorf("role %s, timeline %d after promotion, want primary, 2", role, timelineID)
 	}
 	mustExec(t, conn, "insert into records(id) values ('lost too')") // the old primary has not been demoted yet
 	mustExec(t, promoted, "insert into records(id) values ('new')")
--- a/internal/standin/sender.go
+++ b/internal/standin/sender.go
@@ -38,8 +38,8 @@
 	Replayed LSN `cbor:"2,keyasint"`
 }
 
-// standby is a replica that is streaming from this primary. Its status is guarded
-// by Server.mu.
+// connectedReplica is a replica that is streaming from this primary. Its status is
+// guarded by Server.mu.
 type connectedReplica struct {
 	id     string
 	status replicationStatus
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -12,7 +12,8 @@
 	"github.com/xdg-go/scram"
 )
 
-// Server is one endpoint. mu is locked before the mutex of wal where both are held.
+// Server is one endpoint. Where both are held, mu is locked before the mutex of wal.
+// The role changes only while roleMu and mu are held.
 type Server struct {
 	opts             Options
 	ln               net.Listener
@@ -21,7 +22,7 @@
 	wal              *wal
 	replayLag        atomic.Int64 // in nanoseconds
 	replicationDelay atomic.Int64 // in nanoseconds
-	// sleeping counts the running calls of pg_sleep.
+	// sleepingCalls counts the running calls of pg_sleep.
 	sleepingCalls atomic.Int64
 
 	ctx         context.Context
@@ -105,7 +106,8 @@
 	return role, s.wal.currentTimeline(), s.wal.flushed(), s.wal.replayedLSN()
 }
 
-// Run serves until ctx ends or Kill is called, and returns nil then.
+// Run serves until ctx ends or Kill is called, and returns nil then. It returns early
+// with the error of a task that fails.
 func (s *Server) Run(ctx context.Context) error {
 	defer s.close()
 	if err := s.restore(); err != nil {
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -17,8 +17,8 @@
 const secretKeyBytes = 4
 
 // session serves one connection. Only the goroutine of serve uses its fields, except
-// cancel, conn, secret and stop, which is guarded by stopMu. During a replication
-// stream, a second goroutine receives from be.
+// cancel, conn, secret and cancelRunning, which is guarded by runningMu. During a
+// replication stream, a second goroutine receives from be.
 type session struct {
 	srv    *Server
 	conn   *faultConn
@@ -26,7 +26,7 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	pid    uint32
-	// counted is set if the session counts towards the connection limit.
+	// countedAsCaller is set if the session counts towards Options.MaxConnections.
 	countedAsCaller bool
 	secret          []byte
 	types           *pgtype.Map
@@ -42,7 +42,7 @@
 	skipUntilSync bool
 
 	runningMu sync.Mutex
-	// stop cancels the running statement, nil if there is none.
+	// cancelRunning cancels the running statement; it is nil if there is none.
 	cancelRunning context.CancelFunc
 }
 
@@ -257,8 +257,8 @@
 	return s.be.Flush()
 }
 
-// statementContext returns the context of one statement. A CancelRequest and the
-// statement timeout cancel it.
+// statementContext returns the context of one statement, which a CancelRequest or the
+// statement timeout cancels, and a function to call at the statement's end.
 func (s *session) statementContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	if limit := statementTimeout(s.settings); limit > 0 {
--- a/internal/standin/sessioncmd.go
+++ b/internal/standin/sessioncmd.go
@@ -49,6 +49,7 @@
 	return st.Tokens[len(st.Tokens)-1].Name()
 }
 
+// set runs SET. Of SET SESSION CHARACTERISTICS only the access mode takes effect.
 func (s *session) set(st *sqltext.Statement) error {
 	tokens := st.Tokens
 	if len(tokens) > 2 && tokens[1].Is("transaction") {
@@ -75,9 +76,9 @@
 	return nil
 }
 
-// assign changes a setting and sends reported settings to the client. A SET LOCAL
-// keeps the earlier values in tx.commitSettings, in which later changes without
-// LOCAL are made as well.
+// assign changes a setting and sends it to the client if it is a reported one. The
+// first SET LOCAL of a transaction copies the settings to tx.commitSettings. Later
+// changes without LOCAL are made in that copy too, so that they outlast the commit.
 func (s *session) assign(a assignment) {
 	switch {
 	case a.local && s.tx.commitSettings == nil:
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -65,7 +65,7 @@
 }
 
 // statementTimeout returns the time limit of statements, or zero for none. Numbers
-// without a unit are milliseconds.
+// without a unit are milliseconds. A malformed value means no limit.
 func statementTimeout(settings map[string]string) time.Duration {
 	value := settings[settingStatementTimeout]
 	if ms, err := strconv.Atoi(value); err == nil {
--- a/internal/standin/simple.go
+++ b/internal/standin/simple.go
@@ -145,7 +145,7 @@
 	return s.runSessionCommand(ctx, st)
 }
 
-// unsupported returns "feature not supported" for statements of PostgreSQL that the
+// unsupportedError returns "feature not supported" for statements of PostgreSQL that the
 // stand-in lacks, and a syntax error for all others.
 func unsupportedError(st *sqltext.Statement) error {
 	switch st.First() {
@@ -210,7 +210,7 @@
 }
 
 // write runs a statement that changes data and adds it to the transaction's changes
-// for the log. Statements with a row count of zero are not logged.
+// for the log. Locking queries and statements that change no rows are not logged.
 func (s *session) write(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, error) {
 	if err := s.ensureWrite(ctx, strings.ToUpper(st.First())); err != nil {
 		return nil, err
--- a/internal/standin/sqltext/expand.go
+++ b/internal/standin/sqltext/expand.go
@@ -15,9 +15,9 @@
 
 // Resolver evaluates the server's own functions and views while a statement runs.
 type Resolver interface {
-	// Function returns the result of a call as an SQL literal. The last value
-	// is false if the server has no such function; the call then stays in the
-	// statement.
+	// Function returns the result of a call as an SQL literal. The boolean is
+	// false if the server does not evaluate the function; the call then stays
+	// in the statement.
 	Function(name string, args []string) (string, bool, error)
 	// Relation returns a system view or the result of a table function by name.
 	Relation(name string) (Relation, bool)
@@ -156,8 +156,8 @@
 	return t.Text
 }
 
-// inFrom reports whether tokens[i], with or without a schema, directly follows
-// FROM or JOIN. A relation after a comma in the FROM list is not recognized.
+// followsFromOrJoin reports whether tokens[i], with or without a schema, directly
+// follows FROM or JOIN. A relation after a comma in the FROM list is not recognized.
 func followsFromOrJoin(tokens []Token, i int) bool {
 	if i > 1 && tokens[i-1].Is(".") {
 		i -= 2
@@ -210,8 +210,9 @@
 	return strings.Join(selects, " union all ")
 }
 
-// compositeField replaces "(function()).field" by the field's value. The function
-// must return exactly one row.
+// compositeField replaces "(function()).field" by the field's value. It returns false,
+// and the expression stays as it is, unless the function returns exactly one row with
+// that field.
 func compositeField(tokens []Token, i int, env Resolver) ([]Token, int, bool) {
 	if i+6 >= len(tokens) || !tokens[i].Is("(") || !tokens[i+2].Is("(") || !tokens[i+3].Is(")") ||
 		!tokens[i+4].Is(")") || !tokens[i+5].Is(".") {
--- a/internal/standin/sqltext/infer.go
+++ b/internal/standin/sqltext/infer.go
@@ -4,8 +4,8 @@
 
 // ResultColumn describes one expression of a select list or RETURNING clause.
 type ResultColumn struct {
-	// Name is the column name that PostgreSQL would report, or "" if the name
-	// reported by SQLite is right.
+	// Name is the column name that PostgreSQL would report, or "" if SQLite reports
+	// the same name.
 	Name string
 	// Type is the object identifier of the data type, or Unknown.
 	Type uint32
@@ -86,6 +86,7 @@
 	return ResultColumn{Name: exprName(expr), Type: exprType(expr)}
 }
 
+// isName reports whether t may be the name of a column, table or alias.
 func isName(t Token) bool {
 	return t.Kind == QuotedName || t.Kind == Word && !isKeyword(t.Text) && t.Text != "end" && t.Text != "null"
 }
@@ -182,6 +183,8 @@
 	return Unknown
 }
 
+// hasOperator reports whether expr has one of the listed binary operators outside
+// parentheses.
 func hasOperator(expr []Token) bool {
 	for _, op := range []string{"+", "-", "*", "/", "||", "=", "<", ">"} {
 		if hasTopLevelOperator(expr, op) {
@@ -191,7 +194,7 @@
 	return false
 }
 
-// topOperator reports whether expr has the operator outside parentheses.
+// hasTopLevelOperator reports whether expr has the operator outside parentheses.
 func hasTopLevelOperator(expr []Token, op string) bool {
 	depth := 0
 	for _, t := range expr {
@@ -207,6 +210,8 @@
 	return false
 }
 
+// isComparison reports whether expr starts with NOT or has a comparison operator
+// outside parentheses. A CASE expression is not a comparison.
 func isComparison(expr []Token) bool {
 	if expr[0].Is("not") {
 		return true
--- a/internal/standin/sqltext/lexer.go
+++ b/internal/standin/sqltext/lexer.go
@@ -46,8 +46,8 @@
 	tokens []Token
 }
 
-// Lex splits src into tokens and drops comments and white space. Its only error
-// is ErrUnterminated; any other byte that starts no token is an operator.
+// Lex splits src into tokens and drops comments and white space. A byte that starts
+// no other token becomes an operator, so its only error is ErrUnterminated.
 func Lex(src string) ([]Token, error) {
 	l := &lexer{src: src}
 	for l.pos < len(l.src) {
@@ -95,8 +95,8 @@
 	return l.src[l.pos+n]
 }
 
-// scanWhile returns the index of the first byte at or after from that accept
-// rejects.
+// scanWhile returns the index of the first byte, at from or later, for which accept
+// returns false.
 func (l *lexer) scanWhile(from int, accept func(byte) bool) int {
 	for from < len(l.src) && accept(l.src[from]) {
 		from++
--- a/internal/standin/sqltext/params.go
+++ b/internal/standin/sqltext/params.go
@@ -131,8 +131,8 @@
 	}
 }
 
-// assignRowTypes handles one row of VALUES. It skips elements that consist of more
-// than a parameter.
+// assignRowTypes handles one row of VALUES. names is the column list of the INSERT,
+// nil without one. Elements that are not a single parameter are skipped.
 func assignRowTypes(types []uint32, row []Token, table string, names []string, columns ColumnTypeFunc) {
 	for i, expr := range splitCommas(row) {
 		if len(expr) != 1 || expr[0].Kind != Param {
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -155,7 +155,7 @@
 	return -1
 }
 
-// CloseParen returns the index of the parenthesis that closes the one at
+// ClosingParen returns the index of the parenthesis that closes the one at
 // tokens[open], or -1.
 func ClosingParen(tokens []Token, open int) int {
 	depth := 0
@@ -173,6 +173,8 @@
 	return -1
 }
 
+// isKeyword reports whether word is one of the keywords after which an operand may
+// start, so that it is not taken for a function or a column.
 func isKeyword(word string) bool {
 	switch word {
 	case "select", "where", "and", "or", "not", "in", "on", "from", "values", "by", "set", "as", "then", "else", "when":
@@ -215,7 +217,7 @@
 	return name, min(i, len(tokens)-1)
 }
 
-// affinity returns the SQLite type name by which a PostgreSQL type is cast.
+// affinity returns the SQLite type that replaces a PostgreSQL type in a CAST.
 func affinity(typeName string) string {
 	switch TypeOf(typeName) {
 	case Int2, Int4, Int8, Bool:
--- a/internal/standin/tx.go
+++ b/internal/standin/tx.go
@@ -17,10 +17,11 @@
 )
 
 // txState is the state of a session's transaction. Without a snapshot each statement
-// reads the data committed when it starts (read committed). The engine transaction
-// and the write semaphore are acquired at the first write.
+// reads the data committed when it starts (read committed). The write semaphore and a
+// write transaction of the engine are acquired at the first write or savepoint, or at
+// the first statement of a block with snapshot isolation that may write.
 type txState struct {
-	// block is set from BEGIN to the end of the transaction block.
+	// inBlock is set from BEGIN to the end of the transaction block.
 	inBlock bool
 	// implicit is set while the statements of one Query message, or the messages up
 	// to Sync, share a transaction without BEGIN.
@@ -31,17 +32,17 @@
 	engineTx   engineTxKind
 	changes    []change
 	savepoints []savepoint
-	// rollbackSettings are the settings to restore on rollback, commitSettings those
-	// to restore on commit after SET LOCAL, nil without one.
+	// rollbackSettings are the settings to restore on rollback. commitSettings are
+	// those to restore on commit; it is nil unless SET LOCAL was used.
 	rollbackSettings map[string]string
 	commitSettings   map[string]string
-	// wrote is set once the engine transaction has been committed with changes.
+	// committedWrite is set once changes have been committed in the engine.
 	committedWrite bool
 }
 
-// savepoint is a savepoint with the number of changes made before it.
 type savepoint struct {
-	name        string
+	name string
+	// changeCount is the number of changes of the transaction before the savepoint.
 	changeCount int
 }
 
--- a/internal/standin/values.go
+++ b/internal/standin/values.go
@@ -177,8 +177,8 @@
 	return raw, nil
 }
 
-// engineValue converts a decoded parameter to a type that SQLite stores: booleans
-// become integers, times and all other types become text.
+// engineValue converts a decoded parameter to a type that SQLite stores. Booleans
+// become integers; times and types without a counterpart in SQLite become text.
 func engineValue(types *pgtype.Map, oid uint32, v any) (any, error) {
 	switch x := v.(type) {
 	case int16:
--- a/internal/standin/wal.go
+++ b/internal/standin/wal.go
@@ -32,21 +32,25 @@
 	Origin string `cbor:"3,keyasint" json:"origin"`
 }
 
-// recordOverhead is the size in bytes of a transaction besides its statements.
+// recordOverheadBytes is the size of a transaction in the log besides its statements.
 const recordOverheadBytes = 48
 
 // wal is the endpoint's log: all flushed transactions, in ascending order of their
-// end positions, and the history of timelines. Methods are safe for concurrent use.
+// end positions, and the history of timelines. replayed is never after the end of the
+// log. Methods are safe for concurrent use.
 type wal struct {
 	mu       sync.Mutex
 	records  []record
 	history  []timeline
 	replayed LSN
-	// lastCommit is record.Committed of the last replayed transaction.
+	// lastCommit is the commit time of the last replayed transaction, in microseconds
+	// since the Unix epoch.
 	lastCommit int64
-	changed    chan struct{}
-	file       *walFile
-	// statements holds one copy of the text of recurring statements.
+	// changed is closed and replaced at each change of the log, of replayed or of the
+	// replay lag.
+	changed chan struct{}
+	file    *walFile
+	// internedSQL maps the text of a statement to the copy that all records share.
 	internedSQL map[string]string
 }
 
@@ -77,7 +81,8 @@
 	}
 }
 
-// recordSize returns the log space of a transaction, rounded up to 8 bytes.
+// recordSize returns the size of a transaction in the log, in bytes, rounded up to a
+// multiple of 8.
 func recordSize(changes []change) LSN {
 	size := recordOverheadBytes
 	for _, c := range changes {
@@ -144,8 +149,8 @@
 	w.changed = make(chan struct{})
 }
 
-// watch returns a channel that is closed at the next change of the log or of the
-// replayed position.
+// watch returns a channel that is closed at the next change of the log, of the
+// replayed position or of the replay lag.
 func (w *wal) watch() <-chan struct{} {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -259,8 +264,9 @@
 	return true, w.file.rewrite(w.records)
 }
 
-// commonPosition returns the last position up to which a log with history remote,
-// which ends at end, is the same as a log with history local.
+// commonPosition returns the position up to which two logs with the given histories
+// are equal. end is the end of the shorter log. Logs are equal up to the start of the
+// first timeline that differs or that only one of them has.
 func commonPosition(local, remote []timeline, end LSN) LSN {
 	n := min(len(local), len(remote))
 	for i := range n {
