--- a/internal/standin/columns.go
+++ b/internal/standin/columns.go
@@ -32,7 +32,7 @@
 	}
 	tokens := st.DescribeQuery()
 	if st.Volatile() {
-		expanded, err := sqltext.Expand(tokens, &describeEnv{functionEnv{s: s, ctx: s.ctx}})
+		expanded, err := sqltext.Expand(tokens, &describeResolver{functionResolver{s: s, ctx: s.ctx}})
 		if err != nil {
 			return nil, err
 		}
@@ -42,7 +42,7 @@
 	if err != nil {
 		return nil, sqlErrorf(sqlStateNotSupported, "%v", err)
 	}
-	if st.First() == "explain" {
+	if st.FirstWord() == "explain" {
 		set, err := s.queryEngine(s.ctx, text, make([]any, st.Params))
 		if err != nil {
 			return nil, err
--- a/internal/standin/copy.go
+++ b/internal/standin/copy.go
@@ -134,7 +134,7 @@
 		return nil, err
 	}
 	reader := &copyReader{session: s, columns: target.columns, binary: spec.binary}
-	reader.insert = insertText(spec.table, target.columns)
+	reader.insertSQL = insertText(spec.table, target.columns)
 	response := &pgproto3.CopyInResponse{ColumnFormatCodes: make([]uint16, len(target.columns))}
 	if spec.binary {
 		response.OverallFormat = byte(binaryFormat)
--- a/internal/standin/copyreader.go
+++ b/internal/standin/copyreader.go
@@ -18,10 +18,10 @@
 
 // copyReader decodes the data of COPY FROM STDIN and inserts its rows.
 type copyReader struct {
-	session *session
-	columns []column
-	insert  string
-	binary  bool
+	session   *session
+	columns   []column
+	insertSQL string
+	binary    bool
 
 	// buf holds the data that is not decoded yet.
 	buf        []byte
@@ -205,10 +205,10 @@
 
 // insertRow inserts one row and adds it to the transaction's changes for the log.
 func (c *copyReader) insertRow(ctx context.Context, args []any) error {
-	if _, err := exec(ctx, c.session.db, c.insert, args); err != nil {
+	if _, err := exec(ctx, c.session.db, c.insertSQL, args); err != nil {
 		return err
 	}
-	c.session.tx.changes = append(c.session.tx.changes, change{SQL: c.insert, Args: args})
+	c.session.tx.changes = append(c.session.tx.changes, change{SQL: c.insertSQL, Args: args})
 	c.rowCount++
 	return nil
 }
--- a/internal/standin/functions.go
+++ b/internal/standin/functions.go
@@ -11,10 +11,10 @@
 	"github.com/galenabridge/galenabridge/internal/standin/sqltext"
 )
 
-// functionEnv resolves the server's own functions and views for one execution of a
+// functionResolver resolves the server's own functions and views for one execution of a
 // statement. Values such as the time are fixed before the statement is logged, so
 // that replay produces the same rows.
-type functionEnv struct {
+type functionResolver struct {
 	s    *session
 	ctx  context.Context
 	args []any
@@ -23,7 +23,7 @@
 const nullLiteral = "null"
 
 // Param implements sqltext.Resolver.
-func (f *functionEnv) Param(n string) string {
+func (f *functionResolver) Param(n string) string {
 	i, err := strconv.Atoi(n)
 	if err != nil || i < 1 || i > len(f.args) || f.args[i-1] == nil {
 		return ""
@@ -32,7 +32,7 @@
 }
 
 // Function implements sqltext.Resolver.
-func (f *functionEnv) Function(name string, args []string) (string, bool, error) {
+func (f *functionResolver) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep":
 		return f.sleep(args)
@@ -45,7 +45,7 @@
 }
 
 // resolveReadOnly resolves functions without side effects.
-func (f *functionEnv) resolveReadOnly(name string, args []string) (string, bool, error) {
+func (f *functionResolver) resolveReadOnly(name string, args []string) (string, bool, error) {
 	srv := f.s.srv
 	switch name {
 	case "pg_is_in_recovery":
@@ -73,7 +73,7 @@
 
 // resolveBuiltin resolves functions for the time, random values and the session's
 // environment.
-func (f *functionEnv) resolveBuiltin(name string) (string, bool, error) {
+func (f *functionResolver) resolveBuiltin(name string) (string, bool, error) {
 	switch name {
 	case "now", "current_timestamp", "clock_timestamp", "statement_timestamp", "transaction_timestamp":
 		return timeLiteral(time.Now()), true, nil
@@ -98,14 +98,14 @@
 }
 
 // replicaLSN returns the literal of a position on a replica and NULL on a primary.
-func (f *functionEnv) replicaLSN(l LSN) string {
+func (f *functionResolver) replicaLSN(l LSN) string {
 	if f.s.srv.isPrimary() {
 		return nullLiteral
 	}
 	return lsnLiteral(l)
 }
 
-func (f *functionEnv) sleep(args []string) (string, bool, error) {
+func (f *functionResolver) sleep(args []string) (string, bool, error) {
 	if len(args) != 1 {
 		return "", false, nil
 	}
@@ -118,7 +118,7 @@
 	return "''", true, sleep(f.ctx, time.Duration(seconds*float64(time.Second)))
 }
 
-func (f *functionEnv) setConfig(args []string) (string, bool, error) {
+func (f *functionResolver) setConfig(args []string) (string, bool, error) {
 	if len(args) != 3 {
 		return "", false, nil
 	}
@@ -126,7 +126,7 @@
 	return sqltext.Quote(args[1]), true, nil
 }
 
-func (f *functionEnv) currentSetting(args []string) (string, bool, error) {
+func (f *functionResolver) currentSetting(args []string) (string, bool, error) {
 	if len(args) == 0 {
 		return "", false, nil
 	}
@@ -141,7 +141,7 @@
 }
 
 // Relation implements sqltext.Resolver.
-func (f *functionEnv) Relation(name string) (sqltext.Relation, bool) {
+func (f *functionResolver) Relation(name string) (sqltext.Relation, bool) {
 	log := f.s.srv.log()
 	switch name {
 	case "pg_control_checkpoint":
@@ -200,12 +200,12 @@
 	return strconv.FormatInt(int64(a)-int64(b), 10), true, nil
 }
 
-// describeEnv resolves functions while result columns are inferred. It has no side
+// describeResolver resolves functions while result columns are inferred. It has no side
 // effects and does not wait.
-type describeEnv struct{ functionEnv }
+type describeResolver struct{ functionResolver }
 
 // Function implements sqltext.Resolver.
-func (d *describeEnv) Function(name string, args []string) (string, bool, error) {
+func (d *describeResolver) Function(name string, args []string) (string, bool, error) {
 	switch name {
 	case "pg_sleep", "set_config", "current_setting", "pg_current_wal_lsn", "pg_wal_lsn_diff":
 		return "''", true, nil
--- a/internal/standin/protocol_test.go
+++ b/internal/standin/protocol_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestTransactionStatus(t *testing.T) {
+func TestTransactionStatusAfterErrorsAndSavepoints(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	status := func(want byte) {
--- a/internal/standin/replication_test.go
+++ b/internal/standin/replication_test.go
@@ -83,38 +83,38 @@
 	group := startGroup(t, func(o *standin.Options) {
 		o.ReplayLag, o.Admins, o.AnnounceInterval = time.Hour, []string{admin}, 10*time.Millisecond
 	})
-	old, next := group.Servers[0], group.Servers[1]
-	conn := connect(t, old)
+	oldPrimary, newPrimary := group.Servers[0], group.Servers[1]
+	conn := connect(t, oldPrimary)
 	mustExec(t, conn, "insert into records(id) values ('kept')")
-	_, _, flushed, _ := old.Position()
+	_, _, flushed, _ := oldPrimary.Position()
 	waitFor(t, "flush", func() bool {
-		_, _, got, _ := next.Position()
+		_, _, got, _ := newPrimary.Position()
 		return got == flushed
 	})
-	old.Faults().Partition(standin.LinkReplication, true)
+	oldPrimary.Faults().Partition(standin.LinkReplication, true)
 	mustExec(t, conn, "insert into records(id) values ('lost')")
 
-	promoted := connect(t, next)
+	promoted := connect(t, newPrimary)
 	mustExec(t, promoted, "select pg_promote()")
 	if n := countRecords(t, promoted); n != 1 {
 		t.Errorf("%d records after promotion, want 1", n)
 	}
-	if role, timelineID, _, _ := next.Position(); role != standin.RolePrimary || timelineID != 2 {
+	if role, timelineID, _, _ := newPrimary.Position(); role != standin.RolePrimary || timelineID != 2 {
 		t.Errorf("role %s, timeline %d after promotion, want primary, 2", role, timelineID)
 	}
 	mustExec(t, conn, "insert into records(id) values ('lost too')") // the old primary has not been demoted yet
 	mustExec(t, promoted, "insert into records(id) values ('new')")
 
-	old.Faults().Clear()
-	namedPrimary.Store(next)
+	oldPrimary.Faults().Clear()
+	namedPrimary.Store(newPrimary)
 	waitFor(t, "demotion", func() bool {
-		role, timelineID, _, _ := old.Position()
+		role, timelineID, _, _ := oldPrimary.Position()
 		return role == standin.RoleReplica && timelineID == 2
 	})
-	old.SetReplayLag(0)
+	oldPrimary.SetReplayLag(0)
 	var restored int64
 	waitFor(t, "rebuild of the old primary", func() bool {
-		fresh := connect(t, old)
+		fresh := connect(t, oldPrimary)
 		defer fresh.Close(testContext(t))
 		err := fresh.QueryRow(testContext(t), "select count(*) from records where id in ('kept', 'new')").Scan(&restored)
 		return err == nil && restored == 2 && countRecords(t, fresh) == 2
--- a/internal/standin/sessioncmd.go
+++ b/internal/standin/sessioncmd.go
@@ -53,11 +53,11 @@
 func (s *session) set(st *sqltext.Statement) error {
 	tokens := st.Tokens
 	if len(tokens) > 2 && tokens[1].Is("transaction") {
-		s.tx.mode = parseMode(tokens, s.tx.mode)
+		s.tx.mode = parseTxMode(tokens, s.tx.mode)
 		return nil
 	}
 	if len(tokens) > 4 && tokens[1].Is("session") && tokens[2].Is("characteristics") {
-		mode := parseMode(tokens, txMode{readOnly: isOn(s.settings[settingDefaultReadOnly])})
+		mode := parseTxMode(tokens, txMode{readOnly: isOn(s.settings[settingDefaultReadOnly])})
 		s.assign(assignment{name: settingDefaultReadOnly, value: onOff(mode.readOnly)})
 		return nil
 	}
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -142,18 +142,18 @@
 	snapshot bool
 }
 
-// parseMode applies the transaction modes in BEGIN or SET TRANSACTION to m.
-func parseMode(tokens []sqltext.Token, m txMode) txMode {
+// parseTxMode applies the transaction modes in BEGIN or SET TRANSACTION to m.
+func parseTxMode(tokens []sqltext.Token, m txMode) txMode {
 	for i, t := range tokens {
-		next := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
+		nextIs := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
 		switch {
-		case t.Is("read") && next("only"):
+		case t.Is("read") && nextIs("only"):
 			m.readOnly = true
-		case t.Is("read") && next("write"):
+		case t.Is("read") && nextIs("write"):
 			m.readOnly = false
 		case t.Is("repeatable"), t.Is("serializable"):
 			m.snapshot = true
-		case t.Is("read") && (next("committed") || next("uncommitted")):
+		case t.Is("read") && (nextIs("committed") || nextIs("uncommitted")):
 			m.snapshot = false
 		}
 	}
--- a/internal/standin/simple.go
+++ b/internal/standin/simple.go
@@ -148,12 +148,12 @@
 // unsupportedError returns "feature not supported" for statements of PostgreSQL that the
 // stand-in lacks, and a syntax error for all others.
 func unsupportedError(st *sqltext.Statement) error {
-	switch st.First() {
+	switch st.FirstWord() {
 	case "lock", "listen", "notify", "unlisten", "prepare", "execute", "declare", "fetch", "close", "grant",
 		"revoke", "vacuum", "analyze", "copy", "do", "call", "comment", "merge", "cluster", "reindex":
-		return sqlErrorf(sqlStateNotSupported, "%s is not supported by the stand-in", st.First())
+		return sqlErrorf(sqlStateNotSupported, "%s is not supported by the stand-in", st.FirstWord())
 	}
-	return sqlErrorf(sqlStateSyntax, "syntax error at or near %q", st.First())
+	return sqlErrorf(sqlStateSyntax, "syntax error at or near %q", st.FirstWord())
 }
 
 func failedTxError() error {
@@ -196,7 +196,7 @@
 func (s *session) engineSQL(ctx context.Context, st *sqltext.Statement, args []any) (string, error) {
 	tokens := st.Tokens
 	if st.Volatile() {
-		expanded, err := sqltext.Expand(tokens, &functionEnv{s: s, ctx: ctx, args: args})
+		expanded, err := sqltext.Expand(tokens, &functionResolver{s: s, ctx: ctx, args: args})
 		if err != nil {
 			return "", err
 		}
@@ -212,7 +212,7 @@
 // write runs a statement that changes data and adds it to the transaction's changes
 // for the log. Locking queries and statements that change no rows are not logged.
 func (s *session) write(ctx context.Context, st *sqltext.Statement, args []any) (*rowSet, error) {
-	if err := s.ensureWrite(ctx, strings.ToUpper(st.First())); err != nil {
+	if err := s.ensureWrite(ctx, strings.ToUpper(st.FirstWord())); err != nil {
 		return nil, err
 	}
 	text, err := s.engineSQL(ctx, st, args)
@@ -230,7 +230,7 @@
 	if !st.CountsRows {
 		s.eng.invalidateColumns()
 	}
-	if st.First() != "select" && (!st.CountsRows || set.affected > 0) {
+	if st.FirstWord() != "select" && (!st.CountsRows || set.affected > 0) {
 		s.tx.changes = append(s.tx.changes, change{SQL: text, Args: args})
 	}
 	return set, nil
--- a/internal/standin/sqltext/expand.go
+++ b/internal/standin/sqltext/expand.go
@@ -59,10 +59,10 @@
 // Expand replaces calls of the server's functions by literals and the server's
 // views by subqueries over literals. It returns the error of the function, or a
 // syntax error for a call without a closing parenthesis.
-func Expand(tokens []Token, env Resolver) ([]Token, error) {
+func Expand(tokens []Token, resolver Resolver) ([]Token, error) {
 	out := make([]Token, 0, len(tokens)+16)
 	for i := 0; i < len(tokens); i++ {
-		replaced, end, err := expandAt(tokens, i, env)
+		replaced, end, err := expandAt(tokens, i, resolver)
 		if err != nil {
 			return nil, err
 		}
@@ -79,8 +79,8 @@
 // expandAt returns the replacement of the tokens from i up to and including the
 // returned index, or the index -1 if nothing is replaced. A qualified name is
 // replaced only if its schema is pg_catalog.
-func expandAt(tokens []Token, i int, env Resolver) ([]Token, int, error) {
-	if field, end, ok := compositeField(tokens, i, env); ok {
+func expandAt(tokens []Token, i int, resolver Resolver) ([]Token, int, error) {
+	if field, end, ok := compositeField(tokens, i, resolver); ok {
 		return field, end, nil
 	}
 	t := tokens[i]
@@ -89,10 +89,10 @@
 	}
 	isCall := i+1 < len(tokens) && tokens[i+1].Is("(")
 	if followsFromOrJoin(tokens, i) {
-		return expandRelation(tokens, i, isCall, env)
+		return expandRelation(tokens, i, isCall, resolver)
 	}
 	if !isCall {
-		literal, ok, err := bareFunction(t.Text, env)
+		literal, ok, err := bareFunction(t.Text, resolver)
 		if err != nil || !ok {
 			return nil, -1, err
 		}
@@ -105,7 +105,7 @@
 	if end < 0 {
 		return nil, -1, errors.New("syntax error: unbalanced parentheses")
 	}
-	literal, ok, err := env.Function(t.Text, argValues(tokens[i+2:end], env))
+	literal, ok, err := resolver.Function(t.Text, argValues(tokens[i+2:end], resolver))
 	if err != nil || !ok {
 		return nil, -1, err
 	}
@@ -113,10 +113,10 @@
 }
 
 // bareFunction evaluates the functions that SQL writes without parentheses.
-func bareFunction(name string, env Resolver) (string, bool, error) {
+func bareFunction(name string, resolver Resolver) (string, bool, error) {
 	switch name {
 	case "current_timestamp", "current_user", "session_user", "current_date", "current_schema":
-		return env.Function(name, nil)
+		return resolver.Function(name, nil)
 	}
 	return "", false, nil
 }
@@ -132,7 +132,7 @@
 
 // argValues returns the values of a call's arguments. Each argument is taken to
 // be a single literal, name or parameter: only its first token is read.
-func argValues(tokens []Token, env Resolver) []string {
+func argValues(tokens []Token, resolver Resolver) []string {
 	if len(tokens) == 0 {
 		return nil
 	}
@@ -141,17 +141,17 @@
 		if len(expr) == 0 {
 			continue
 		}
-		out = append(out, argValue(expr[0], env))
+		out = append(out, argValue(expr[0], resolver))
 	}
 	return out
 }
 
-func argValue(t Token, env Resolver) string {
+func argValue(t Token, resolver Resolver) string {
 	switch t.Kind {
 	case String:
 		return Unquote(t.Text)
 	case Param:
-		return env.Param(t.Text[1:])
+		return resolver.Param(t.Text[1:])
 	}
 	return t.Text
 }
@@ -170,8 +170,8 @@
 
 // expandRelation replaces a view or table function by a subquery. The subquery
 // gets the relation's name as its alias unless the statement gives another.
-func expandRelation(tokens []Token, i int, isCall bool, env Resolver) ([]Token, int, error) {
-	rel, ok := env.Relation(tokens[i].Text)
+func expandRelation(tokens []Token, i int, isCall bool, resolver Resolver) ([]Token, int, error) {
+	rel, ok := resolver.Relation(tokens[i].Text)
 	if !ok {
 		return nil, -1, nil
 	}
@@ -213,12 +213,12 @@
 // compositeField replaces "(function()).field" by the field's value. It returns false,
 // and the expression stays as it is, unless the function returns exactly one row with
 // that field.
-func compositeField(tokens []Token, i int, env Resolver) ([]Token, int, bool) {
+func compositeField(tokens []Token, i int, resolver Resolver) ([]Token, int, bool) {
 	if i+6 >= len(tokens) || !tokens[i].Is("(") || !tokens[i+2].Is("(") || !tokens[i+3].Is(")") ||
 		!tokens[i+4].Is(")") || !tokens[i+5].Is(".") {
 		return nil, 0, false
 	}
-	rel, ok := env.Relation(tokens[i+1].Text)
+	rel, ok := resolver.Relation(tokens[i+1].Text)
 	if !ok || len(rel.Rows) != 1 {
 		return nil, 0, false
 	}
--- a/internal/standin/sqltext/infer.go
+++ b/internal/standin/sqltext/infer.go
@@ -32,7 +32,7 @@
 // DISTINCT or ALL.
 func (s *Statement) resultList() []Token {
 	tokens := s.Tokens
-	if s.Class == Write && s.First() != "select" {
+	if s.Class == Write && s.FirstWord() != "select" {
 		i := s.indexTopLevel("returning")
 		if i < 0 {
 			return nil
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -191,27 +191,27 @@
 		i += 2
 		name = tokens[i].Name()
 	}
-	next := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
+	nextIs := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
 	switch {
-	case name == "double" && next("precision"):
+	case name == "double" && nextIs("precision"):
 		i++
 		name = "float8"
-	case name == "character" && next("varying"):
+	case name == "character" && nextIs("varying"):
 		i++
 		name = "varchar"
 	}
-	if next("(") {
+	if nextIs("(") {
 		if end := ClosingParen(tokens, i+1); end > 0 {
 			i = end
 		}
 	}
-	if (name == "timestamp" || name == "time") && (next("with") || next("without")) {
-		if next("with") {
+	if (name == "timestamp" || name == "time") && (nextIs("with") || nextIs("without")) {
+		if nextIs("with") {
 			name += "tz"
 		}
 		i += 3
 	}
-	for next("[") || next("]") {
+	for nextIs("[") || nextIs("]") {
 		i++
 	}
 	return name, min(i, len(tokens)-1)
--- a/internal/standin/sqltext/statement.go
+++ b/internal/standin/sqltext/statement.go
@@ -79,8 +79,8 @@
 	return s
 }
 
-// First returns the text of the first token, or "" for an empty statement.
-func (s *Statement) First() string {
+// FirstWord returns the text of the first token, or "" for an empty statement.
+func (s *Statement) FirstWord() string {
 	if len(s.Tokens) == 0 {
 		return ""
 	}
@@ -96,7 +96,7 @@
 }
 
 func (s *Statement) classify() {
-	first := s.First()
+	first := s.FirstWord()
 	switch first {
 	case "select", "values", "table", "with", "explain", "(":
 		s.classifyQuery(first)
--- a/internal/standin/tx.go
+++ b/internal/standin/tx.go
@@ -64,7 +64,7 @@
 	}
 	s.openTx()
 	s.tx.inBlock = true
-	s.tx.mode = parseMode(st.Tokens, s.tx.mode)
+	s.tx.mode = parseTxMode(st.Tokens, s.tx.mode)
 }
 
 // openTx starts an implicit transaction unless a transaction is open.
