--- a/internal/standin/concurrency_test.go
+++ b/internal/standin/concurrency_test.go
@@ -45,7 +45,7 @@
 					return err
 				}
 				if err == nil && sum != 2000 {
-					return fmt.Errorf("sum of both accounts is %d", sum)
+					return fmt.Errorf("sum of both accounts is %d, want 2000", sum)
 				}
 			}
 			return nil
--- a/internal/standin/copyreader.go
+++ b/internal/standin/copyreader.go
@@ -18,15 +18,17 @@
 
 // copyReader decodes the data of COPY FROM STDIN and inserts its rows.
 type copyReader struct {
-	session *session
-	columns []column
-	insert  string
-	binary  bool
+	session   *session
+	columns   []column
+	insertSQL string
+	binary    bool
 
+	// buf holds the data that is not decoded yet.
 	buf        []byte
 	headerRead bool
-	ended      bool
-	count      int64
+	// endRead is set once the end marker of the data has been read.
+	endRead  bool
+	rowCount int64
 }
 
 // run reads messages up to CopyDone. CopyFail and unexpected messages end it with
@@ -62,7 +64,7 @@
 	if c.binary {
 		return c.consumeBinary(ctx, final)
 	}
-	for !c.ended {
+	for !c.endRead {
 		end := bytes.IndexByte(c.buf, '\n')
 		if end < 0 && (!final || len(c.buf) == 0) {
 			return nil
@@ -82,12 +84,12 @@
 
 func (c *copyReader) insertTextLine(ctx context.Context, line string) error {
 	if line == `\.` {
-		c.ended = true
+		c.endRead = true
 		return nil
 	}
 	fields := strings.Split(line, "\t")
 	if len(fields) != len(c.columns) {
-		return sqlErrorf(sqlStateBadCopyFormat, "row %d has %d columns, expected %d", c.count+1, len(fields), len(c.columns))
+		return sqlErrorf(sqlStateBadCopyFormat, "row %d has %d columns, expected %d", c.rowCount+1, len(fields), len(c.columns))
 	}
 	args := make([]any, len(fields))
 	for i, field := range fields {
@@ -138,7 +140,7 @@
 		}
 		c.buf, c.headerRead = c.buf[copyHeaderBytes:], true
 	}
-	for !c.ended {
+	for !c.endRead {
 		args, size, err := c.decodeTuple()
 		if err != nil {
 			return err
@@ -147,7 +149,7 @@
 			return c.checkTruncated(final)
 		}
 		c.buf = c.buf[size:]
-		if c.ended {
+		if c.endRead {
 			return nil
 		}
 		if err := c.insertRow(ctx, args); err != nil {
@@ -164,8 +166,9 @@
 	return nil
 }
 
-// decodeTuple decodes the binary row at the start of the buffer and returns its
-// length in bytes. A size of zero means that the row is incomplete.
+// decodeTuple decodes the binary row at the start of the buffer and returns its size
+// in bytes, or zero if the row is incomplete. At the trailer, which has a negative
+// number of fields, it sets endRead.
 func (c *copyReader) decodeTuple() (args []any, size int, err error) {
 	if len(c.buf) < 2 {
 		return nil, 0, nil
@@ -173,7 +176,7 @@
 	fields := int(int16(binary.BigEndian.Uint16(c.buf)))
 	size = 2
 	if fields < 0 {
-		c.ended = true
+		c.endRead = true
 		return nil, size, nil
 	}
 	if fields != len(c.columns) {
@@ -202,10 +205,10 @@
 
 // insertRow inserts one row and adds it to the transaction's changes for the log.
 func (c *copyReader) insertRow(ctx context.Context, args []any) error {
-	if _, err := exec(ctx, c.session.db, c.insert, args); err != nil {
+	if _, err := exec(ctx, c.session.db, c.insertSQL, args); err != nil {
 		return err
 	}
-	c.session.tx.changes = append(c.session.tx.changes, change{SQL: c.insert, Args: args})
-	c.count++
+	c.session.tx.changes = append(c.session.tx.changes, change{SQL: c.insertSQL, Args: args})
+	c.rowCount++
 	return nil
 }
--- a/internal/standin/fault_test.go
+++ b/internal/standin/fault_test.go
@@ -18,7 +18,7 @@
 	conn := connect(t, primary)
 	primary.Faults().DropAfterCommit(1)
 	if _, err := conn.Exec(testContext(t), "insert into records(id) values ('a')"); err == nil {
-		t.Fatal("the client got a response to the commit")
+		t.Fatal("insert succeeded, want a dropped connection after the commit")
 	}
 	if n := countRecords(t, connect(t, primary)); n != 1 {
 		t.Errorf("%d records, want 1", n)
@@ -38,7 +38,7 @@
 
 // A query sent during a fault must neither complete nor fail before the fault is
 // cleared, and must succeed afterwards on the same connection.
-func TestStallAndPartitionDeliverHeldTrafficOnceCleared(t *testing.T) {
+func TestStallAndPartitionDeferQueryUntilCleared(t *testing.T) {
 	group := startGroup(t, nil)
 	primary := group.Servers[0]
 	faults := map[string]func(bool){
--- a/internal/standin/protocol_test.go
+++ b/internal/standin/protocol_test.go
@@ -82,7 +82,7 @@
 	}
 }
 
-func TestTransactionStatus(t *testing.T) {
+func TestTransactionStatusAfterErrorsAndSavepoints(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	status := func(want byte) {
@@ -115,7 +115,7 @@
 	_, err := conn.Exec(testContext(t), "insert into records(id) values ('x'); select * from missing",
 		pgx.QueryExecModeSimpleProtocol)
 	if sqlState(err) != "42P01" || countRecords(t, conn) != 1 {
-		t.Errorf("err %v, %d records", err, countRecords(t, conn))
+		t.Errorf("got %v and %d records, want SQLSTATE 42P01 and 1 record", err, countRecords(t, conn))
 	}
 	mustExec(t, conn, "start transaction read only")
 	if _, err := conn.Exec(testContext(t), "delete from records"); sqlState(err) != "25006" {
@@ -137,7 +137,7 @@
 			return err
 		}
 		if body != "bbb" {
-			t.Errorf("body %q", body)
+			t.Errorf("body %q, want \"bbb\"", body)
 		}
 		return nil
 	})
@@ -147,11 +147,13 @@
 	var got string
 	err := conn.QueryRow(testContext(t), "insert into records(id) values ($1) returning id", "d").Scan(&got)
 	if err != nil || got != "d" {
-		t.Fatalf("%q %v", got, err)
+		t.Fatalf("returned id %q, want \"d\": %v", got, err)
 	}
 }
 
-func TestCopy(t *testing.T) {
+// Rows copied in as text and in binary format must come out unchanged, and a COPY that
+// fails at its second row must leave no row behind.
+func TestCopyRoundTripAndFailedCopyRollback(t *testing.T) {
 	group := startGroup(t, nil)
 	conn := connect(t, group.Servers[0])
 	in := "a\tw\tone\\ntwo\t\\N\nb\tw\tx\\ty\tz\n"
@@ -174,7 +176,7 @@
 	}
 	_, err = conn.PgConn().CopyFrom(testContext(t), strings.NewReader("e\tw\tx\ty\na\tw\tx\ty\n"), "copy records from stdin")
 	if sqlState(err) != "23505" || countRecords(t, conn) != 4 {
-		t.Errorf("a failed COPY left %d records: %v", countRecords(t, conn), err)
+		t.Errorf("failed COPY: got %d records and %v, want 4 records and SQLSTATE 23505", countRecords(t, conn), err)
 	}
 }
 
--- a/internal/standin/receiver.go
+++ b/internal/standin/receiver.go
@@ -67,8 +67,8 @@
 	return s.receive(ctx, hijacked.Frontend)
 }
 
-// dial connects to another endpoint of the group. Its traffic belongs to
-// LinkReplication.
+// dial connects to another endpoint of the group. The connection is part of
+// LinkReplication, also if it is not a replication connection.
 func (s *Server) dial(ctx context.Context, addr string, replication bool) (*pgconn.PgConn, error) {
 	host, portText, err := net.SplitHostPort(addr)
 	if err != nil {
@@ -121,13 +121,13 @@
 	if err := s.reconcileLog(ctx, first); err != nil {
 		return err
 	}
-	acks := make(chan struct{})
+	statusDone := make(chan struct{})
 	go func() {
-		defer close(acks)
+		defer close(statusDone)
 		s.reportStatus(ctx, fe)
 	}()
 	err := s.receiveRecords(fe)
-	<-acks
+	<-statusDone
 	return err
 }
 
--- a/internal/standin/session.go
+++ b/internal/standin/session.go
@@ -17,8 +17,8 @@
 const secretKeyBytes = 4
 
 // session serves one connection. Only the goroutine of serve uses its fields, except
-// cancel, conn, secret and stop, which is guarded by stopMu. During a replication
-// stream, a second goroutine receives from be.
+// cancel, conn, secret and cancelRunning, which is guarded by runningMu. During a
+// replication stream, a second goroutine receives from be.
 type session struct {
 	srv    *Server
 	conn   *faultConn
@@ -26,10 +26,10 @@
 	ctx    context.Context
 	cancel context.CancelFunc
 	pid    uint32
-	// counted is set if the session counts towards the connection limit.
-	counted bool
-	secret  []byte
-	types   *pgtype.Map
+	// countedAsCaller is set if the session counts towards Options.MaxConnections.
+	countedAsCaller bool
+	secret          []byte
+	types           *pgtype.Map
 
 	eng        *engine
 	db         *sql.Conn
@@ -41,9 +41,9 @@
 	// Sync are discarded.
 	skipUntilSync bool
 
-	stopMu sync.Mutex
-	// stop cancels the running statement, nil if there is none.
-	stop context.CancelFunc
+	runningMu sync.Mutex
+	// cancelRunning cancels the running statement; it is nil if there is none.
+	cancelRunning context.CancelFunc
 }
 
 // errConnectionClosed ends a session without a message to the client.
@@ -257,20 +257,20 @@
 	return s.be.Flush()
 }
 
-// statementContext returns the context of one statement. A CancelRequest and the
-// statement timeout cancel it.
+// statementContext returns the context of one statement, which a CancelRequest or the
+// statement timeout cancels, and a function to call at the statement's end.
 func (s *session) statementContext() (context.Context, context.CancelFunc) {
 	ctx, cancel := context.WithCancel(s.ctx)
 	if limit := statementTimeout(s.settings); limit > 0 {
 		ctx, cancel = context.WithTimeout(s.ctx, limit)
 	}
-	s.stopMu.Lock()
-	s.stop = cancel
-	s.stopMu.Unlock()
+	s.runningMu.Lock()
+	s.cancelRunning = cancel
+	s.runningMu.Unlock()
 	return ctx, func() {
-		s.stopMu.Lock()
-		s.stop = nil
-		s.stopMu.Unlock()
+		s.runningMu.Lock()
+		s.cancelRunning = nil
+		s.runningMu.Unlock()
 		cancel()
 	}
 }
@@ -281,10 +281,10 @@
 	if subtle.ConstantTimeCompare(secret, s.secret) != 1 {
 		return
 	}
-	s.stopMu.Lock()
-	defer s.stopMu.Unlock()
-	if s.stop != nil {
-		s.stop()
+	s.runningMu.Lock()
+	defer s.runningMu.Unlock()
+	if s.cancelRunning != nil {
+		s.cancelRunning()
 	}
 }
 
--- a/internal/standin/sessioncmd.go
+++ b/internal/standin/sessioncmd.go
@@ -49,15 +49,16 @@
 	return st.Tokens[len(st.Tokens)-1].Name()
 }
 
+// set runs SET. Of SET SESSION CHARACTERISTICS only the access mode takes effect.
 func (s *session) set(st *sqltext.Statement) error {
 	tokens := st.Tokens
 	if len(tokens) > 2 && tokens[1].Is("transaction") {
-		s.tx.mode = parseMode(tokens, s.tx.mode)
+		s.tx.mode = parseTxMode(tokens, s.tx.mode)
 		return nil
 	}
 	if len(tokens) > 4 && tokens[1].Is("session") && tokens[2].Is("characteristics") {
-		mode := parseMode(tokens, txMode{readOnly: isOn(s.settings[settingReadOnly])})
-		s.assign(assignment{name: settingReadOnly, value: onOff(mode.readOnly)})
+		mode := parseTxMode(tokens, txMode{readOnly: isOn(s.settings[settingDefaultReadOnly])})
+		s.assign(assignment{name: settingDefaultReadOnly, value: onOff(mode.readOnly)})
 		return nil
 	}
 	a, err := parseSet(tokens)
@@ -75,9 +76,9 @@
 	return nil
 }
 
-// assign changes a setting and sends reported settings to the client. A SET LOCAL
-// keeps the earlier values in tx.commitSettings, in which later changes without
-// LOCAL are made as well.
+// assign changes a setting and sends it to the client if it is a reported one. The
+// first SET LOCAL of a transaction copies the settings to tx.commitSettings. Later
+// changes without LOCAL are made in that copy too, so that they outlast the commit.
 func (s *session) assign(a assignment) {
 	switch {
 	case a.local && s.tx.commitSettings == nil:
@@ -142,7 +143,7 @@
 }
 
 func (s *session) discard() error {
-	if s.tx.block {
+	if s.tx.inBlock {
 		return sqlErrorf(sqlStateActiveTx, "DISCARD ALL cannot run inside a transaction block")
 	}
 	s.reset("all")
--- a/internal/standin/settings.go
+++ b/internal/standin/settings.go
@@ -10,11 +10,11 @@
 
 // Names of session settings that the stand-in acts on.
 const (
-	settingReadOnly   = "default_transaction_read_only"
-	settingIsolation  = "default_transaction_isolation"
-	settingTimeout    = "statement_timeout"
-	settingAppName    = "application_name"
-	settingTxReadOnly = "transaction_read_only"
+	settingDefaultReadOnly  = "default_transaction_read_only"
+	settingDefaultIsolation = "default_transaction_isolation"
+	settingStatementTimeout = "statement_timeout"
+	settingAppName          = "application_name"
+	settingTxReadOnly       = "transaction_read_only"
 )
 
 var defaultSettings = map[string]string{
@@ -32,9 +32,9 @@
 	"lock_timeout":                "0",
 	"max_connections":             "100",
 	settingAppName:                "",
-	settingReadOnly:               "off",
-	settingIsolation:              "read committed",
-	settingTimeout:                "0",
+	settingDefaultReadOnly:        "off",
+	settingDefaultIsolation:       "read committed",
+	settingStatementTimeout:       "0",
 }
 
 // reportedSettings are the settings whose values are sent as ParameterStatus at the
@@ -42,7 +42,7 @@
 var reportedSettings = []struct{ key, name string }{
 	{"server_version", "server_version"}, {"server_encoding", "server_encoding"},
 	{"client_encoding", "client_encoding"}, {settingAppName, "application_name"},
-	{settingReadOnly, "default_transaction_read_only"}, {"datestyle", "DateStyle"},
+	{settingDefaultReadOnly, "default_transaction_read_only"}, {"datestyle", "DateStyle"},
 	{"intervalstyle", "IntervalStyle"}, {"timezone", "TimeZone"},
 	{"integer_datetimes", "integer_datetimes"}, {"is_superuser", "is_superuser"},
 	{"standard_conforming_strings", "standard_conforming_strings"},
@@ -65,9 +65,9 @@
 }
 
 // statementTimeout returns the time limit of statements, or zero for none. Numbers
-// without a unit are milliseconds.
+// without a unit are milliseconds. A malformed value means no limit.
 func statementTimeout(settings map[string]string) time.Duration {
-	value := settings[settingTimeout]
+	value := settings[settingStatementTimeout]
 	if ms, err := strconv.Atoi(value); err == nil {
 		return time.Duration(ms) * time.Millisecond
 	}
@@ -142,18 +142,18 @@
 	snapshot bool
 }
 
-// parseMode applies the transaction modes in BEGIN or SET TRANSACTION to m.
-func parseMode(tokens []sqltext.Token, m txMode) txMode {
+// parseTxMode applies the transaction modes in BEGIN or SET TRANSACTION to m.
+func parseTxMode(tokens []sqltext.Token, m txMode) txMode {
 	for i, t := range tokens {
-		next := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
+		nextIs := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
 		switch {
-		case t.Is("read") && next("only"):
+		case t.Is("read") && nextIs("only"):
 			m.readOnly = true
-		case t.Is("read") && next("write"):
+		case t.Is("read") && nextIs("write"):
 			m.readOnly = false
 		case t.Is("repeatable"), t.Is("serializable"):
 			m.snapshot = true
-		case t.Is("read") && (next("committed") || next("uncommitted")):
+		case t.Is("read") && (nextIs("committed") || nextIs("uncommitted")):
 			m.snapshot = false
 		}
 	}
--- a/internal/standin/sqltext/expand.go
+++ b/internal/standin/sqltext/expand.go
@@ -15,9 +15,9 @@
 
 // Resolver evaluates the server's own functions and views while a statement runs.
 type Resolver interface {
-	// Function returns the result of a call as an SQL literal. The last value
-	// is false if the server has no such function; the call then stays in the
-	// statement.
+	// Function returns the result of a call as an SQL literal. The boolean is
+	// false if the server does not evaluate the function; the call then stays
+	// in the statement.
 	Function(name string, args []string) (string, bool, error)
 	// Relation returns a system view or the result of a table function by name.
 	Relation(name string) (Relation, bool)
@@ -59,10 +59,10 @@
 // Expand replaces calls of the server's functions by literals and the server's
 // views by subqueries over literals. It returns the error of the function, or a
 // syntax error for a call without a closing parenthesis.
-func Expand(tokens []Token, env Resolver) ([]Token, error) {
+func Expand(tokens []Token, resolver Resolver) ([]Token, error) {
 	out := make([]Token, 0, len(tokens)+16)
 	for i := 0; i < len(tokens); i++ {
-		replaced, end, err := expandAt(tokens, i, env)
+		replaced, end, err := expandAt(tokens, i, resolver)
 		if err != nil {
 			return nil, err
 		}
@@ -79,20 +79,20 @@
 // expandAt returns the replacement of the tokens from i up to and including the
 // returned index, or the index -1 if nothing is replaced. A qualified name is
 // replaced only if its schema is pg_catalog.
-func expandAt(tokens []Token, i int, env Resolver) ([]Token, int, error) {
-	if field, end, ok := compositeField(tokens, i, env); ok {
+func expandAt(tokens []Token, i int, resolver Resolver) ([]Token, int, error) {
+	if field, end, ok := compositeField(tokens, i, resolver); ok {
 		return field, end, nil
 	}
 	t := tokens[i]
 	if t.Kind != Word || i > 0 && tokens[i-1].Is(".") && !tokens[i-2].Is("pg_catalog") {
 		return nil, -1, nil
 	}
-	call := i+1 < len(tokens) && tokens[i+1].Is("(")
-	if inFrom(tokens, i) {
-		return expandRelation(tokens, i, call, env)
+	isCall := i+1 < len(tokens) && tokens[i+1].Is("(")
+	if followsFromOrJoin(tokens, i) {
+		return expandRelation(tokens, i, isCall, resolver)
 	}
-	if !call {
-		literal, ok, err := bareFunction(t.Text, env)
+	if !isCall {
+		literal, ok, err := bareFunction(t.Text, resolver)
 		if err != nil || !ok {
 			return nil, -1, err
 		}
@@ -101,11 +101,11 @@
 	if !volatileFunctions[t.Text] && !strings.HasPrefix(t.Text, "pg_") {
 		return nil, -1, nil
 	}
-	end := CloseParen(tokens, i+1)
+	end := ClosingParen(tokens, i+1)
 	if end < 0 {
 		return nil, -1, errors.New("syntax error: unbalanced parentheses")
 	}
-	literal, ok, err := env.Function(t.Text, argValues(tokens[i+2:end], env))
+	literal, ok, err := resolver.Function(t.Text, argValues(tokens[i+2:end], resolver))
 	if err != nil || !ok {
 		return nil, -1, err
 	}
@@ -113,10 +113,10 @@
 }
 
 // bareFunction evaluates the functions that SQL writes without parentheses.
-func bareFunction(name string, env Resolver) (string, bool, error) {
+func bareFunction(name string, resolver Resolver) (string, bool, error) {
 	switch name {
 	case "current_timestamp", "current_user", "session_user", "current_date", "current_schema":
-		return env.Function(name, nil)
+		return resolver.Function(name, nil)
 	}
 	return "", false, nil
 }
@@ -132,7 +132,7 @@
 
 // argValues returns the values of a call's arguments. Each argument is taken to
 // be a single literal, name or parameter: only its first token is read.
-func argValues(tokens []Token, env Resolver) []string {
+func argValues(tokens []Token, resolver Resolver) []string {
 	if len(tokens) == 0 {
 		return nil
 	}
@@ -141,24 +141,24 @@
 		if len(expr) == 0 {
 			continue
 		}
-		out = append(out, argValue(expr[0], env))
+		out = append(out, argValue(expr[0], resolver))
 	}
 	return out
 }
 
-func argValue(t Token, env Resolver) string {
+func argValue(t Token, resolver Resolver) string {
 	switch t.Kind {
 	case String:
 		return Unquote(t.Text)
 	case Param:
-		return env.Param(t.Text[1:])
+		return resolver.Param(t.Text[1:])
 	}
 	return t.Text
 }
 
-// inFrom reports whether tokens[i], with or without a schema, directly follows
-// FROM or JOIN. A relation after a comma in the FROM list is not recognized.
-func inFrom(tokens []Token, i int) bool {
+// followsFromOrJoin reports whether tokens[i], with or without a schema, directly
+// follows FROM or JOIN. A relation after a comma in the FROM list is not recognized.
+func followsFromOrJoin(tokens []Token, i int) bool {
 	if i > 1 && tokens[i-1].Is(".") {
 		i -= 2
 	}
@@ -170,14 +170,14 @@
 
 // expandRelation replaces a view or table function by a subquery. The subquery
 // gets the relation's name as its alias unless the statement gives another.
-func expandRelation(tokens []Token, i int, call bool, env Resolver) ([]Token, int, error) {
-	rel, ok := env.Relation(tokens[i].Text)
+func expandRelation(tokens []Token, i int, isCall bool, resolver Resolver) ([]Token, int, error) {
+	rel, ok := resolver.Relation(tokens[i].Text)
 	if !ok {
 		return nil, -1, nil
 	}
 	end := i
-	if call {
-		end = CloseParen(tokens, i+1)
+	if isCall {
+		end = ClosingParen(tokens, i+1)
 	}
 	out := []Token{{Op, "("}, {Word, rel.query()}, {Op, ")"}}
 	if end+1 >= len(tokens) || !tokens[end+1].Is("as") && !isAlias(tokens[end+1]) {
@@ -210,14 +210,15 @@
 	return strings.Join(selects, " union all ")
 }
 
-// compositeField replaces "(function()).field" by the field's value. The function
-// must return exactly one row.
-func compositeField(tokens []Token, i int, env Resolver) ([]Token, int, bool) {
+// compositeField replaces "(function()).field" by the field's value. It returns false,
+// and the expression stays as it is, unless the function returns exactly one row with
+// that field.
+func compositeField(tokens []Token, i int, resolver Resolver) ([]Token, int, bool) {
 	if i+6 >= len(tokens) || !tokens[i].Is("(") || !tokens[i+2].Is("(") || !tokens[i+3].Is(")") ||
 		!tokens[i+4].Is(")") || !tokens[i+5].Is(".") {
 		return nil, 0, false
 	}
-	rel, ok := env.Relation(tokens[i+1].Text)
+	rel, ok := resolver.Relation(tokens[i+1].Text)
 	if !ok || len(rel.Rows) != 1 {
 		return nil, 0, false
 	}
--- a/internal/standin/sqltext/infer.go
+++ b/internal/standin/sqltext/infer.go
@@ -4,8 +4,8 @@
 
 // ResultColumn describes one expression of a select list or RETURNING clause.
 type ResultColumn struct {
-	// Name is the column name that PostgreSQL would report, or "" if the name
-	// reported by SQLite is right.
+	// Name is the column name that PostgreSQL would report, or "" if SQLite reports
+	// the same name.
 	Name string
 	// Type is the object identifier of the data type, or Unknown.
 	Type uint32
@@ -32,7 +32,7 @@
 // DISTINCT or ALL.
 func (s *Statement) resultList() []Token {
 	tokens := s.Tokens
-	if s.Class == Write && s.First() != "select" {
+	if s.Class == Write && s.FirstWord() != "select" {
 		i := s.indexTopLevel("returning")
 		if i < 0 {
 			return nil
@@ -86,6 +86,7 @@
 	return ResultColumn{Name: exprName(expr), Type: exprType(expr)}
 }
 
+// isName reports whether t may be the name of a column, table or alias.
 func isName(t Token) bool {
 	return t.Kind == QuotedName || t.Kind == Word && !isKeyword(t.Text) && t.Text != "end" && t.Text != "null"
 }
@@ -170,29 +171,31 @@
 			return TypeOf(name)
 		}
 	}
-	if first.Kind == Word && expr[1].Is("(") && CloseParen(expr, 1) == len(expr)-1 {
+	if first.Kind == Word && expr[1].Is("(") && ClosingParen(expr, 1) == len(expr)-1 {
 		return functionTypes[first.Text]
 	}
 	if isComparison(expr) {
 		return Bool
 	}
-	if topOperator(expr, "||") {
+	if hasTopLevelOperator(expr, "||") {
 		return Text
 	}
 	return Unknown
 }
 
+// hasOperator reports whether expr has one of the listed binary operators outside
+// parentheses.
 func hasOperator(expr []Token) bool {
 	for _, op := range []string{"+", "-", "*", "/", "||", "=", "<", ">"} {
-		if topOperator(expr, op) {
+		if hasTopLevelOperator(expr, op) {
 			return true
 		}
 	}
 	return false
 }
 
-// topOperator reports whether expr has the operator outside parentheses.
-func topOperator(expr []Token, op string) bool {
+// hasTopLevelOperator reports whether expr has the operator outside parentheses.
+func hasTopLevelOperator(expr []Token, op string) bool {
 	depth := 0
 	for _, t := range expr {
 		switch {
@@ -207,12 +210,14 @@
 	return false
 }
 
+// isComparison reports whether expr starts with NOT or has a comparison operator
+// outside parentheses. A CASE expression is not a comparison.
 func isComparison(expr []Token) bool {
 	if expr[0].Is("not") {
 		return true
 	}
 	for _, op := range []string{"=", "<>", "!=", "<", ">", "<=", ">="} {
-		if topOperator(expr, op) {
+		if hasTopLevelOperator(expr, op) {
 			return expr[0].Text != "case"
 		}
 	}
--- a/internal/standin/sqltext/rewrite.go
+++ b/internal/standin/sqltext/rewrite.go
@@ -46,7 +46,7 @@
 	if len(tokens) > 0 && tokens[0].Is("explain") {
 		tokens = append([]Token{{Word, "explain"}, {Word, "query"}, {Word, "plan"}}, tokens[1:]...)
 	}
-	create := len(tokens) > 0 && tokens[0].Is("create")
+	isCreate := len(tokens) > 0 && tokens[0].Is("create")
 	out := make([]Token, 0, len(tokens)+8)
 	for i := 0; i < len(tokens); i++ {
 		t := tokens[i]
@@ -64,9 +64,9 @@
 			i++
 		case isLockingClause(tokens, i):
 			return out, nil
-		case create && (t.Is("serial") || t.Is("bigserial")):
+		case isCreate && (t.Is("serial") || t.Is("bigserial")):
 			out = append(out, Token{Word, "integer"})
-		case create && t.Is("default") && isTimeFunction(tokens, i+1):
+		case isCreate && t.Is("default") && isTimeFunction(tokens, i+1):
 			return nil, errors.New("a default that depends on the time is not supported")
 		default:
 			out = append(out, t)
@@ -155,9 +155,9 @@
 	return -1
 }
 
-// CloseParen returns the index of the parenthesis that closes the one at
+// ClosingParen returns the index of the parenthesis that closes the one at
 // tokens[open], or -1.
-func CloseParen(tokens []Token, open int) int {
+func ClosingParen(tokens []Token, open int) int {
 	depth := 0
 	for i := open; i < len(tokens); i++ {
 		if tokens[i].Is("(") {
@@ -173,6 +173,8 @@
 	return -1
 }
 
+// isKeyword reports whether word is one of the keywords after which an operand may
+// start, so that it is not taken for a function or a column.
 func isKeyword(word string) bool {
 	switch word {
 	case "select", "where", "and", "or", "not", "in", "on", "from", "values", "by", "set", "as", "then", "else", "when":
@@ -189,33 +191,33 @@
 		i += 2
 		name = tokens[i].Name()
 	}
-	next := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
+	nextIs := func(word string) bool { return i+1 < len(tokens) && tokens[i+1].Is(word) }
 	switch {
-	case name == "double" && next("precision"):
+	case name == "double" && nextIs("precision"):
 		i++
 		name = "float8"
-	case name == "character" && next("varying"):
+	case name == "character" && nextIs("varying"):
 		i++
 		name = "varchar"
 	}
-	if next("(") {
-		if end := CloseParen(tokens, i+1); end > 0 {
+	if nextIs("(") {
+		if end := ClosingParen(tokens, i+1); end > 0 {
 			i = end
 		}
 	}
-	if (name == "timestamp" || name == "time") && (next("with") || next("without")) {
-		if next("with") {
+	if (name == "timestamp" || name == "time") && (nextIs("with") || nextIs("without")) {
+		if nextIs("with") {
 			name += "tz"
 		}
 		i += 3
 	}
-	for next("[") || next("]") {
+	for nextIs("[") || nextIs("]") {
 		i++
 	}
 	return name, min(i, len(tokens)-1)
 }
 
-// affinity returns the SQLite type name by which a PostgreSQL type is cast.
+// affinity returns the SQLite type that replaces a PostgreSQL type in a CAST.
 func affinity(typeName string) string {
 	switch TypeOf(typeName) {
 	case Int2, Int4, Int8, Bool:
