--- a/internal/admit/fair.go
+++ b/internal/admit/fair.go
@@ -151,7 +151,7 @@
 
 // prune removes idle flows whose finish tag is not ahead of the virtual time. A later
 // request of such a workspace gets the same start tag in a new flow. Only the estimate of
-// its cost starts anew.
+// its cost is reset.
 func (c *classQueue) prune() {
 	if len(c.flows)-len(c.active) < maxIdleFlows {
 		return
--- a/internal/bench/fault.go
+++ b/internal/bench/fault.go
@@ -67,12 +67,12 @@
 	Inject(ctx context.Context, action Action, target string) error
 }
 
-// surges records for each workspace whether a surge is active. It is safe for
+// surgeStates records for each workspace whether a surge is active. It is safe for
 // concurrent use.
-type surges map[string]*atomic.Bool
+type surgeStates map[string]*atomic.Bool
 
-func newSurges(workspaces []Workspace) surges {
-	s := make(surges, len(workspaces))
+func newSurgeStates(workspaces []Workspace) surgeStates {
+	s := make(surgeStates, len(workspaces))
 	for _, w := range workspaces {
 		s[w.Name] = new(atomic.Bool)
 	}
@@ -81,7 +81,7 @@
 
 // set starts or ends the surge of a workspace. It reports whether the action is
 // SurgeOn or SurgeOff; such an action on an unknown workspace has no effect.
-func (s surges) set(action Action, target string) bool {
+func (s surgeStates) set(action Action, target string) bool {
 	if action != SurgeOn && action != SurgeOff {
 		return false
 	}
@@ -92,7 +92,7 @@
 }
 
 // factor returns the factor by which the offered load of w is multiplied.
-func (s surges) factor(w Workspace) float64 {
+func (s surgeStates) factor(w Workspace) float64 {
 	if s[w.Name].Load() && w.Surge > 0 {
 		return w.Surge
 	}
@@ -109,7 +109,7 @@
 			return
 		}
 		event := FaultEvent{At: time.Since(r.start).Seconds(), Action: f.Action, Target: f.Target}
-		if !r.surges.set(f.Action, f.Target) {
+		if !r.surgeStates.set(f.Action, f.Target) {
 			if err := r.target.FaultInjector.Inject(ctx, f.Action, f.Target); err != nil {
 				event.Error = err.Error()
 			}
--- a/internal/bench/run.go
+++ b/internal/bench/run.go
@@ -39,12 +39,12 @@
 
 // runner holds the state of a run.
 type runner struct {
-	profile   *Profile
-	target    Target
-	start     time.Time
-	recorder  *recorder
-	surges    surges
-	writeLogs map[string]*writeLog
+	profile     *Profile
+	target      Target
+	start       time.Time
+	recorder    *recorder
+	surgeStates surgeStates
+	writeLogs   map[string]*writeLog
 
 	// pending counts the requests that are scheduled, queued or in progress.
 	pending sync.WaitGroup
@@ -69,7 +69,7 @@
 	}
 	r := &runner{
 		profile: opts.Profile, target: opts.Target, start: time.Now(),
-		surges: newSurges(opts.Profile.Workspaces), writeLogs: make(map[string]*writeLog),
+		surgeStates: newSurgeStates(opts.Profile.Workspaces), writeLogs: make(map[string]*writeLog),
 	}
 	r.recorder = newRecorder(r.start)
 	end := r.start.Add(opts.Duration)
@@ -132,7 +132,7 @@
 		r.startCallers(callCtx, &callers, w, writes, queue, opts.Seed)
 		g := &generator{
 			workspace: w, services: r.profile.services(w), rng: rand.New(rand.NewPCG(opts.Seed, uint64(i))),
-			loadFactor: func() float64 { return r.surges.factor(w) }, queue: queue,
+			loadFactor: func() float64 { return r.surgeStates.factor(w) }, queue: queue,
 			onQueued:  func() { r.pending.Add(1) },
 			onDropped: func(req request) { r.recordDropped(w, req) },
 		}
--- a/internal/capacity/page_test.go
+++ b/internal/capacity/page_test.go
@@ -21,7 +21,7 @@
 }
 
 // TestPageMatchesCommittedPage guards against a docs/CAPACITY.md that was not
-// rendered anew after a change of the model, the target or the measurements.
+// regenerated after a change of the model, the target or the measurements.
 func TestPageMatchesCommittedPage(t *testing.T) {
 	goal := loadJSON[Goal](t, "../../docs/capacity/target.json")
 	measured := loadJSON[Measurements](t, "../../docs/capacity/slopes.json")
--- a/internal/consensus/node.go
+++ b/internal/consensus/node.go
@@ -219,8 +219,8 @@
 // save. Further ones are dropped; the protocol tolerates lost messages.
 const maxQueuedMessages = 4096
 
-// send sets the sender's fields and queues a message. Term zero stands for the
-// node's own term.
+// send sets the sender's fields and queues a message. A zero Term or Boots is replaced
+// by the node's own value.
 func (n *Node) send(to Member, m Message) {
 	if len(n.msgs) >= maxQueuedMessages {
 		return
--- a/internal/control/leases.go
+++ b/internal/control/leases.go
@@ -152,7 +152,7 @@
 }
 
 // updateSettled returns the settled revision, the greatest one known to be applied
-// by every holder of a lease. Only a confirmed leader computes it anew.
+// by every holder of a lease. Only a confirmed leader recomputes it.
 func (h *Host) updateSettled(now time.Time) uint64 {
 	if !h.leading || !h.confirmed {
 		return h.broker.Settled()
--- a/internal/core/types.go
+++ b/internal/core/types.go
@@ -98,7 +98,7 @@
 
 // Reply is the answer to a Statement.
 type Reply struct {
-	// Rows and Signature are passed on from the endpoint unmodified. Signature is
+	// Rows and Signature are forwarded from the endpoint unmodified. Signature is
 	// empty when the statement was answered without an endpoint.
 	Rows      []string
 	Signature string
--- a/internal/entry/classify.go
+++ b/internal/entry/classify.go
@@ -45,7 +45,7 @@
 // SQL: a statement that it does not recognize is a write.
 func classify(text string) class {
 	body := skipSpace(text)
-	word, rest := cutWord(body)
+	word, rest := splitFirstWord(body)
 	if word == "" && body == "" {
 		return class{kind: kindEmpty}
 	}
@@ -93,7 +93,7 @@
 	case "LISTEN", "UNLISTEN":
 		return class{kind: kindUnsupported, feature: word}
 	case "PREPARE":
-		if next, _ := cutWord(rest); next == "TRANSACTION" {
+		if next, _ := splitFirstWord(rest); next == "TRANSACTION" {
 			return class{kind: kindUnsupported, feature: "two-phase commit"}
 		}
 		return class{kind: kindUnsupported, feature: "PREPARE as a statement; use the extended protocol"}
@@ -115,7 +115,7 @@
 // classifyRollback distinguishes ROLLBACK from ROLLBACK [WORK|TRANSACTION] TO a savepoint.
 func classifyRollback(rest string) class {
 	for range 2 {
-		word, after := cutWord(rest)
+		word, after := splitFirstWord(rest)
 		if word == "TO" {
 			return class{kind: kindWrite}
 		}
@@ -125,10 +125,10 @@
 }
 
 func classifySetting(word, rest string) class {
-	name, after := cutWord(rest)
+	name, after := splitFirstWord(rest)
 	if word == "SET" && (name == "LOCAL" || name == "SESSION") {
 		scope := name
-		name, after = cutWord(after)
+		name, after = splitFirstWord(after)
 		if scope == "LOCAL" {
 			return classifySetLocal(name)
 		}
@@ -156,9 +156,9 @@
 }
 
 func classifyCreate(rest string) class {
-	word, after := cutWord(rest)
+	word, after := splitFirstWord(rest)
 	if word == "LOCAL" || word == "GLOBAL" {
-		word, _ = cutWord(after)
+		word, _ = splitFirstWord(after)
 	}
 	if word == "TEMP" || word == "TEMPORARY" {
 		return class{kind: kindUnsupported, feature: "temporary objects"}
@@ -219,8 +219,8 @@
 	return ""
 }
 
-// cutWord splits off the first word and returns it in upper case. Dots are part of a word.
-func cutWord(text string) (word, rest string) {
+// splitFirstWord splits off the first word and returns it in upper case. Dots are part of a word.
+func splitFirstWord(text string) (word, rest string) {
 	text = skipSpace(text)
 	end := 0
 	for end < len(text) && isWordByte(text[end]) {
--- a/internal/entry/params.go
+++ b/internal/entry/params.go
@@ -151,15 +151,15 @@
 // statements of the same form. The name is returned in lower case and the value unquoted;
 // DEFAULT yields an empty value.
 func parseCommand(text string) command {
-	verb, rest := cutWord(text)
-	name, rest := cutWord(rest)
+	verb, rest := splitFirstWord(text)
+	name, rest := splitFirstWord(rest)
 	if verb == "SET" && name == "SESSION" {
-		name, rest = cutWord(rest)
+		name, rest = splitFirstWord(rest)
 	}
 	rest = strings.TrimSpace(strings.TrimRight(strings.TrimSpace(rest), ";"))
 	if value, ok := strings.CutPrefix(rest, "="); ok {
 		rest = value
-	} else if word, after := cutWord(rest); word == "TO" {
+	} else if word, after := splitFirstWord(rest); word == "TO" {
 		rest = after
 	}
 	return command{verb: verb, name: strings.ToLower(name), value: unquote(strings.TrimSpace(rest))}
--- a/internal/entry/positions.go
+++ b/internal/entry/positions.go
@@ -98,7 +98,7 @@
 	return t
 }
 
-// Required implements Positions. A read that is given up is cancelled in the tracker.
+// Required implements Positions. A read whose ctx ends is cancelled in the tracker.
 func (p *SharedPositions) Required(ctx context.Context, service, workspace string) (Position, error) {
 	t := p.task(service)
 	read := readMessage{
--- a/internal/failover/choose.go
+++ b/internal/failover/choose.go
@@ -122,7 +122,7 @@
 
 // comparePreference orders contenders, best first: not suspected, in use, highest
 // position, lowest id. All of them hold every acknowledged write, so a lower position
-// gives up only writes that were not acknowledged.
+// loses only writes that were not acknowledged.
 func comparePreference(a, b contender) int {
 	if n := compareBool(a.suspected, b.suspected); n != 0 {
 		return n
--- a/internal/failover/suspect.go
+++ b/internal/failover/suspect.go
@@ -14,7 +14,7 @@
 	at        time.Time
 	// lostSince is the time of the first in an uninterrupted sequence of
 	// observations that found the endpoint lost. It is zero when the latest found it
-	// healthy. A gap of more than ObservationTTL starts a new sequence.
+	// healthy. A gap of more than LossTTL starts a new sequence.
 	lostSince time.Time
 }
 
@@ -61,7 +61,7 @@
 
 // fresh reports whether a report on a lost endpoint is recent enough to count.
 func (m *Machine) fresh(now time.Time, r report) bool {
-	return now.Sub(r.at) <= m.cfg.ObservationTTL
+	return now.Sub(r.at) <= m.cfg.LossTTL
 }
 
 // suspected reports whether a majority of voters has reported the endpoint as lost
--- a/internal/failover/types.go
+++ b/internal/failover/types.go
@@ -56,11 +56,11 @@
 	// SuspectAfter is how long a watcher must report an endpoint as lost without
 	// interruption before its vote counts.
 	SuspectAfter time.Duration
-	// ObservationTTL is how long an observation of a lost endpoint counts without a
-	// newer one, HealthyTTL that of a healthy endpoint. HealthyTTL is longer because
+	// LossTTL is how long an observation of a lost endpoint counts without a newer
+	// one, HealthyTTL that of a healthy endpoint. HealthyTTL is longer because
 	// healthy endpoints are reported only every ReportInterval.
-	ObservationTTL time.Duration
-	HealthyTTL     time.Duration
+	LossTTL    time.Duration
+	HealthyTTL time.Duration
 	// QueryInterval is the time between two requests for positions.
 	QueryInterval time.Duration
 	// AnswerTTL is how long an answer counts as proof that an endpoint is alive.
@@ -106,7 +106,7 @@
 func DefaultConfig() Config {
 	return Config{
 		SuspectAfter:       3 * ProbeInterval,
-		ObservationTTL:     2 * time.Second,
+		LossTTL:            2 * time.Second,
 		HealthyTTL:         2*ReportInterval + 2*time.Second,
 		QueryInterval:      100 * time.Millisecond,
 		AnswerTTL:          time.Second,
