--- a/internal/bench/generator.go
+++ b/internal/bench/generator.go
@@ -17,7 +17,7 @@
 }
 
 // maxBacklog bounds the requests of a workspace that wait for a caller. Further
-// requests are dropped and counted under causeDropped.
+// requests are dropped and counted under causeGeneratorOverrun.
 const maxBacklog = 100_000
 
 // generator draws the intended starts of a workspace's requests from a Poisson
--- a/internal/standin/tx.go
+++ b/internal/standin/tx.go
@@ -146,7 +146,7 @@
 	return true, nil
 }
 
-// commitEngine ends the engine transaction. A write transaction without changes is
+// commitEngineTx ends the engine transaction. A write transaction without changes is
 // rolled back and leaves no record in the log.
 func (s *session) commitEngineTx() error {
 	switch s.tx.engineTx {
